--- a/src/wire/answer_frame.rs
+++ b/src/wire/answer_frame.rs
@@ -3,21 +3,22 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a sidecar sends back for one request.
+/// One frame of a sidecar's answer to a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum AnswerFrame {
-    /// It has not started the request and never will.
+    /// The sidecar has not started the request and never will.
     NotRun(ResultCode),
-    /// The upstream answers.
+    /// The head of the upstream's answer.
     Head {
-        request_id: String, // must be the request's own
+        request_id: String, // must equal the request's
         status: u16,
         headers: Vec<(String, Vec<u8>)>,
     },
+    /// A part of the answer's body.
     Chunk(Vec<u8>),
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        length: u64, // of all chunks
+        length: u64, // bytes in all chunks
         crc: u32,    // CRC-32 of all chunks
     },
     /// The upstream failed; the request may have run.
--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -4,13 +4,13 @@
     tokio::io::{AsyncRead, AsyncReadExt},
 };
 
-/// The version of the messages between processes.
+/// The protocol version of the messages between processes.
 pub const VERSION: u8 = 2;
 
-/// The largest frame, in bytes. Bodies are sent in chunks below it.
+/// The largest frame without its length prefix, in bytes. Bodies are sent in smaller chunks.
 pub const MAX_FRAME: usize = 8 << 20;
 
-/// A message as a frame.
+/// Encodes a message as a frame. Fails with result codes 71 and 72.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, Fault> {
     let head = vec![0, 0, 0, 0, VERSION];
     let mut frame = postcard::to_extend(message, head)
@@ -24,13 +24,14 @@
     Ok(frame)
 }
 
-/// A message as a datagram: a frame without its length.
+/// Encodes a message as a datagram, that is, a frame without its length prefix.
 pub fn encode_payload<T: Serialize>(message: &T) -> Result<Vec<u8>, Fault> {
     postcard::to_extend(message, vec![VERSION])
         .map_err(|error| Fault::new(ResultCode::FrameMalformed, error.to_string()))
 }
 
-/// The message in a frame's payload: codes 70 and 72.
+/// Decodes the message in a datagram, or in a frame without its length prefix. Fails with
+/// result codes 70 and 72.
 pub fn decode_payload<T: DeserializeOwned>(payload: &[u8]) -> Result<T, Fault> {
     match payload.split_first() {
         None => Err(Fault::new(ResultCode::FrameMalformed, "empty")),
@@ -42,18 +43,21 @@
     }
 }
 
-/// Reads one frame: none at the stream's clean end, codes 70 to 74 otherwise.
+/// Reads one frame; `None` if the stream has ended. Fails with result codes 70 to 74.
 pub async fn read_frame<T, R>(reader: &mut R) -> Result<Option<T>, Fault>
 where
     T: DeserializeOwned,
     R: AsyncRead + Unpin,
 {
     let mut head = [0; 4];
-    let first = reader.read(&mut head).await.map_err(lost)?;
+    let first = reader.read(&mut head).await.map_err(connection_lost)?;
     if first == 0 {
         return Ok(None);
     }
-    reader.read_exact(&mut head[first..]).await.map_err(lost)?;
+    reader
+        .read_exact(&mut head[first..])
+        .await
+        .map_err(connection_lost)?;
     let length = u32::from_be_bytes(head) as usize;
     if length > MAX_FRAME {
         let detail = format!("{length} bytes");
@@ -64,9 +68,12 @@
         .take(length as u64)
         .read_to_end(&mut payload)
         .await
-        .map_err(lost)?;
+        .map_err(connection_lost)?;
     if payload.len() < length {
-        return Err(Fault::new(ResultCode::PeerUnreachable, "cut frame"));
+        return Err(Fault::new(
+            ResultCode::PeerUnreachable,
+            "the stream ended within a frame",
+        ));
     }
     decode_payload(&payload).map(Some)
 }
@@ -78,10 +85,10 @@
     if rest.is_empty() {
         Ok(decoded)
     } else {
-        Err(malformed(format!("{} bytes too many", rest.len())))
+        Err(malformed(format!("{} bytes after the message", rest.len())))
     }
 }
 
-fn lost(error: std::io::Error) -> Fault {
+fn connection_lost(error: std::io::Error) -> Fault {
     Fault::new(ResultCode::PeerUnreachable, error.to_string())
 }
--- a/src/wire/config_bundle.rs
+++ b/src/wire/config_bundle.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A configuration and host list handed to a peer, a piece a frame.
+/// One frame of a configuration and host list that are sent to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigBundle {
     Root { revision: Revision, text: String },
--- a/src/wire/control_message.rs
+++ b/src/wire/control_message.rs
@@ -6,7 +6,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What routers and sidecars tell each other beside the requests themselves.
+/// A message between routers and sidecars on a connection's control stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ControlMessage {
     /// The first message on a connection, in both directions.
@@ -14,40 +14,40 @@
         role: HostRole,
         incarnation: Incarnation,
         leaving: bool,
-        settled: bool, // has itself asked peers for the newest configuration
+        settled: bool, // has asked its peers for the newest configuration
     },
-    /// Router to sidecar: what waits.
+    /// Router to sidecar: the requests that wait for a grant.
     Demand {
-        seen: GrantNumber, // newest grant known
+        seen: GrantNumber, // newest grant that the router has received
         lines: Vec<DemandLine>,
     },
-    /// Sidecar to router: it forgot what was announced.
+    /// Sidecar to router: the announced demand was dropped, and should be announced again.
     AskDemand,
-    /// Sidecar to router.
+    /// Sidecar to router: permissions to send requests.
     Grants(Vec<Grant>),
-    /// Router to sidecar: nothing to send for these.
+    /// Router to sidecar: grants for which no request waits.
     Declines(Vec<GrantNumber>),
-    /// Sidecar to router: slots that offers without a grant may take.
+    /// Sidecar to router: the number of slots free for requests without a grant.
     Room { free: u32 },
-    /// Either way: no new work, please.
+    /// In both directions: the sender is leaving and takes no new work.
     Leaving,
-    /// Sidecar to an account's keeper.
+    /// Sidecar to the router that sums the service of the reported accounts over the fleet.
     Report {
         sequence: u64,
-        floor: Option<f64>, // least service per share among waiting accounts
+        floor: Option<f64>, // least service per share among the sidecar's waiting accounts
         entries: Vec<ReportEntry>,
     },
-    /// Keeper to sidecar.
+    /// Router to sidecar: the reply to a report, with the accounts' totals over the fleet.
     Totals {
-        sequence: u64, // of the report it answers
+        sequence: u64, // of the report
         entries: Vec<TotalEntry>,
     },
-    /// Either way: a new configuration came into force; see the envelope.
+    /// In both directions: a new configuration came into force. The envelope states which.
     NewRevision,
 }
 
 impl ControlMessage {
-    /// The kind, for counting bytes.
+    /// The message's kind, as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Hello { .. } => "hello",
--- a/src/wire/envelope.rs
+++ b/src/wire/envelope.rs
@@ -4,11 +4,11 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A control message with the configuration its sender has in force, so that
-/// whoever is behind notices and fetches it.
+/// A control message with the sender's configuration revision, so that a receiver with an
+/// older one notices and fetches it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
-    pub revision: Revision, // 0 before the first configuration
-    pub digest: String,     // first digits of its SHA-256
+    pub revision: Revision, // 0 if the sender has no configuration yet
+    pub digest: String,     // leading hexadecimal digits of the configuration's SHA-256
     pub message: ControlMessage,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! Messages between the fleet's processes, and their codec.
+//! Messages between the processes of the fleet, and their encoding.
 //!
-//! A frame is a length (four bytes, big-endian), a version byte, and one
-//! message in postcard's encoding.
+//! A frame consists of a length prefix (four bytes, big-endian, counting what follows), a
+//! version byte, and one message encoded by postcard.
 
 mod answer_frame;
 mod codec;
--- a/src/wire/request_head.rs
+++ b/src/wire/request_head.rs
@@ -6,7 +6,8 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A request on its way to a sidecar; its body follows in the same stream.
+/// A request that a router sends to a sidecar, without its body, which follows in the same
+/// stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RequestHead {
     pub request_id: String,
@@ -16,11 +17,11 @@
     pub model: Option<String>,
     pub labels: Vec<(String, String)>, // as the caller sent them
     pub method: String,
-    pub path: String, // with the query
+    pub path: String, // including the query
     pub headers: Vec<(String, Vec<u8>)>,
-    pub incarnation: Incarnation,   // of the sidecar that is meant
-    pub grant: Option<GrantNumber>, // none for an offer to an idle upstream
-    pub once_key: Option<String>,   // idempotency key, if it may not run twice
-    pub patience_ms: u32,           // left when it was sent
-    pub body_len: u64,              // bytes that follow
+    pub incarnation: Incarnation,        // of the addressed sidecar
+    pub grant: Option<GrantNumber>,      // `None` if sent without a grant, to a free slot
+    pub idempotency_key: Option<String>, // set if the request must not run twice
+    pub patience_ms: u32,                // time left in which the request should start
+    pub body_len: u64,                   // bytes in the body
 }
