--- a/src/sidecar/dispatch_table.rs
+++ b/src/sidecar/dispatch_table.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        router_keys::{RouterKey, RouterKeys},
-        turn::Turn,
+        router_numbers::{RouterNumber, RouterNumbers},
+        slot_decision::SlotDecision,
     },
     crate::policy::{
         Admission, Arrival, DispatchSettings, Dispatcher, ExchangeId, Finished, Grant, Moment,
@@ -14,38 +14,39 @@
     tokio::sync::{oneshot, watch},
 };
 
-/// The dispatcher with the requests that wait on it. One lock guards it whole.
+/// The dispatcher, with a channel to the task of each request that waits for a slot. The
+/// whole table is behind one lock.
 pub struct DispatchTable {
-    pub dispatcher: Dispatcher<RouterKey>,
-    pub routers: RouterKeys,
+    pub dispatcher: Dispatcher<RouterNumber>,
+    pub routers: RouterNumbers,
     pub clock: SlotClock,
-    pub room_told: u32, // what routers were last told of free slots
-    waiters: HashMap<ExchangeId, oneshot::Sender<Turn>>,
-    on_way: watch::Sender<BTreeSet<ExchangeId>>, // admitted, and the upstream has not answered yet
+    pub announced_free_slots: u32, // free slots as last announced to the routers
+    waiters: HashMap<ExchangeId, oneshot::Sender<SlotDecision>>,
+    in_transit: watch::Sender<BTreeSet<ExchangeId>>, // started, no answer yet
 }
 
 impl DispatchTable {
-    /// A table with every slot free.
+    /// A table in which every slot is free.
     pub fn new(settings: DispatchSettings) -> Self {
         Self {
             dispatcher: Dispatcher::new(settings),
-            routers: RouterKeys::default(),
+            routers: RouterNumbers::default(),
             clock: SlotClock::default(),
-            room_told: 0,
+            announced_free_slots: 0,
             waiters: HashMap::new(),
-            on_way: watch::Sender::default(),
+            in_transit: watch::Sender::default(),
         }
     }
 
-    /// Decides on a request; one that must wait gets a receiver for its turn.
-    pub fn arrive(
+    /// Decides on a request. One that must wait for a slot gets a receiver for the decision.
+    pub fn admit(
         &mut self,
         now: Moment,
-        arrival: &Arrival<RouterKey>,
-    ) -> (Admission, Option<oneshot::Receiver<Turn>>) {
+        arrival: &Arrival<RouterNumber>,
+    ) -> (Admission, Option<oneshot::Receiver<SlotDecision>>) {
         let admission = self.dispatcher.arrive(now, arrival);
         if admission == Admission::Start {
-            self.set_out(arrival.exchange);
+            self.mark_in_transit(arrival.exchange);
         }
         if admission != Admission::Ready {
             return (admission, None);
@@ -55,21 +56,22 @@
         (admission, Some(receiver))
     }
 
-    /// The upstream began to answer, so that it has the request.
-    pub fn arrived(
+    /// Records that the upstream has the request, because it began to answer.
+    pub fn mark_received(
         &self,
         exchange: ExchangeId,
     ) {
-        self.on_way
-            .send_if_modified(|on_way| on_way.remove(&exchange));
+        self.in_transit
+            .send_if_modified(|in_transit| in_transit.remove(&exchange));
     }
 
-    /// Tells which requests are on their way to the upstream.
-    pub fn on_way(&self) -> watch::Receiver<BTreeSet<ExchangeId>> {
-        self.on_way.subscribe()
+    /// Watches the started requests that the upstream has not begun to answer, so that it may
+    /// not have received them yet.
+    pub fn in_transit(&self) -> watch::Receiver<BTreeSet<ExchangeId>> {
+        self.in_transit.subscribe()
     }
 
-    /// Ends an exchange, wherever it stands.
+    /// Ends an exchange, whether it waits or runs.
     pub fn finish(
         &mut self,
         exchange: ExchangeId,
@@ -77,79 +79,81 @@
         now: Moment,
     ) {
         self.waiters.remove(&exchange);
-        self.arrived(exchange);
+        self.mark_received(exchange);
         self.dispatcher.finish(exchange, finished, now);
     }
 
-    /// Fills free slots and gives the grants to send, by router.
-    pub fn pump(
+    /// Starts waiting requests in free slots and issues new grants, which are returned by
+    /// router host.
+    pub fn dispatch(
         &mut self,
         now: Moment,
     ) -> BTreeMap<Arc<str>, Vec<Grant>> {
         while let Some(exchange) = self.dispatcher.start_ready(now) {
-            self.set_out(exchange);
-            self.tell(exchange, Turn::Start);
+            self.mark_in_transit(exchange);
+            self.resolve(exchange, SlotDecision::Start);
         }
         let mut grants: BTreeMap<Arc<str>, Vec<Grant>> = BTreeMap::new();
         while let Some((router, grant)) = self.dispatcher.next_grant(now) {
             let host = self.routers.host(router);
             grants.entry(host).or_default().push(grant);
         }
-        let held = self.dispatcher.ready() + self.dispatcher.granted();
-        let contended = held > 0 || self.dispatcher.waiting() > 0;
+        let not_started = self.dispatcher.ready() + self.dispatcher.granted();
+        let contended = not_started > 0 || self.dispatcher.waiting() > 0;
         self.clock
             .observe(now, self.dispatcher.running(), contended);
         grants
     }
 
-    /// Stops granting and hands back what has not started.
+    /// Stops granting, and hands back the requests that have not started.
     pub fn leave(
         &mut self,
         now: Moment,
     ) {
         let handed_back = self.dispatcher.leave(now);
-        self.tell_handed_back(handed_back);
+        self.resolve_handed_back(handed_back);
     }
 
-    /// Grants and starts nothing until then, and hands back what has not started.
-    pub fn close_until(
+    /// Grants and starts nothing before `until`, and hands back the requests that have not
+    /// started.
+    pub fn suspend_until(
         &mut self,
         now: Moment,
         until: Moment,
     ) {
         let handed_back = self.dispatcher.close_until(now, until);
-        self.tell_handed_back(handed_back);
+        self.resolve_handed_back(handed_back);
     }
 
-    fn tell_handed_back(
+    fn resolve_handed_back(
         &mut self,
         exchanges: Vec<ExchangeId>,
     ) {
         for exchange in exchanges {
-            self.tell(exchange, Turn::HandedBack);
+            self.resolve(exchange, SlotDecision::HandedBack);
         }
     }
 
-    fn set_out(
+    fn mark_in_transit(
         &self,
         exchange: ExchangeId,
     ) {
-        self.on_way.send_modify(|on_way| {
-            on_way.insert(exchange);
+        self.in_transit.send_modify(|in_transit| {
+            in_transit.insert(exchange);
         });
     }
 
-    fn tell(
+    fn resolve(
         &mut self,
         exchange: ExchangeId,
-        turn: Turn,
+        decision: SlotDecision,
     ) {
-        let told = self
+        let is_resolved = self
             .waiters
             .remove(&exchange)
-            .is_some_and(|waiter| waiter.send(turn).is_ok());
-        if !told {
-            log::debug!("exchange {exchange} was gone at its turn");
+            .is_some_and(|waiter| waiter.send(decision).is_ok());
+        if !is_resolved {
+            log::debug!("exchange {exchange} ended before its slot was assigned");
         }
     }
 }
--- a/src/sidecar/exchange.rs
+++ b/src/sidecar/exchange.rs
@@ -1,5 +1,5 @@
 use {
-    super::{sidecar::Sidecar, turn::Turn},
+    super::{sidecar::Sidecar, slot_decision::SlotDecision},
     crate::{
         codes::ResultCode,
         fleet::{FleetConfig, Group, Labels, RequestLabels},
@@ -13,10 +13,10 @@
     tokio::io::AsyncReadExt,
 };
 
-/// The largest request body, whatever the router allows.
-const MAX_BODY: u64 = 64 << 20;
+/// The largest request body, independent of the routers' `max_body` setting.
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
-/// Serves one request that a router sent, to its end.
+/// Serves one request from a router until its answer is delivered.
 pub async fn serve_exchange(
     sidecar: Arc<Sidecar>,
     peer: Arc<Peer>,
@@ -26,7 +26,7 @@
 ) {
     let _open = sidecar.count_open();
     let Some(body) = read_body(&mut recv, head.body_len).await else {
-        return; // cut before it was whole: never started
+        return; // incomplete or too large, never started
     };
     let exchange = Exchange {
         id: sidecar.next_exchange_id(),
@@ -37,8 +37,8 @@
     };
     exchange.run(body, &mut send).await;
     if send.finish().is_ok() {
-        // Until the router has everything, a planned stop must wait.
-        let _all_received = send.stopped().await;
+        // Waits for the router's acknowledgement: a planned stop must not cut the answer.
+        let _acknowledged = send.stopped().await;
     }
 }
 
@@ -56,25 +56,25 @@
         body: Bytes,
         send: &mut SendStream,
     ) {
-        let group = match self.check() {
+        let group = match self.check_placement() {
             Ok(group) => group,
-            Err(code) => return self.refuse(code, send).await,
+            Err(code) => return self.reject(code, send).await,
         };
-        if let Err(code) = self.begin_key() {
-            return self.refuse(code, send).await;
+        if let Err(code) = self.claim_key() {
+            return self.reject(code, send).await;
         }
-        match self.take_slot(send).await {
+        match self.acquire_slot(send).await {
             Ok(()) => self.run_upstream(&group, body, send).await,
             Err(code) => {
-                self.forget_key();
-                self.refuse(code, send).await;
+                self.release_key();
+                self.reject(code, send).await;
             }
         }
     }
 
-    /// The sidecar's own checks, by its own configuration: a stale router
-    /// cannot place work wrongly.
-    fn check(&self) -> Result<Group, ResultCode> {
+    /// Checks incarnation and placement against the sidecar's own configuration, so that a
+    /// router with an old configuration cannot place requests wrongly.
+    fn check_placement(&self) -> Result<Group, ResultCode> {
         if self.head.incarnation != self.sidecar.node.incarnation {
             return Err(ResultCode::GrantExpired);
         }
@@ -88,14 +88,14 @@
             .config
             .group(&self.head.group)
             .ok_or(ResultCode::PlacementRefused)?;
-        if self.admitted(&config.config, group) {
+        if self.is_admitted(&config.config, group) {
             Ok(group.clone())
         } else {
             Err(ResultCode::PlacementRefused)
         }
     }
 
-    fn admitted(
+    fn is_admitted(
         &self,
         config: &FleetConfig,
         group: &Group,
@@ -116,12 +116,12 @@
         config.admits(group, &labels, &node.host, &node.zone)
     }
 
-    fn begin_key(&self) -> Result<(), ResultCode> {
-        let Some(key) = &self.head.once_key else {
+    fn claim_key(&self) -> Result<(), ResultCode> {
+        let Some(key) = &self.head.idempotency_key else {
             return Ok(());
         };
         let now = self.sidecar.node.now();
-        let mut keys = self.sidecar.keys.lock().expect("key lock");
+        let mut keys = self.sidecar.idempotency_keys.lock().expect("key lock");
         match keys.begin(now, self.head.account, key) {
             KeyVerdict::Fresh => Ok(()),
             KeyVerdict::InProgress => Err(ResultCode::KeyInProgress),
@@ -130,50 +130,50 @@
         }
     }
 
-    pub(super) fn forget_key(&self) {
-        if let Some(key) = &self.head.once_key {
-            let mut keys = self.sidecar.keys.lock().expect("key lock");
+    pub(super) fn release_key(&self) {
+        if let Some(key) = &self.head.idempotency_key {
+            let mut keys = self.sidecar.idempotency_keys.lock().expect("key lock");
             keys.not_run(self.head.account, key);
         }
     }
 
-    pub(super) fn remember_key(&self) {
-        if let Some(key) = &self.head.once_key {
+    pub(super) fn record_key_ran(&self) {
+        if let Some(key) = &self.head.idempotency_key {
             let now = self.sidecar.node.now();
-            let mut keys = self.sidecar.keys.lock().expect("key lock");
+            let mut keys = self.sidecar.idempotency_keys.lock().expect("key lock");
             keys.ran(now, self.head.account, key);
         }
     }
 
-    /// Waits for a slot, unless the router gives the request up first.
-    async fn take_slot(
+    /// Waits for a slot, or until the router cancels the request.
+    async fn acquire_slot(
         &mut self,
         send: &mut SendStream,
     ) -> Result<(), ResultCode> {
-        let turn = match self.sidecar.arrive(&Arrival {
+        let decision = match self.sidecar.admit(&Arrival {
             exchange: self.id,
-            router: self.sidecar.router_key(&self.peer.host),
+            router: self.sidecar.router_number(&self.peer.host),
             account: self.head.account,
             grant: self.head.grant,
         }) {
             (Admission::Refused(code), _) => return Err(code),
-            (Admission::Start, _) => Turn::Start,
-            (Admission::Ready, None) => Turn::HandedBack,
+            (Admission::Start, _) => SlotDecision::Start,
+            (Admission::Ready, None) => SlotDecision::HandedBack,
             (Admission::Ready, Some(receiver)) => tokio::select! {
-                turn = receiver => turn.unwrap_or(Turn::HandedBack),
+                decision = receiver => decision.unwrap_or(SlotDecision::HandedBack),
                 _ = send.stopped() => {
                     self.finish(Finished::NotRun);
                     return Err(ResultCode::RequestCancelled);
                 }
             },
         };
-        match turn {
-            Turn::Start if self.peer.is_open() && self.state.start() => Ok(()),
-            Turn::Start => {
+        match decision {
+            SlotDecision::Start if self.peer.is_open() && self.state.start() => Ok(()),
+            SlotDecision::Start => {
                 self.finish(Finished::NotRun);
                 Err(ResultCode::RequestCancelled)
             }
-            Turn::HandedBack => Err(ResultCode::NotStarted),
+            SlotDecision::HandedBack => Err(ResultCode::NotStarted),
         }
     }
 
@@ -184,13 +184,13 @@
         self.sidecar.finish(self.id, finished);
     }
 
-    async fn refuse(
+    async fn reject(
         &mut self,
         code: ResultCode,
         send: &mut SendStream,
     ) {
         if self.state.hand_back() {
-            answer(send, &AnswerFrame::NotRun(code)).await;
+            send_frame(send, &AnswerFrame::NotRun(code)).await;
         }
     }
 }
@@ -199,7 +199,7 @@
     recv: &mut RecvStream,
     length: u64,
 ) -> Option<Bytes> {
-    if length > MAX_BODY {
+    if length > MAX_BODY_BYTES {
         return None;
     }
     let mut body = Vec::new();
@@ -207,15 +207,15 @@
     (body.len() as u64 == length).then(|| body.into())
 }
 
-/// Sends a frame. False if the router does not take it any more.
-pub(super) async fn answer(
+/// Sends a frame. False if the router no longer reads the stream.
+pub(super) async fn send_frame(
     send: &mut SendStream,
     frame: &AnswerFrame,
 ) -> bool {
     match encode_frame(frame) {
         Ok(bytes) => send.write_all(&bytes).await.is_ok(),
         Err(error) => {
-            log::error!(code = error.code.number(); "answer not sent: {error}");
+            log::error!(code = error.code.number(); "answer frame not sent: {error}");
             false
         }
     }
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -12,18 +12,20 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How often expired grants are voided and free slots told.
-const TICK: Duration = Duration::from_millis(20);
+/// How often expired grants are voided and free slots announced.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Keeps the tables true as time passes.
-pub async fn keep_house(sidecar: Arc<Sidecar>) {
-    let mut pauses = PauseDetector::new(sidecar.settings.process.pause_limit, sidecar.node.now());
-    let mut ticks = tokio::time::interval(TICK);
+/// Voids expired grants, announces free slots, and recovers after the process was
+/// suspended.
+pub async fn run_housekeeping(sidecar: Arc<Sidecar>) {
+    let mut suspensions =
+        PauseDetector::new(sidecar.settings.process.pause_limit, sidecar.node.now());
+    let mut ticks = tokio::time::interval(HOUSEKEEPING_INTERVAL);
     loop {
         ticks.tick().await;
         let now = sidecar.node.now();
-        if let Some(pause) = pauses.tick(now) {
-            recover_from_pause(&sidecar, pause);
+        if let Some(suspended_for) = suspensions.tick(now) {
+            recover_from_suspension(&sidecar, suspended_for);
         }
         let expired = {
             let mut table = sidecar.table.lock().expect("table lock");
@@ -32,15 +34,16 @@
         if expired > 0 {
             metrics::counter!(GRANTS, "outcome" => "expired").increment(expired as u64);
         }
-        sidecar.pump();
-        tell_room(&sidecar);
+        sidecar.dispatch();
+        announce_free_slots(&sidecar);
     }
 }
 
-/// Leaves when the platform says that this host does. Dials a few routers at
-/// the start, to ask them for the newest configuration: those that knew an
-/// earlier life of this process notice its end late.
-pub async fn follow_hosts(
+/// Starts leaving when the host list marks this host as leaving. Until the configuration
+/// is confirmed, dials a few routers to ask for the newest one instead of waiting for them
+/// to connect: a router connected to an earlier incarnation notices its end only after a
+/// time-out.
+pub async fn watch_host_list(
     sidecar: Arc<Sidecar>,
     dials: Arc<DialSet<Sidecar>>,
 ) {
@@ -49,7 +52,7 @@
         let hosts = lists.borrow_and_update().1.clone();
         let own = hosts.find(&sidecar.node.host);
         if own.is_some_and(|host| host.state == HostState::Leaving) {
-            sidecar.leave_for_good().await;
+            sidecar.leave_permanently().await;
         }
         if !sidecar.node.readiness.has_asked() {
             dial_some_routers(&sidecar, &dials, &hosts);
@@ -79,8 +82,9 @@
     }
 }
 
-/// Takes over shares when a configuration comes into force, and tells peers.
-pub async fn follow_config(sidecar: Arc<Sidecar>) {
+/// Applies the accounts' shares whenever a new configuration comes into force, and
+/// notifies all peers.
+pub async fn apply_config_changes(sidecar: Arc<Sidecar>) {
     let mut configs = sidecar.node.config.subscribe();
     while configs.changed().await.is_ok() {
         let Some(current) = configs.borrow_and_update().clone() else {
@@ -103,12 +107,15 @@
     }
 }
 
-fn recover_from_pause(
+fn recover_from_suspension(
     sidecar: &Sidecar,
-    pause: Duration,
+    suspended_for: Duration,
 ) {
     metrics::counter!(PAUSES).increment(1);
-    let detail = format!("stood still for {} ms; grants void", pause.as_millis());
+    let detail = format!(
+        "stood still for {} ms; grants void",
+        suspended_for.as_millis()
+    );
     sidecar.node.audit.record("paused", None, None, detail);
     {
         let mut table = sidecar.table.lock().expect("table lock");
@@ -121,16 +128,16 @@
     }
 }
 
-/// Tells routers how many slots are free for offers, when that has changed so
-/// much that they would act otherwise.
-fn tell_room(sidecar: &Sidecar) {
+/// Announces to the routers how many slots are free for requests without a grant, if the
+/// number has changed significantly.
+fn announce_free_slots(sidecar: &Sidecar) {
     let free = {
         let mut table = sidecar.table.lock().expect("table lock");
         let free = table.dispatcher.free_for_offers(sidecar.node.now());
-        if !worth_telling(table.room_told, free) {
+        if !is_significant_change(table.announced_free_slots, free) {
             return;
         }
-        table.room_told = free;
+        table.announced_free_slots = free;
         free
     };
     if let Some(link) = sidecar.link() {
@@ -140,9 +147,10 @@
     }
 }
 
-fn worth_telling(
-    told: u32,
+/// Whether the number changed from or to zero, more than doubled, or more than halved.
+fn is_significant_change(
+    announced: u32,
     free: u32,
 ) -> bool {
-    (told == 0) != (free == 0) || free > told.saturating_mul(2) || free < told / 2
+    (announced == 0) != (free == 0) || free > announced.saturating_mul(2) || free < announced / 2
 }
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -1,4 +1,4 @@
-//! What a sidecar does with its connections.
+//! The sidecar's handling of connections, control messages and streams.
 
 use {
     super::{exchange::serve_exchange, sidecar::Sidecar},
@@ -25,7 +25,7 @@
         self.node.hello()
     }
 
-    fn on_up(
+    fn on_connect(
         &self,
         peer: &Arc<Peer>,
     ) -> bool {
@@ -35,7 +35,7 @@
             Sighting::New | Sighting::Same => {}
         }
         if let Some(link) = self.link() {
-            let free = self.table.lock().expect("table lock").room_told;
+            let free = self.table.lock().expect("table lock").announced_free_slots;
             link.send(peer, ControlMessage::Room { free });
         }
         true
@@ -50,7 +50,7 @@
             .clone()
             .notice_revision(peer, envelope.revision, &envelope.digest);
         if peer.role() != HostRole::Router {
-            return; // sidecars have nothing to tell a sidecar
+            return; // sidecars send each other only configuration revisions
         }
         match envelope.message {
             ControlMessage::Demand { seen, lines } => self.on_demand(peer, seen, &lines),
@@ -69,7 +69,7 @@
         }
     }
 
-    fn on_down(
+    fn on_disconnect(
         &self,
         peer: &Arc<Peer>,
         last: bool,
@@ -93,7 +93,7 @@
             StreamOpen::Exchange(_) => log::warn!("{} may not send requests", peer.name),
             StreamOpen::FetchConfig { have } => {
                 if let Err(error) = serve_config(&self.node, &have, send).await {
-                    log::debug!(code = error.code.number(); "configuration not given: {error}");
+                    log::debug!(code = error.code.number(); "configuration not sent: {error}");
                 }
             }
         }
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -1,4 +1,5 @@
-//! The process beside an upstream, which owns the upstream's capacity.
+//! The sidecar process: runs beside one upstream, grants its capacity to routers, and
+//! forwards their requests to it.
 
 mod dispatch_table;
 mod exchange;
@@ -6,11 +7,11 @@
 mod link_events;
 mod relay;
 mod reporter;
-mod router_keys;
+mod router_numbers;
 mod serve;
 mod sidecar;
+mod slot_decision;
 mod status;
-mod turn;
 mod upstream_client;
 mod upstream_notice;
 mod upstream_restart;
--- a/src/sidecar/relay.rs
+++ b/src/sidecar/relay.rs
@@ -1,8 +1,8 @@
-//! From an upstream's answer to the router that waits for it.
+//! Forwards a request to the upstream and relays its answer to the router.
 
 use {
     super::{
-        exchange::{Exchange, answer},
+        exchange::{Exchange, send_frame},
         upstream_client::REQUEST_ID_HEADER,
         usage_meter::UsageMeter,
     },
@@ -19,11 +19,11 @@
     std::time::Duration,
 };
 
-/// How often the service of a running request is charged.
+/// How often a running request's cost so far is charged to its account.
 const CHARGE_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Exchange<'_> {
-    /// Runs the request, which holds a slot, and relays the answer.
+    /// Sends a request that has a slot to the upstream, and relays the answer.
     pub(super) async fn run_upstream(
         mut self,
         group: &Group,
@@ -35,8 +35,8 @@
         let outcome = tokio::select! {
             outcome = self.sidecar.upstream.send(self.head, body) => outcome,
             _ = send.stopped() => {
-                // Dropping the call closes its connection, which frees the slot.
-                self.remember_key();
+                // The call is dropped, which closes its connection and stops the upstream's work.
+                self.record_key_ran();
                 self.finish_with_cost(&meter, started);
                 return;
             }
@@ -44,15 +44,15 @@
         match outcome {
             Ok(response) => self.relay(response, &mut meter, started, send).await,
             Err(failure) if failure.unsent && self.state.refused_by_upstream() => {
-                self.forget_key();
-                self.sidecar.upstream_refused();
+                self.release_key();
+                self.sidecar.back_off_after_refusal();
                 self.finish(Finished::NotRun);
-                answer(send, &AnswerFrame::NotRun(failure.code)).await;
+                send_frame(send, &AnswerFrame::NotRun(failure.code)).await;
             }
             Err(failure) => {
-                self.remember_key();
+                self.record_key_ran();
                 self.finish_with_cost(&meter, started);
-                answer(send, &AnswerFrame::Failed(failure.code)).await;
+                send_frame(send, &AnswerFrame::Failed(failure.code)).await;
             }
         }
     }
@@ -64,9 +64,9 @@
         started: Moment,
         send: &mut SendStream,
     ) {
-        self.sidecar.arrived(self.id);
+        self.sidecar.mark_received(self.id);
         let notice = read_notice(response.status(), response.headers());
-        self.sidecar.hear_notice(&self.head.request_id, notice);
+        self.sidecar.handle_notice(&self.head.request_id, notice);
         let outcome = if self.is_own_answer(&response) {
             self.relay_body(&mut response, meter, started, send).await
         } else {
@@ -75,19 +75,19 @@
         drop(response);
         meter.end();
         self.state.end();
-        self.remember_key();
+        self.record_key_ran();
         self.finish_with_cost(meter, started);
         if let Err(code) = outcome {
             log::info!(
                 code = code.number(), request_id = self.head.request_id.as_str(),
                 router = &*self.peer.host;
-                "no whole answer of the upstream"
+                "the upstream's answer is incomplete or invalid"
             );
-            answer(send, &AnswerFrame::Failed(code)).await;
+            send_frame(send, &AnswerFrame::Failed(code)).await;
         }
     }
 
-    /// Whether the upstream answers this request, where it echoes the name.
+    /// Whether the answer belongs to this request, by the request id if the upstream echoes it.
     fn is_own_answer(
         &self,
         response: &Response,
@@ -111,7 +111,7 @@
             status: response.status().as_u16(),
             headers: answer_headers(response),
         };
-        if !answer(send, &head).await {
+        if !send_frame(send, &head).await {
             return Err(ResultCode::RequestCancelled);
         }
         let (mut length, mut crc) = (0, crc32fast::Hasher::new());
@@ -127,19 +127,19 @@
             meter.chunk(&chunk);
             charged = self.charge(meter, started, charged);
             for piece in chunk.chunks(MAX_FRAME / 2) {
-                if !answer(send, &AnswerFrame::Chunk(piece.to_vec())).await {
+                if !send_frame(send, &AnswerFrame::Chunk(piece.to_vec())).await {
                     return Err(ResultCode::RequestCancelled);
                 }
             }
         }
-        if !meter.is_whole() {
+        if !meter.is_complete() {
             return Err(ResultCode::AnswerCut);
         }
         let end = AnswerFrame::End {
             length,
             crc: crc.finalize(),
         };
-        answer(send, &end).await;
+        send_frame(send, &end).await;
         Ok(())
     }
 
--- a/src/sidecar/reporter.rs
+++ b/src/sidecar/reporter.rs
@@ -10,11 +10,12 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Accounts in one interval's reports, so that their bytes stay bounded; the
-/// next interval goes on with the others.
-const REPORT_BOUND: usize = 64;
+/// Accounts reported per interval, which bounds the bytes sent. The next interval continues
+/// with the remaining accounts.
+const MAX_REPORT_ENTRIES: usize = 64;
 
-/// Reports service to each account's keeper.
+/// Reports each account's service to its aggregator, the router that sums the account's
+/// service over the fleet.
 pub async fn report_service(
     sidecar: Arc<Sidecar>,
     dials: Arc<DialSet<Sidecar>>,
@@ -26,35 +27,37 @@
         sequence += 1;
         let (entries, floor) = {
             let mut table = sidecar.table.lock().expect("table lock");
-            let entries = table.dispatcher.report(sidecar.node.now(), REPORT_BOUND);
+            let entries = table
+                .dispatcher
+                .report(sidecar.node.now(), MAX_REPORT_ENTRIES);
             (entries, table.dispatcher.ledger().floor())
         };
-        for (_, (keeper, entries)) in by_keeper(&sidecar, &dials, entries) {
+        for (_, (aggregator, entries)) in group_by_aggregator(&sidecar, &dials, entries) {
             if let Some(link) = sidecar.link() {
                 let report = ControlMessage::Report {
                     sequence,
                     floor,
                     entries,
                 };
-                link.send(&keeper, report);
+                link.send(&aggregator, report);
             }
         }
     }
 }
 
-type Batches = BTreeMap<String, (Arc<Peer>, Vec<ReportEntry>)>; // by keeper's host
+type Batches = BTreeMap<String, (Arc<Peer>, Vec<ReportEntry>)>; // by the aggregator's host
 
-fn by_keeper(
+fn group_by_aggregator(
     sidecar: &Sidecar,
     dials: &DialSet<Sidecar>,
     entries: Vec<ReportEntry>,
 ) -> Batches {
     let mut batches = Batches::new();
     for entry in entries {
-        if let Some(keeper) = keeper(sidecar, dials, &entry) {
+        if let Some(aggregator) = find_aggregator(sidecar, dials, &entry) {
             batches
-                .entry(keeper.name.host.clone())
-                .or_insert_with(|| (keeper, Vec::new()))
+                .entry(aggregator.name.host.clone())
+                .or_insert_with(|| (aggregator, Vec::new()))
                 .1
                 .push(entry);
         }
@@ -62,9 +65,9 @@
     batches
 }
 
-/// The first router in the account's rendezvous order that can be reached.
-/// One that cannot is dialled, so that all sidecars agree again soon.
-fn keeper(
+/// The account's aggregator: the first connected router in the account's rendezvous order.
+/// Preceding ones are dialed, so that all sidecars soon agree on the aggregator again.
+fn find_aggregator(
     sidecar: &Sidecar,
     dials: &DialSet<Sidecar>,
     entry: &ReportEntry,
--- a/src/sidecar/serve.rs
+++ b/src/sidecar/serve.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        housekeeping::{follow_config, follow_hosts, keep_house},
+        housekeeping::{apply_config_changes, run_housekeeping, watch_host_list},
         reporter::report_service,
         sidecar::Sidecar,
         upstream_client::UpstreamClient,
@@ -22,7 +22,7 @@
     tokio::runtime::Builder,
 };
 
-/// The sidecar's command line.
+/// The entry point of `archmast-sidecar`.
 pub fn main() -> ExitCode {
     run_process(
         "archmast-sidecar",
@@ -64,9 +64,9 @@
     ));
     start_watches(&node, &settings.platform, &dials).change_context_lazy(failed)?;
     tokio::spawn(link.clone().accept());
-    tokio::spawn(follow_hosts(sidecar.clone(), dials.clone()));
-    tokio::spawn(follow_config(sidecar.clone()));
-    tokio::spawn(keep_house(sidecar.clone()));
+    tokio::spawn(watch_host_list(sidecar.clone(), dials.clone()));
+    tokio::spawn(apply_config_changes(sidecar.clone()));
+    tokio::spawn(run_housekeeping(sidecar.clone()));
     tokio::spawn(report_service(sidecar.clone(), dials));
     tokio::spawn(follow_readiness(
         node.clone(),
@@ -88,8 +88,8 @@
             ended.change_context_lazy(failed)?.change_context_lazy(failed)?;
         }
     }
-    sidecar.leave_for_good().await;
-    sidecar.all_closed().await;
+    sidecar.leave_permanently().await;
+    sidecar.wait_until_all_closed().await;
     log::info!("sidecar stopped: nothing runs here any more");
     link.close().await;
     Ok(())
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        dispatch_table::DispatchTable, router_keys::RouterKey, turn::Turn,
+        dispatch_table::DispatchTable, router_numbers::RouterNumber, slot_decision::SlotDecision,
         upstream_client::UpstreamClient,
     },
     crate::{
@@ -27,47 +27,47 @@
     },
 };
 
-/// After the upstream refused a connection, nothing is granted for this long.
-const UPSTREAM_REST: Duration = Duration::from_millis(500);
+/// How long nothing is granted or started after the upstream refused a connection.
+const REFUSED_CONNECTION_BACKOFF: Duration = Duration::from_millis(500);
 
-/// How long a sidecar that leaves waits for its upstream to answer what was sent there
-/// before it says so. An upstream on the same host has read a request long before; one
-/// that answers only when all is done must not keep routers from hearing of it.
-const ARRIVAL_TIME: Duration = Duration::from_secs(1);
+/// How long a leaving sidecar waits for the upstream to begin answering the requests sent to
+/// it before it announces that it leaves. By then an upstream on the same host has read them
+/// all; one that answers only when its work is done must not delay the announcement.
+const UPSTREAM_RECEIPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A sidecar's shared tables.
+/// The state that a sidecar's tasks share.
 ///
-/// Lock order: membership, `table`, `keys`, then leaf locks. None is held
+/// Lock order: membership, `table`, `idempotency_keys`, then leaf locks. None is held
 /// across an await, nor while a message is sent.
 pub struct Sidecar {
     pub node: Arc<Node>,
     pub settings: SidecarSettings,
     pub upstream: UpstreamClient,
-    pub keys: Mutex<KeyMemory>,
+    pub idempotency_keys: Mutex<KeyMemory>,
     pub(super) table: Mutex<DispatchTable>,
     link: OnceLock<Arc<Link<Sidecar>>>,
     next_exchange: AtomicU64,
-    pub(super) leaves_for_good: AtomicBool, // its host leaves, or this process stops
-    open: watch::Sender<usize>,             // exchanges not yet wholly with their routers
+    pub(super) leaves_permanently: AtomicBool, // the host is leaving or this process stops
+    open_exchanges: watch::Sender<usize>,      // not yet completely delivered
 }
 
-/// Counts an open exchange for as long as it lives.
+/// Counts an exchange as open for as long as the value lives.
 pub struct OpenExchange<'s>(&'s Sidecar);
 
 impl Drop for OpenExchange<'_> {
     fn drop(&mut self) {
-        self.0.open.send_modify(|count| *count -= 1);
+        self.0.open_exchanges.send_modify(|count| *count -= 1);
     }
 }
 
 impl Sidecar {
-    /// A sidecar that is not linked to anyone yet.
+    /// A sidecar without connections.
     pub fn new(
         node: Arc<Node>,
         settings: SidecarSettings,
         upstream: UpstreamClient,
     ) -> Self {
-        let dispatch = DispatchSettings {
+        let dispatch_settings = DispatchSettings {
             slots: settings.slots,
             ahead: settings.ahead,
             order: settings.order,
@@ -86,22 +86,22 @@
             node,
             settings,
             upstream,
-            keys: Mutex::new(keys),
-            table: Mutex::new(DispatchTable::new(dispatch)),
+            idempotency_keys: Mutex::new(keys),
+            table: Mutex::new(DispatchTable::new(dispatch_settings)),
             link: OnceLock::new(),
             next_exchange: AtomicU64::new(1),
-            leaves_for_good: AtomicBool::new(false),
-            open: watch::Sender::new(0),
+            leaves_permanently: AtomicBool::new(false),
+            open_exchanges: watch::Sender::new(0),
         }
     }
 
-    /// Gives the sidecar its link, once.
+    /// Sets the link. It can be set only once.
     pub fn set_link(
         &self,
         link: Arc<Link<Sidecar>>,
     ) {
         if self.link.set(link).is_err() {
-            log::error!("the link was set before");
+            log::error!("the link is already set");
         }
     }
 
@@ -112,45 +112,49 @@
 
     /// Counts an exchange as open until the returned value is dropped.
     pub fn count_open(&self) -> OpenExchange<'_> {
-        self.open.send_modify(|count| *count += 1);
+        self.open_exchanges.send_modify(|count| *count += 1);
         OpenExchange(self)
     }
 
     /// Waits until no exchange is open.
-    pub async fn all_closed(&self) {
-        let mut open = self.open.subscribe();
+    pub async fn wait_until_all_closed(&self) {
+        let mut open = self.open_exchanges.subscribe();
         if open.wait_for(|count| *count == 0).await.is_err() {
-            log::debug!("the counter is gone");
+            log::debug!("the counter of open exchanges is closed");
         }
     }
 
-    /// A number for a new exchange.
+    /// The number for a new exchange.
     pub fn next_exchange_id(&self) -> ExchangeId {
         self.next_exchange.fetch_add(1, Ordering::Relaxed)
     }
 
     /// The number of a router's host.
-    pub fn router_key(
+    pub fn router_number(
         &self,
         host: &Arc<str>,
-    ) -> RouterKey {
-        self.table.lock().expect("table lock").routers.key(host)
+    ) -> RouterNumber {
+        self.table
+            .lock()
+            .expect("table lock")
+            .routers
+            .number_of(host)
     }
 
-    /// Decides on a request; see [`DispatchTable::arrive`].
-    pub fn arrive(
+    /// Decides on a request; see [`DispatchTable::admit`].
+    pub fn admit(
         &self,
-        arrival: &Arrival<RouterKey>,
-    ) -> (Admission, Option<oneshot::Receiver<Turn>>) {
+        arrival: &Arrival<RouterNumber>,
+    ) -> (Admission, Option<oneshot::Receiver<SlotDecision>>) {
         let outcome = {
             let mut table = self.table.lock().expect("table lock");
-            table.arrive(self.node.now(), arrival)
+            table.admit(self.node.now(), arrival)
         };
-        self.pump();
+        self.dispatch();
         outcome
     }
 
-    /// Charges what a running request has cost so far.
+    /// Charges a running request's cost so far, in service units, to its account.
     pub fn charge(
         &self,
         exchange: ExchangeId,
@@ -161,7 +165,7 @@
         table.dispatcher.progress(exchange, units, now);
     }
 
-    /// Ends an exchange and gives its slot on.
+    /// Ends an exchange and reuses its slot.
     pub fn finish(
         &self,
         exchange: ExchangeId,
@@ -171,29 +175,29 @@
             let mut table = self.table.lock().expect("table lock");
             table.finish(exchange, finished, self.node.now());
         }
-        self.pump();
+        self.dispatch();
     }
 
-    /// The upstream refused a connection: it is left alone for a moment.
-    pub fn upstream_refused(&self) {
-        self.rest(UPSTREAM_REST);
+    /// Backs off briefly after the upstream refused a connection.
+    pub fn back_off_after_refusal(&self) {
+        self.back_off(REFUSED_CONNECTION_BACKOFF);
     }
 
-    /// Nothing is granted or started for so long.
-    pub(super) fn rest(
+    /// Grants and starts nothing for this long.
+    pub(super) fn back_off(
         &self,
-        time: Duration,
+        duration: Duration,
     ) {
         let now = self.node.now();
         let mut table = self.table.lock().expect("table lock");
-        table.close_until(now, now + time);
+        table.suspend_until(now, now + duration);
     }
 
-    /// Fills free slots and sends out grants.
-    pub fn pump(&self) {
+    /// Starts waiting requests in free slots and sends new grants to the routers.
+    pub fn dispatch(&self) {
         let grants = {
             let mut table = self.table.lock().expect("table lock");
-            table.pump(self.node.now())
+            table.dispatch(self.node.now())
         };
         let Some(link) = self.link() else { return };
         for (host, grants) in grants {
@@ -204,35 +208,40 @@
         }
     }
 
-    /// The upstream began to answer a request.
-    pub fn arrived(
+    /// Records that the upstream has a request, because it began to answer.
+    pub fn mark_received(
         &self,
         exchange: ExchangeId,
     ) {
-        self.table.lock().expect("table lock").arrived(exchange);
+        self.table
+            .lock()
+            .expect("table lock")
+            .mark_received(exchange);
     }
 
-    /// Leaves, and does not come back whatever its upstream does.
-    pub async fn leave_for_good(&self) {
-        self.leaves_for_good.store(true, Ordering::SeqCst);
+    /// Leaves, and does not resume when the upstream is replaced.
+    pub async fn leave_permanently(&self) {
+        self.leaves_permanently.store(true, Ordering::SeqCst);
         self.leave().await;
     }
 
-    /// Stops granting, hands back what has not started, waits for what is on its way
-    /// to the upstream, and tells the routers. In this order: once anyone is told that
-    /// it leaves, nothing reaches the upstream. False if it leaves already.
+    /// Stops granting, hands back requests that have not started, waits until the upstream
+    /// has received those sent to it, and then notifies the routers. The order ensures that
+    /// no request reaches the upstream after the notification. False if already leaving.
     pub(super) async fn leave(&self) -> bool {
-        let mut on_way = {
+        let mut in_transit = {
             let mut table = self.table.lock().expect("table lock");
             if table.dispatcher.is_leaving() {
                 return false;
             }
             table.leave(self.node.now());
-            table.on_way()
+            table.in_transit()
         };
-        let arrived = on_way.wait_for(|on_way| on_way.is_empty());
-        let in_time = timeout(ARRIVAL_TIME, arrived).await.is_ok();
-        log::info!(all_arrived = in_time; "leaving: takes no new work");
+        let all_answering = in_transit.wait_for(|in_transit| in_transit.is_empty());
+        let all_received = timeout(UPSTREAM_RECEIPT_TIMEOUT, all_answering)
+            .await
+            .is_ok();
+        log::info!(all_arrived = all_received; "leaving: takes no new work");
         if self.node.begin_leaving()
             && let Some(link) = self.link()
         {
@@ -249,12 +258,12 @@
     ) {
         {
             let mut table = self.table.lock().expect("table lock");
-            let router = table.routers.key(&peer.host);
+            let router = table.routers.number_of(&peer.host);
             table
                 .dispatcher
                 .announce(router, self.node.now(), seen, lines);
         }
-        self.pump();
+        self.dispatch();
     }
 
     pub(super) fn on_declines(
@@ -265,12 +274,12 @@
         metrics::counter!(GRANTS, "outcome" => "declined").increment(numbers.len() as u64);
         {
             let mut table = self.table.lock().expect("table lock");
-            let router = table.routers.key(&peer.host);
+            let router = table.routers.number_of(&peer.host);
             for number in numbers {
                 table.dispatcher.decline(router, *number, self.node.now());
             }
         }
-        self.pump();
+        self.dispatch();
     }
 
     pub(super) fn forget_router(
@@ -279,9 +288,9 @@
     ) {
         {
             let mut table = self.table.lock().expect("table lock");
-            let router = table.routers.key(host);
+            let router = table.routers.number_of(host);
             table.dispatcher.forget_router(router, self.node.now());
         }
-        self.pump();
+        self.dispatch();
     }
 }
--- /dev/null
+++ b/src/sidecar/slot_decision.rs
@@ -0,0 +1,6 @@
+/// What happens to a request that waited for a slot.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SlotDecision {
+    Start,
+    HandedBack, // it will never start here
+}
--- a/src/sidecar/status.rs
+++ b/src/sidecar/status.rs
@@ -1,4 +1,4 @@
-//! What a sidecar says of itself.
+//! The status that a sidecar reports to operators.
 
 use {
     super::{dispatch_table::DispatchTable, sidecar::Sidecar},
--- a/src/sidecar/upstream_client.rs
+++ b/src/sidecar/upstream_client.rs
@@ -5,36 +5,37 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The header that names a request at every hop.
+/// The header with the request id, the same at every hop.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// The header that tells the engine how urgent a request is: milliseconds of
-/// patience left, lower first.
+/// The header that tells the engine a request's priority: the milliseconds left in which it
+/// should start. Lower values are more urgent.
 pub const PRIORITY_HEADER: &str = "x-archmast-priority";
 
 /// How long the upstream may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Speaks HTTP with the upstream beside this process.
+/// The HTTP client for the upstream beside this process.
 pub struct UpstreamClient {
     http: Client,
     base: String,
     silence_limit: Duration,
 }
 
-/// Why the upstream gave no answer.
+/// Why a call got no answer from the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamFailure {
     pub code: ResultCode,
-    pub unsent: bool, // nothing reached the upstream
+    pub unsent: bool, // certain that nothing reached the upstream
 }
 
 impl UpstreamClient {
-    /// A client that sends each request once: code 93.
+    /// A client that sends each request exactly once, without retries or redirects.
     ///
-    /// Each request gets a connection of its own. A kept one could be closed
-    /// by the upstream as the next request is written, and then nobody knows
-    /// whether that request ran.
+    /// Each request uses a new connection. The upstream could close a kept-alive one while
+    /// the next request is written, and it would then be unknown whether that request ran.
+    ///
+    /// Fails if the HTTP client cannot be built; the process then stops with result code 93.
     pub fn new(
         address: SocketAddr,
         silence_limit: Duration,
@@ -53,7 +54,7 @@
         })
     }
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the answer.
     pub async fn send(
         &self,
         head: &RequestHead,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The next piece of an answer, none at its end.
+    /// The next chunk of an answer's body, or `None` at its end.
     pub async fn chunk(
         &self,
         response: &mut Response,
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -1,14 +1,15 @@
-//! What the upstream says of itself in its answers.
+//! Notices in the headers of the upstream's answers: that it is leaving, or asks for a
+//! backoff.
 
 use {
-    super::{sidecar::Sidecar, upstream_restart::upstream_restarted},
+    super::{sidecar::Sidecar, upstream_restart::wait_for_upstream_restart},
     crate::{ops::NOTICES, policy::ReplicaNotice},
     std::sync::{Arc, atomic::Ordering},
 };
 
 impl Sidecar {
-    /// Takes in what the head of an answer says.
-    pub(super) fn hear_notice(
+    /// Applies the notice in the head of an answer.
+    pub(super) fn handle_notice(
         self: &Arc<Self>,
         request_id: &str,
         notice: ReplicaNotice,
@@ -23,31 +24,31 @@
             rest_ms = notice.rest.as_millis() as u64;
             "the upstream said of itself"
         );
-        // What the upstream was told to wait for is its own word, and no other may cut it short.
+        // The upstream's own request is always met in full: a shorter backoff does not end it.
         if !notice.rest.is_zero() {
-            self.rest(notice.rest);
+            self.back_off(notice.rest);
         }
         if notice.leaves {
             tokio::spawn(self.clone().leave_with_upstream());
         }
     }
 
-    /// Leaves with the upstream, which may say so before the list of hosts does, and takes
-    /// work again when another process has started in its place.
+    /// Leaves because the upstream announced that it leaves, possibly before the host list
+    /// says so, and resumes when another process has started at the upstream's address.
     async fn leave_with_upstream(self: Arc<Self>) {
         if !self.leave().await {
             return;
         }
-        upstream_restarted(self.settings.upstream).await;
-        let comes_back = {
+        wait_for_upstream_restart(self.settings.upstream).await;
+        let resumes = {
             let mut table = self.table.lock().expect("table lock");
-            let comes_back = !self.leaves_for_good.load(Ordering::SeqCst);
-            if comes_back {
+            let resumes = !self.leaves_permanently.load(Ordering::SeqCst);
+            if resumes {
                 table.dispatcher.come_back();
                 self.node.end_leaving();
             }
-            comes_back
+            resumes
         };
-        log::info!(comes_back = comes_back; "another upstream has started in place of the one that left");
+        log::info!(comes_back = resumes; "another upstream has started in place of the one that left");
     }
 }
--- a/src/sidecar/upstream_restart.rs
+++ b/src/sidecar/upstream_restart.rs
@@ -7,20 +7,22 @@
     },
 };
 
-/// How long a connection may take.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+/// How long the upstream may take to accept a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The least time between two connections.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// The minimum time between two connection attempts.
+const MIN_CONNECT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until the upstream has ended and another listens in its place. A connection on
-/// which nothing is sent shows its end at once, so that a quick restart is seen; one that
-/// the upstream closes and lives on is replaced.
-pub async fn upstream_restarted(address: SocketAddr) {
+/// Waits until the upstream's process has ended and another listens at its address.
+///
+/// An idle connection is kept open, because it closes as soon as the process ends: this
+/// detects even a quick restart. The process counts as ended once a new connection is
+/// refused, so an upstream that merely closes idle connections is connected to again.
+pub async fn wait_for_upstream_restart(address: SocketAddr) {
     let mut has_ended = false;
     loop {
         let begun = Instant::now();
-        match timeout(CONNECT_TIME, TcpStream::connect(address)).await {
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_)) if has_ended => return,
             Ok(Ok(stream)) => wait_for_end(stream).await,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -28,13 +30,13 @@
                     log::info!("the upstream that left has ended");
                 }
                 has_ended = true;
-                sleep(LOOK_PAUSE).await;
+                sleep(MIN_CONNECT_INTERVAL).await;
             }
             Ok(Err(error)) => log::debug!("no connection to the upstream: {error}"),
-            Err(_) => log::debug!("no connection to the upstream in time"),
+            Err(_) => log::debug!("the upstream did not accept a connection in time"),
         }
         if !has_ended {
-            sleep(LOOK_PAUSE.saturating_sub(begun.elapsed())).await;
+            sleep(MIN_CONNECT_INTERVAL.saturating_sub(begun.elapsed())).await;
         }
     }
 }
--- a/src/sidecar/usage_meter.rs
+++ b/src/sidecar/usage_meter.rs
@@ -1,25 +1,25 @@
 use {crate::fleet::GroupKind, serde::Deserialize, std::time::Duration};
 
-/// Bytes of a prompt that count as a token until the engine says better.
+/// Prompt bytes per token, an estimate used until the engine reports the number of tokens.
 const BYTES_PER_TOKEN: f64 = 4.0;
 
-/// The most of a plain JSON answer that is kept to look for its usage.
-const KEPT_BODY: usize = 4 << 20;
+/// The largest JSON answer that is buffered to read its `usage` field.
+const MAX_BUFFERED_BODY_BYTES: usize = 4 << 20;
 
-/// The most of one event's line that is kept.
-const KEPT_LINE: usize = 1 << 20;
+/// The longest incomplete line of an event stream that is buffered.
+const MAX_BUFFERED_LINE_BYTES: usize = 1 << 20;
 
-/// The data of a chat stream's last event.
-const END_MARK: &[u8] = b"[DONE]";
+/// The data of the last event of a chat stream.
+const STREAM_END_MARKER: &[u8] = b"[DONE]";
 
-/// Measures what a request costs while its answer passes.
+/// Measures a request's cost while its answer is relayed.
 pub struct UsageMeter {
     kind: GroupKind,
     prompt_tokens: f64,
-    generated_tokens: f64, // counted by events, until the engine's own number
+    generated_tokens: f64, // the number of events, until the engine reports the tokens
     streamed: bool,
-    done: bool,       // the stream's end mark was seen
-    pending: Vec<u8>, // an unfinished line, or the body of a plain answer
+    has_end_marker: bool, // the stream's end marker was read
+    pending: Vec<u8>,     // an incomplete line, or the body of an answer that is not streamed
 }
 
 #[derive(Deserialize)]
@@ -34,7 +34,7 @@
 }
 
 impl UsageMeter {
-    /// Measures an answer to a request with a body of this size.
+    /// Measures the answer to a request whose body has this size in bytes.
     pub fn new(
         kind: &GroupKind,
         body_len: usize,
@@ -44,12 +44,12 @@
             prompt_tokens: body_len as f64 / BYTES_PER_TOKEN,
             generated_tokens: 0.0,
             streamed: false,
-            done: false,
+            has_end_marker: false,
             pending: Vec::new(),
         }
     }
 
-    /// Takes in whether the answer is a stream of events.
+    /// Sets whether the answer is an event stream, once its head is known.
     pub fn begin(
         &mut self,
         streamed: bool,
@@ -57,7 +57,7 @@
         self.streamed = streamed;
     }
 
-    /// Takes in a piece of the answer.
+    /// Processes a chunk of the answer.
     pub fn chunk(
         &mut self,
         chunk: &[u8],
@@ -65,30 +65,30 @@
         if !matches!(self.kind, GroupKind::Model { .. }) {
             return;
         }
-        if self.pending.len() + chunk.len() <= KEPT_BODY {
+        if self.pending.len() + chunk.len() <= MAX_BUFFERED_BODY_BYTES {
             self.pending.extend_from_slice(chunk);
         }
         if self.streamed {
-            self.take_lines();
+            self.read_lines();
         }
     }
 
-    /// Takes in the end of the answer.
+    /// Processes the end of the answer.
     pub fn end(&mut self) {
         if !self.streamed {
             let body = std::mem::take(&mut self.pending);
-            self.take_usage(&body);
+            self.read_usage(&body);
         }
     }
 
-    /// Whether the answer ended as its interface has it. A chat stream whose
-    /// transfer ends well without its end mark was cut by its engine.
-    pub fn is_whole(&self) -> bool {
-        let needs_mark = self.streamed && matches!(self.kind, GroupKind::Model { .. });
-        self.done || !needs_mark
+    /// Whether the answer is complete. A chat stream whose transfer ends without error but
+    /// without the end marker was truncated by its engine.
+    pub fn is_complete(&self) -> bool {
+        let needs_marker = self.streamed && matches!(self.kind, GroupKind::Model { .. });
+        self.has_end_marker || !needs_marker
     }
 
-    /// Service units so far, `elapsed` being the time in the slot.
+    /// The cost so far in service units; `elapsed` is the time since the request started.
     pub fn units(
         &self,
         elapsed: Duration,
@@ -103,19 +103,19 @@
         }
     }
 
-    fn take_lines(&mut self) {
+    fn read_lines(&mut self) {
         let pending = std::mem::take(&mut self.pending);
         let mut rest = pending.as_slice();
         while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
-            self.take_line(&rest[..end]);
+            self.read_line(&rest[..end]);
             rest = &rest[end + 1..];
         }
-        if rest.len() <= KEPT_LINE {
+        if rest.len() <= MAX_BUFFERED_LINE_BYTES {
             self.pending = rest.to_vec();
         }
     }
 
-    fn take_line(
+    fn read_line(
         &mut self,
         line: &[u8],
     ) {
@@ -123,17 +123,17 @@
             return;
         };
         let data = data.trim_ascii();
-        if data == END_MARK {
-            self.done = true;
+        if data == STREAM_END_MARKER {
+            self.has_end_marker = true;
             return;
         }
-        if contains(data, b"\"usage\"") && self.take_usage(data) {
+        if contains(data, b"\"usage\"") && self.read_usage(data) {
             return;
         }
         self.generated_tokens += 1.0;
     }
 
-    fn take_usage(
+    fn read_usage(
         &mut self,
         json: &[u8],
     ) -> bool {
@@ -150,7 +150,7 @@
 
 fn contains(
     text: &[u8],
-    word: &[u8],
+    pattern: &[u8],
 ) -> bool {
-    text.windows(word.len()).any(|window| window == word)
+    text.windows(pattern.len()).any(|window| window == pattern)
 }
