--- a/src/router/announcer.rs
+++ b/src/router/announce_demand.rs
@@ -8,15 +8,17 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// Without a change, what was held back by its pace is looked for this often.
-const IDLE_INTERVAL: Duration = Duration::from_millis(25);
+/// How often demand that the announcement budget deferred is reconsidered when nothing
+/// changes.
+const DEFERRED_DEMAND_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Tells sidecars what waits for them: at once after a change, then paced.
+/// Announces the waiting requests to the sidecars that may serve them: at once after a
+/// change, and at most once per `demand_interval`.
 pub async fn announce_demand(router: Arc<Router>) {
     loop {
         let changed = router.demand_changed.notified();
-        // An idle interval is no fault: what was held back is told then.
-        let _idle = tokio::time::timeout(IDLE_INTERVAL, changed).await;
+        // A time-out is expected: deferred demand is announced then.
+        let _timed_out = tokio::time::timeout(DEFERRED_DEMAND_INTERVAL, changed).await;
         announce(&router);
         tokio::time::sleep(router.settings.demand_interval).await;
     }
@@ -31,15 +33,17 @@
     {
         let waiting = router.waiting.lock().expect("waiting lock");
         let mut sidecars = router.sidecars.lock().expect("sidecar lock");
-        let told = sidecars.len() as f64;
+        let sidecar_count = sidecars.len() as f64;
         for (host, view) in sidecars.iter_mut().filter(|(_, view)| !view.leaving) {
-            let current = demand_for(&waiting.room, host);
-            let lines = view.announced.changes(now, cap, budget / told, &current);
+            let current = demand_for(&waiting.queue, host);
+            let lines = view
+                .announced
+                .changes(now, cap, budget / sidecar_count, &current);
             if !lines.is_empty() {
                 messages.push((
                     host.clone(),
                     ControlMessage::Demand {
-                        seen: view.seen,
+                        seen: view.newest_grant,
                         lines,
                     },
                 ));
@@ -54,10 +58,11 @@
 }
 
 fn demand_for(
-    room: &WaitingRoom,
+    queue: &WaitingRoom,
     host: &str,
 ) -> BTreeMap<AccountId, CurrentDemand> {
-    room.queues()
+    queue
+        .queues()
         .filter_map(|(account, queue)| {
             let demand = queue.demand_for(host)?;
             Some((account, demand))
--- a/src/router/answer_body.rs
+++ b/src/router/answer_body.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         answer_reader::{AnswerReader, outcome},
-        router::HeldRequest,
+        router::OpenRequest,
     },
     crate::codes::ErrorAnswer,
     bytes::Bytes,
@@ -9,63 +9,76 @@
     std::io,
 };
 
-/// How a caller is shown that an answer was cut after it had begun.
+/// How a truncated answer is made visible to a caller that already has its head.
 ///
-/// The HTTP library ends a chunked body cleanly when its source fails, so the
-/// transfer alone would pass a cut answer off as a whole one.
+/// The HTTP library ends a chunked body cleanly even when its source fails, so the
+/// transfer encoding alone does not show that the answer is incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CutMark {
-    ChatEvent,  // an event with an error, as the chat-completions interface has it
-    NamedEvent, // an event named `error`
-    Length,     // the length was declared, so the transfer is visibly short
+pub enum TruncationSignal {
+    ChatEvent,     // a data event with an error object, as in the chat-completions API
+    NamedEvent,    // a server-sent event named `error`
+    ContentLength, // fewer bytes than the declared `Content-Length`
 }
 
-/// What is left of an answer when its head has been sent.
-pub struct AnswerRest {
-    pub first: Vec<Bytes>, // taken already
+/// The body of an answer whose head has been sent, partly still unread.
+pub struct PartialAnswer {
+    pub buffered: Vec<Bytes>, // chunks read before the head was sent
     pub reader: AnswerReader,
-    pub mark: CutMark,
-    pub held: HeldRequest,
+    pub signal: TruncationSignal,
+    pub open_request: OpenRequest,
 }
 
-/// The rest of an answer, with a visible end where it is cut.
-pub fn answer_stream(rest: AnswerRest) -> impl Stream<Item = io::Result<Bytes>> + Send {
-    let begin = Some((rest.first.into_iter(), rest.reader, rest.mark, rest.held));
+/// Streams the body of an answer; a truncated one ends with its [`TruncationSignal`].
+pub fn answer_stream(answer: PartialAnswer) -> impl Stream<Item = io::Result<Bytes>> + Send {
+    let begin = Some((
+        answer.buffered.into_iter(),
+        answer.reader,
+        answer.signal,
+        answer.open_request,
+    ));
     stream::unfold(begin, |state| async move {
-        let (mut first, mut reader, mark, held) = state?;
-        if let Some(chunk) = first.next() {
-            return Some((Ok(chunk), Some((first, reader, mark, held))));
+        let (mut buffered, mut reader, signal, open_request) = state?;
+        if let Some(chunk) = buffered.next() {
+            return Some((Ok(chunk), Some((buffered, reader, signal, open_request))));
         }
-        match reader.chunk().await {
-            Ok(Some(chunk)) => Some((Ok(chunk.into()), Some((first, reader, mark, held)))),
+        match reader.read_chunk().await {
+            Ok(Some(chunk)) => Some((
+                Ok(chunk.into()),
+                Some((buffered, reader, signal, open_request)),
+            )),
             Ok(None) => None,
             Err(state) => {
                 let (ran, code) = outcome(state);
                 log::warn!(
                     code = code.number(),
                     ran = ran.to_string().as_str(),
-                    request_id = held.request_id();
-                    "answer cut"
+                    request_id = open_request.request_id();
+                    "answer truncated"
                 );
                 let error = ErrorAnswer {
                     ran,
                     ..ErrorAnswer::new(code)
                 };
-                Some((cut(mark, &error, held.request_id()), None))
+                Some((
+                    truncation_item(signal, &error, open_request.request_id()),
+                    None,
+                ))
             }
         }
     })
 }
 
-fn cut(
-    mark: CutMark,
+fn truncation_item(
+    signal: TruncationSignal,
     error: &ErrorAnswer,
     request_id: &str,
 ) -> io::Result<Bytes> {
     let json = error.to_json(request_id);
-    match mark {
-        CutMark::ChatEvent => Ok(format!("data: {json}\n\n").into()),
-        CutMark::NamedEvent => Ok(format!("event: error\ndata: {json}\n\n").into()),
-        CutMark::Length => Err(io::Error::new(io::ErrorKind::ConnectionAborted, error.code)),
+    match signal {
+        TruncationSignal::ChatEvent => Ok(format!("data: {json}\n\n").into()),
+        TruncationSignal::NamedEvent => Ok(format!("event: error\ndata: {json}\n\n").into()),
+        TruncationSignal::ContentLength => {
+            Err(io::Error::new(io::ErrorKind::ConnectionAborted, error.code))
+        }
     }
 }
--- a/src/router/answer_reader.rs
+++ b/src/router/answer_reader.rs
@@ -7,20 +7,20 @@
     quinn::RecvStream,
 };
 
-/// The head of an upstream's answer.
+/// Status and headers of an upstream's answer.
 pub struct AnswerHead {
     pub status: u16,
     pub headers: Vec<(String, Vec<u8>)>,
 }
 
 impl AnswerHead {
-    /// Whether the body is a stream of events, to be passed on as they come.
+    /// Whether the body is a server-sent event stream, to be forwarded as it arrives.
     pub fn is_event_stream(&self) -> bool {
         self.header("content-type")
             .is_some_and(|value| value.starts_with(b"text/event-stream"))
     }
 
-    /// The length of the body, where the upstream declared it.
+    /// The body's length in bytes, if the upstream declared it.
     pub fn declared_length(&self) -> Option<u64> {
         let value = self.header("content-length")?;
         std::str::from_utf8(value).ok()?.parse().ok()
@@ -37,18 +37,17 @@
     }
 }
 
-/// Reads one answer from a sidecar and checks that it is whole and the
-/// request's own.
+/// Reads one answer from a sidecar; checks that it is complete and belongs to the request.
 pub struct AnswerReader {
     recv: RecvStream,
     request_id: String,
     state: RouterExchange,
-    length: u64, // of the chunks so far
+    length: u64, // bytes in the chunks read so far
     crc: crc32fast::Hasher,
 }
 
 impl AnswerReader {
-    /// The answer to a request that has been sent.
+    /// Reads the answer to a request that has been sent.
     pub fn new(
         recv: RecvStream,
         request_id: &str,
@@ -62,9 +61,9 @@
         }
     }
 
-    /// Waits for the answer to begin; otherwise the state says what is known.
-    pub async fn head(&mut self) -> Result<AnswerHead, RouterExchange> {
-        let head = match self.frame().await {
+    /// Waits for the answer's head. The error is the state in which the attempt ended.
+    pub async fn read_head(&mut self) -> Result<AnswerHead, RouterExchange> {
+        let head = match self.next_frame().await {
             Some(AnswerFrame::Head {
                 request_id,
                 status,
@@ -76,15 +75,16 @@
         Ok(head)
     }
 
-    /// The next piece of the body, none once it is whole.
-    pub async fn chunk(&mut self) -> Result<Option<Vec<u8>>, RouterExchange> {
-        match self.frame().await {
+    /// The next chunk of the body, or `None` once the body is complete. The error is the
+    /// state in which the attempt ended.
+    pub async fn read_chunk(&mut self) -> Result<Option<Vec<u8>>, RouterExchange> {
+        match self.next_frame().await {
             Some(AnswerFrame::Chunk(chunk)) => {
                 self.length += chunk.len() as u64;
                 self.crc.update(&chunk);
                 Ok(Some(chunk))
             }
-            Some(AnswerFrame::End { length, crc }) if self.is_whole(length, crc) => {
+            Some(AnswerFrame::End { length, crc }) if self.is_complete(length, crc) => {
                 self.state = self.state.after(AnswerEvent::Whole);
                 Ok(None)
             }
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Stops reading an answer that cannot be passed on.
-    pub fn give_up(
+    /// Ends the attempt with `code`, for an answer that cannot be forwarded.
+    pub fn abort(
         &mut self,
         code: ResultCode,
     ) -> RouterExchange {
@@ -101,7 +101,7 @@
         self.state
     }
 
-    async fn frame(&mut self) -> Option<AnswerFrame> {
+    async fn next_frame(&mut self) -> Option<AnswerFrame> {
         match read_frame(&mut self.recv).await {
             Ok(frame) => frame,
             Err(error) => {
@@ -114,7 +114,7 @@
         }
     }
 
-    fn is_whole(
+    fn is_complete(
         &self,
         length: u64,
         crc: u32,
@@ -140,7 +140,7 @@
     }
 }
 
-/// What a state that ended tells a caller.
+/// The outcome reported to the caller for an attempt that ended in this state.
 pub fn outcome(state: RouterExchange) -> (Ran, ResultCode) {
     match state {
         RouterExchange::Ended(ran, code) => (ran, code),
--- a/src/router/caller_port.rs
+++ b/src/router/caller_port.rs
@@ -1,10 +1,10 @@
 use {
     super::{
-        answer_body::{AnswerRest, CutMark, answer_stream},
+        answer_body::{PartialAnswer, TruncationSignal, answer_stream},
         classify::{RawRequest, authenticate, classify},
-        held_body::HeldBody,
+        counted_body::CountedBody,
         request_flow::{Answer, answer_request},
-        router::{HeldRequest, Router},
+        router::{OpenRequest, Router},
     },
     crate::{
         codes::{ErrorAnswer, ResultCode},
@@ -22,18 +22,18 @@
     tokio_util::io::StreamReader,
 };
 
-/// When everything is answered, how long the last bytes may take to reach
-/// their callers, in seconds.
-const FLUSH_SECONDS: u32 = 10;
+/// How long the last bytes may take to reach their callers when the process stops.
+const FLUSH_TIMEOUT_SECONDS: u32 = 10;
 
-/// Where a balancer asks whether to send requests here. It needs no key.
+/// The load balancer's readiness check. It needs no API key.
 const READY_PATH: &str = "/archmast/ready";
 
-/// The models that a caller may use.
+/// Lists the models that a caller may use.
 const MODELS_PATH: &str = "/v1/models";
 
-/// Headers of an answer that belong to one connection, or are set anew.
-const OWN_HEADERS: &[&str] = &[
+/// Headers of an upstream's answer that are not forwarded: they belong to one connection,
+/// or the router sets them itself.
+const UNFORWARDED_HEADERS: &[&str] = &[
     "connection",
     "content-length",
     "date",
@@ -53,18 +53,18 @@
     Method::Options,
 ];
 
-/// The HTTP port for callers: every method and path comes through one handler.
+/// The HTTP handler for callers, for every method and path.
 #[derive(Clone)]
 struct CallerPort {
     router: Arc<Router>,
 }
 
-/// The server for callers, ready to launch.
+/// The HTTP server for callers, ready to launch.
 pub async fn caller_server(router: Arc<Router>) -> Result<Rocket<Ignite>, rocket::Error> {
     let mut config = quiet_config(router.settings.callers);
     config.workers = router.settings.process.workers;
-    config.shutdown.grace = FLUSH_SECONDS;
-    config.shutdown.mercy = FLUSH_SECONDS;
+    config.shutdown.grace = FLUSH_TIMEOUT_SECONDS;
+    config.shutdown.mercy = FLUSH_TIMEOUT_SECONDS;
     let port = CallerPort { router };
     let routes: Vec<Route> = METHODS
         .iter()
@@ -82,7 +82,7 @@
     ) -> Outcome<'r> {
         let path = request.uri().path().as_str();
         if path == READY_PATH {
-            return Outcome::Success(ready(&self.router));
+            return Outcome::Success(readiness_response(&self.router));
         }
         let request_id = format!("{:016x}", rand::random::<u64>());
         let response = match self.answer(request, data, &request_id).await {
@@ -100,7 +100,7 @@
         data: Data<'r>,
         request_id: &str,
     ) -> Result<Response<'r>, ErrorAnswer> {
-        let held = self.router.hold(request_id);
+        let open_request = self.router.count_open(request_id);
         if self.router.is_refusing() {
             return Err(ErrorAnswer::new(ResultCode::Stopping).retry_after(Duration::from_secs(1)));
         }
@@ -113,10 +113,10 @@
             .ok_or_else(|| {
                 ErrorAnswer::new(ResultCode::NoConfiguration).retry_after(Duration::from_secs(1))
             })?;
-        let raw = self.raw_request(request, data, request_id).await?;
+        let raw = self.read_request(request, data, request_id).await?;
         if raw.path == MODELS_PATH && raw.method == "GET" {
             authenticate(&current.config, &raw)?;
-            return Ok(models(&current.config));
+            return Ok(models_response(&current.config));
         }
         let hosts = self.router.node.hosts.current();
         let prefix_bytes = self.router.settings.prefix_bytes;
@@ -124,10 +124,10 @@
         let answer = answer_request(&self.router, &request).await?;
         metrics::counter!(REQUESTS, "code" => "0", "ran" => "yes").increment(1);
         let is_chat = request.model.is_some();
-        Ok(respond(answer, is_chat, held))
+        Ok(to_response(answer, is_chat, open_request))
     }
 
-    async fn raw_request<'r>(
+    async fn read_request<'r>(
         &self,
         request: &'r Request<'_>,
         data: Data<'r>,
@@ -159,40 +159,40 @@
     }
 }
 
-fn respond<'r>(
+fn to_response<'r>(
     answer: Answer,
     is_chat: bool,
-    held: HeldRequest,
+    open_request: OpenRequest,
 ) -> Response<'r> {
     let mut response = Response::build();
     response.status(Status::new(answer.head.status));
     for (name, value) in &answer.head.headers {
-        let own = OWN_HEADERS.contains(&name.to_ascii_lowercase().as_str());
-        if let (false, Ok(value)) = (own, std::str::from_utf8(value)) {
+        let is_unforwarded = UNFORWARDED_HEADERS.contains(&name.to_ascii_lowercase().as_str());
+        if let (false, Ok(value)) = (is_unforwarded, std::str::from_utf8(value)) {
             response.raw_header_adjoin(name.clone(), value.to_owned());
         }
     }
-    response.raw_header("x-request-id", held.request_id().to_owned());
-    let Some(reader) = answer.rest else {
-        let body = answer.first.concat();
-        response.sized_body(body.len(), HeldBody::new(body, held));
+    response.raw_header("x-request-id", open_request.request_id().to_owned());
+    let Some(reader) = answer.unread else {
+        let body = answer.buffered.concat();
+        response.sized_body(body.len(), CountedBody::new(body, open_request));
         return response.finalize();
     };
-    let mark = match answer.head.declared_length() {
+    let signal = match answer.head.declared_length() {
         Some(length) if !answer.head.is_event_stream() => {
             response.raw_header("content-length", length.to_string());
-            CutMark::Length
+            TruncationSignal::ContentLength
         }
-        _ if is_chat => CutMark::ChatEvent,
-        _ => CutMark::NamedEvent,
+        _ if is_chat => TruncationSignal::ChatEvent,
+        _ => TruncationSignal::NamedEvent,
     };
-    let rest = AnswerRest {
-        first: answer.first,
+    let partial = PartialAnswer {
+        buffered: answer.buffered,
         reader,
-        mark,
-        held,
+        signal,
+        open_request,
     };
-    response.streamed_body(StreamReader::new(Box::pin(answer_stream(rest))));
+    response.streamed_body(StreamReader::new(Box::pin(answer_stream(partial))));
     response.finalize()
 }
 
@@ -211,7 +211,7 @@
         code = code,
         ran = error.ran.to_string().as_str(),
         request_id = request_id;
-        "refused: {}", error.code.meaning()
+        "request refused: {}", error.code.meaning()
     );
     let mut response = json_response(error.status(), error.to_json(request_id));
     response.set_raw_header("x-request-id", request_id.to_owned());
@@ -222,7 +222,7 @@
     response
 }
 
-fn models<'r>(config: &FleetConfig) -> Response<'r> {
+fn models_response<'r>(config: &FleetConfig) -> Response<'r> {
     let data: Vec<_> = config
         .groups
         .iter()
@@ -239,7 +239,7 @@
     json_response(200, json!({"object": "list", "data": data}).to_string())
 }
 
-fn ready<'r>(router: &Router) -> Response<'r> {
+fn readiness_response<'r>(router: &Router) -> Response<'r> {
     let ready = router.node.is_ready();
     json_response(
         if ready { 200 } else { 503 },
--- a/src/router/caller_request.rs
+++ b/src/router/caller_request.rs
@@ -7,7 +7,7 @@
     std::time::Duration,
 };
 
-/// A caller's request, checked and placed.
+/// A caller's request, validated, with the hosts that may serve it.
 pub struct CallerRequest {
     pub request_id: String,
     pub account: AccountId,
@@ -17,11 +17,11 @@
     pub model: Option<String>,
     pub labels: Labels, // as the caller sent them
     pub method: String,
-    pub path: String, // with the query
+    pub path: String, // including the query
     pub headers: Vec<(String, Vec<u8>)>,
     pub body: Bytes,
-    pub hosts: HostSet, // that may serve it, sorted
+    pub hosts: HostSet, // hosts that may serve it, sorted
     pub repeatable: bool,
-    pub once_key: Option<String>, // idempotency key, if it may not run twice
+    pub idempotency_key: Option<String>, // set if the request must not run twice
     pub prefix: Option<PrefixHash>,
 }
--- a/src/router/classify.rs
+++ b/src/router/classify.rs
@@ -14,20 +14,20 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// The path of the chat-completions interface.
+/// The path of the chat-completions API.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// The header that tells a repeated request from a new one.
-const KEY_HEADER: &str = "idempotency-key";
+/// The header with the caller's idempotency key.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// When to come back where all upstreams are in zones that get no new work.
-const CORDONED_RETRY: Duration = Duration::from_secs(1);
+/// `Retry-After` of a refusal because all upstreams are in cordoned zones.
+const CORDONED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The longest idempotency key.
-const MAX_KEY: usize = 256;
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
-/// Headers that belong to one connection, or that the fleet sets itself.
-const OWN_HEADERS: &[&str] = &[
+/// Headers of a request that are not forwarded: they belong to one connection, or the fleet
+/// sets them itself.
+const UNFORWARDED_HEADERS: &[&str] = &[
     "authorization",
     "connection",
     "content-length",
@@ -43,7 +43,7 @@
     "x-request-id",
 ];
 
-/// A request as it came in.
+/// A request as received from the caller.
 pub struct RawRequest {
     pub request_id: String,
     pub method: String,
@@ -59,14 +59,16 @@
     messages: Vec<Value>,
 }
 
-/// What the request is for, by its path.
-struct Target<'c> {
+/// What a request addresses, according to its path and, for chat, its body.
+struct RequestTarget<'c> {
     group: &'c Group,
     model: Option<String>,
     prefix: Option<PrefixHash>,
 }
 
-/// Checks a caller's request and decides where it may run: codes 30 to 35.
+/// Validates a caller's request and determines which hosts may serve it.
+///
+/// Fails with the result codes 30 to 35.
 pub fn classify(
     config: &FleetConfig,
     hosts: &HostList,
@@ -74,24 +76,28 @@
     raw: RawRequest,
 ) -> Result<CallerRequest, ErrorAnswer> {
     let account = authenticate(config, &raw)?;
-    let target = target(config, prefix_bytes, &raw)?;
+    let target = find_target(config, prefix_bytes, &raw)?;
     let group = target.group;
-    let sent = sent_labels(&raw)?;
+    let sent = parse_labels(&raw)?;
     let default_class = &config.classes[account.class];
     let model = target.model.as_deref();
-    let by_account = RequestLabels::build(account, default_class, group, model, &sent);
-    let class = config.class_of(account, &by_account);
+    let default_labels = RequestLabels::build(account, default_class, group, model, &sent);
+    let class = config.class_of(account, &default_labels);
     let labels = RequestLabels::build(account, class, group, model, &sent);
     let repeatable = group.may_repeat(&raw.method);
-    let once_key = match header(&raw, KEY_HEADER) {
-        Some(key) if !repeatable => Some(checked_key(key)?),
+    let idempotency_key = match header(&raw, IDEMPOTENCY_KEY_HEADER) {
+        Some(key) if !repeatable => Some(validate_key(key)?),
         _ => None,
     };
-    let hosts = match &once_key {
-        None => placed(config, group, &labels, hosts.live(HostRole::Sidecar))?,
+    let hosts = match &idempotency_key {
+        None => eligible_hosts(config, group, &labels, hosts.live(HostRole::Sidecar))?,
         Some(key) => {
             let listed = hosts.hosts.iter().filter(|h| h.role == HostRole::Sidecar);
-            owner(account, key, &placed(config, group, &labels, listed)?)
+            key_owner(
+                account,
+                key,
+                &eligible_hosts(config, group, &labels, listed)?,
+            )
         }
     };
     let path = match &raw.query {
@@ -105,10 +111,10 @@
         group: group.name.clone(),
         labels: sent,
         path,
-        headers: forwarded(&raw.headers),
+        headers: forwarded_headers(&raw.headers),
         hosts,
         repeatable,
-        once_key,
+        idempotency_key,
         model: target.model,
         prefix: target.prefix,
         request_id: raw.request_id,
@@ -117,7 +123,7 @@
     })
 }
 
-/// The account a request's key belongs to: code 30.
+/// The account that owns the request's API key. Fails with result code 30.
 pub fn authenticate<'c>(
     config: &'c FleetConfig,
     raw: &RawRequest,
@@ -128,17 +134,17 @@
         .ok_or_else(|| ErrorAnswer::new(ResultCode::UnknownCallerKey))
 }
 
-fn target<'c>(
+fn find_target<'c>(
     config: &'c FleetConfig,
     prefix_bytes: usize,
     raw: &RawRequest,
-) -> Result<Target<'c>, ErrorAnswer> {
+) -> Result<RequestTarget<'c>, ErrorAnswer> {
     if raw.path != CHAT_PATH {
         let group = config.group_of_path(&raw.path).ok_or_else(|| {
             ErrorAnswer::new(ResultCode::UnknownModel)
                 .detail(format!("no group serves the path {}", raw.path))
         })?;
-        return Ok(Target {
+        return Ok(RequestTarget {
             group,
             model: None,
             prefix: None,
@@ -151,7 +157,7 @@
         ErrorAnswer::new(ResultCode::UnknownModel)
             .detail(format!("no group serves the model {}", body.model))
     })?;
-    Ok(Target {
+    Ok(RequestTarget {
         group,
         prefix: Some(prefix_hash(&body, prefix_bytes)),
         model: Some(body.model),
@@ -171,7 +177,7 @@
     hasher.finalize()
 }
 
-fn placed<'h>(
+fn eligible_hosts<'h>(
     config: &FleetConfig,
     group: &Group,
     labels: &Labels,
@@ -179,12 +185,12 @@
 ) -> Result<HostSet, ErrorAnswer> {
     let placement = config.place(group, labels, hosts);
     if placement.hosts.is_empty() {
-        return Err(no_placement(group, &placement));
+        return Err(placement_error(group, &placement));
     }
     Ok(placement.hosts.into_iter().map(Arc::from).collect())
 }
 
-fn no_placement(
+fn placement_error(
     group: &Group,
     placement: &Placement,
 ) -> ErrorAnswer {
@@ -193,10 +199,10 @@
         .iter()
         .map(Exclusion::to_string)
         .collect();
-    let mut by_cordon = placement.excluded.iter().map(|exclusion| &exclusion.by);
-    if by_cordon.any(|by| *by == ExcludedBy::Cordon) {
+    let mut exclusion_reasons = placement.excluded.iter().map(|exclusion| &exclusion.by);
+    if exclusion_reasons.any(|by| *by == ExcludedBy::Cordon) {
         return ErrorAnswer::new(ResultCode::Cordoned)
-            .retry_after(CORDONED_RETRY)
+            .retry_after(CORDONED_RETRY_AFTER)
             .detail(format!(
                 "every upstream is excluded: {}",
                 excluded.join(", ")
@@ -210,9 +216,10 @@
     ErrorAnswer::new(ResultCode::NoPlacement).detail(detail)
 }
 
-/// The one host that remembers a key. It does not depend on who is reachable,
-/// or a repeat could reach a host that has not heard of the first.
-fn owner(
+/// The one host whose sidecar records the key. The choice does not depend on which hosts
+/// are reachable: otherwise a repeated request could reach a host that has no record of
+/// the first one.
+fn key_owner(
     account: &Account,
     key: &str,
     hosts: &HostSet,
@@ -222,15 +229,16 @@
     order.into_iter().take(1).map(Arc::from).collect()
 }
 
-fn checked_key(key: &str) -> Result<String, ErrorAnswer> {
-    if key.is_empty() || key.len() > MAX_KEY {
-        return Err(ErrorAnswer::new(ResultCode::BadHeader)
-            .detail(format!("an idempotency key has 1 to {MAX_KEY} bytes")));
+fn validate_key(key: &str) -> Result<String, ErrorAnswer> {
+    if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES {
+        return Err(ErrorAnswer::new(ResultCode::BadHeader).detail(format!(
+            "an idempotency key has 1 to {MAX_IDEMPOTENCY_KEY_BYTES} bytes"
+        )));
     }
     Ok(key.to_owned())
 }
 
-fn sent_labels(raw: &RawRequest) -> Result<Labels, ErrorAnswer> {
+fn parse_labels(raw: &RawRequest) -> Result<Labels, ErrorAnswer> {
     let text = header(raw, LABELS_HEADER).unwrap_or("");
     Labels::parse(text).ok_or_else(|| {
         ErrorAnswer::new(ResultCode::BadHeader)
@@ -248,12 +256,12 @@
         .map(|(_, value)| value.as_str())
 }
 
-fn forwarded(headers: &[(String, String)]) -> Vec<(String, Vec<u8>)> {
+fn forwarded_headers(headers: &[(String, String)]) -> Vec<(String, Vec<u8>)> {
     headers
         .iter()
         .filter(|(name, _)| {
             let name = name.to_ascii_lowercase();
-            !OWN_HEADERS.contains(&name.as_str()) && name != LABELS_HEADER
+            !UNFORWARDED_HEADERS.contains(&name.as_str()) && name != LABELS_HEADER
         })
         .map(|(name, value)| (name.clone(), value.as_bytes().to_vec()))
         .collect()
--- a/src/router/held_body.rs
+++ b/src/router/counted_body.rs
@@ -1,5 +1,5 @@
 use {
-    super::router::HeldRequest,
+    super::router::OpenRequest,
     std::{
         io::{self, Cursor, SeekFrom},
         pin::Pin,
@@ -8,26 +8,27 @@
     tokio::io::{AsyncRead, AsyncSeek, ReadBuf},
 };
 
-/// A whole body that keeps its request counted as held until it has been read.
-pub struct HeldBody {
+/// A complete response body that keeps its request counted as open until the HTTP
+/// server drops it, after it was sent or the caller disconnected.
+pub struct CountedBody {
     body: Cursor<Vec<u8>>,
-    _held: HeldRequest,
+    _open_request: OpenRequest,
 }
 
-impl HeldBody {
-    /// A body to be sent.
+impl CountedBody {
+    /// Wraps a body that is ready to be sent.
     pub fn new(
         body: Vec<u8>,
-        held: HeldRequest,
+        open_request: OpenRequest,
     ) -> Self {
         Self {
             body: Cursor::new(body),
-            _held: held,
+            _open_request: open_request,
         }
     }
 }
 
-impl AsyncRead for HeldBody {
+impl AsyncRead for CountedBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -37,7 +38,7 @@
     }
 }
 
-impl AsyncSeek for HeldBody {
+impl AsyncSeek for CountedBody {
     fn start_seek(
         mut self: Pin<&mut Self>,
         position: SeekFrom,
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -11,50 +11,56 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// How often patience and reach are looked at.
-const TICK: Duration = Duration::from_millis(20);
+/// How often expired requests are removed and the number of connected sidecars adapted.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often idle accounts are forgotten.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+/// How often the fleet totals of idle accounts are dropped.
+const IDLE_ACCOUNT_SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Keeps the tables true as time passes, and the right sidecars connected.
-pub async fn keep_house(
+/// Expires waiting requests, keeps the right sidecars connected, drops idle accounts, and
+/// recovers after the process was suspended.
+pub async fn run_housekeeping(
     router: Arc<Router>,
     dials: Arc<DialSet<Router>>,
 ) {
-    let mut pauses = PauseDetector::new(router.settings.process.pause_limit, router.node.now());
-    let mut reach = Reach::new(router.settings.reach);
+    let mut suspensions =
+        PauseDetector::new(router.settings.process.pause_limit, router.node.now());
+    let mut subset = Reach::new(router.settings.reach);
     let mut lists = router.node.hosts.subscribe();
-    let mut forgotten = router.node.now();
-    let mut ticks = tokio::time::interval(TICK);
+    let mut last_sweep = router.node.now();
+    let mut ticks = tokio::time::interval(HOUSEKEEPING_INTERVAL);
     loop {
         ticks.tick().await;
         let now = router.node.now();
-        if let Some(pause) = pauses.tick(now) {
-            recover_from_pause(&router, pause);
+        if let Some(suspended_for) = suspensions.tick(now) {
+            recover_from_suspension(&router, suspended_for);
         }
         let oldest_wait = {
             let mut waiting = router.waiting.lock().expect("waiting lock");
-            let given_up = waiting.room.give_up(now);
-            waiting.tell_shed(given_up);
-            waiting.room.oldest_wait(now)
+            let shed = waiting.queue.give_up(now);
+            waiting.reject(shed);
+            waiting.queue.oldest_wait(now)
         };
         let hosts = router.node.hosts.current();
-        let known = hosts.live(HostRole::Sidecar).count();
-        let widened = reach.adapt(now, oldest_wait, known);
-        if widened || lists.has_changed().unwrap_or(false) {
+        let sidecar_count = hosts.live(HostRole::Sidecar).count();
+        let has_grown = subset.adapt(now, oldest_wait, sidecar_count);
+        if has_grown || lists.has_changed().unwrap_or(false) {
             lists.borrow_and_update();
-            dials.set(dial_targets(&router, &hosts, &reach));
+            dials.set(dial_targets(&router, &hosts, &subset));
         }
-        if now.saturating_sub(forgotten) > FORGET_INTERVAL {
-            forgotten = now;
-            router.keeper.lock().expect("keeper lock").forget_idle(now);
+        if now.saturating_sub(last_sweep) > IDLE_ACCOUNT_SWEEP_INTERVAL {
+            last_sweep = now;
+            router
+                .aggregator
+                .lock()
+                .expect("aggregator lock")
+                .forget_idle(now);
         }
     }
 }
 
-/// Tells peers when a configuration comes into force.
-pub async fn follow_config(router: Arc<Router>) {
+/// Notifies all peers whenever a new configuration comes into force.
+pub async fn announce_config_changes(router: Arc<Router>) {
     let mut configs = router.node.config.subscribe();
     while configs.changed().await.is_ok() {
         if let Some(link) = router.link() {
@@ -63,18 +69,18 @@
     }
 }
 
-/// The sidecars to stay connected to. A leaving one is still wanted by the
-/// requests that run on it, but that connection stands already.
+/// The sidecars to stay connected to. A leaving sidecar is not among them: the requests
+/// that run on it use the connection that is already open.
 fn dial_targets(
     router: &Router,
     hosts: &HostList,
-    reach: &Reach,
+    subset: &Reach,
 ) -> Vec<DialTarget> {
     let sidecars: Vec<(String, String)> = hosts
         .live(HostRole::Sidecar)
         .map(|host| (host.name.clone(), host.zone.clone()))
         .collect();
-    reach
+    subset
         .select(&router.node.host, &router.node.zone, &sidecars)
         .into_iter()
         .filter_map(|host| {
@@ -86,20 +92,23 @@
         .collect()
 }
 
-/// After a pause, what was known of sidecars may be old: slots are not free,
-/// announcements forgotten. Grants that arrived meanwhile are judged by their
-/// sidecars, which know when they expire.
-fn recover_from_pause(
+/// Drops what the router knew of its sidecars after the process was suspended: slots may
+/// no longer be free, and announced demand may have been dropped. Grants that arrived
+/// meanwhile need no check here: each sidecar rejects its own expired grants.
+fn recover_from_suspension(
     router: &Router,
-    pause: Duration,
+    suspended_for: Duration,
 ) {
     metrics::counter!(PAUSES).increment(1);
-    let detail = format!("stood still for {} ms; views dropped", pause.as_millis());
+    let detail = format!(
+        "stood still for {} ms; views dropped",
+        suspended_for.as_millis()
+    );
     router.node.audit.record("paused", None, None, detail);
     {
         let mut sidecars = router.sidecars.lock().expect("sidecar lock");
         for view in sidecars.values_mut() {
-            view.free = 0;
+            view.free_slots = 0;
             view.announced.clear();
         }
     }
--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -1,4 +1,4 @@
-//! What a router does with its connections.
+//! The router's handling of connections, control messages and streams.
 
 use {
     super::{router::Router, sidecar_view::SidecarView},
@@ -25,7 +25,7 @@
         self.node.hello()
     }
 
-    fn on_up(
+    fn on_connect(
         &self,
         peer: &Arc<Peer>,
     ) -> bool {
@@ -36,7 +36,7 @@
         if peer.role() == HostRole::Sidecar {
             let mut sidecars = self.sidecars.lock().expect("sidecar lock");
             match sidecars.get_mut(&peer.host) {
-                Some(view) if sighting == Sighting::Same => view.connected_again(peer.leaving),
+                Some(view) if sighting == Sighting::Same => view.reconnect(peer.leaving),
                 _ => {
                     sidecars.insert(peer.host.clone(), SidecarView::new(peer.leaving));
                 }
@@ -55,21 +55,21 @@
             .clone()
             .notice_revision(peer, envelope.revision, &envelope.digest);
         if peer.role() != HostRole::Sidecar {
-            return; // routers have nothing to tell a router
+            return; // routers send each other only configuration revisions
         }
         match envelope.message {
             ControlMessage::Grants(grants) => self.on_grants(peer, &grants),
-            ControlMessage::Room { free } => self.on_room(peer, free),
+            ControlMessage::Room { free } => self.on_free_slots(peer, free),
             ControlMessage::Leaving => {
-                self.with_sidecar(peer, |view| {
+                self.update_sidecar(peer, |view| {
                     view.leaving = true;
-                    view.free = 0;
+                    view.free_slots = 0;
                 });
                 let mut membership = self.node.membership.lock().expect("membership lock");
                 membership.leave(&peer.host);
             }
             ControlMessage::AskDemand => {
-                self.with_sidecar(peer, |view| view.announced.clear());
+                self.update_sidecar(peer, |view| view.announced.clear());
                 self.demand_changed.notify_one();
             }
             ControlMessage::Report {
@@ -81,7 +81,7 @@
         }
     }
 
-    fn on_down(
+    fn on_disconnect(
         &self,
         peer: &Arc<Peer>,
         last: bool,
@@ -102,7 +102,7 @@
         match open {
             StreamOpen::FetchConfig { have } => {
                 if let Err(error) = serve_config(&self.node, &have, send).await {
-                    log::debug!(code = error.code.number(); "configuration not given: {error}");
+                    log::debug!(code = error.code.number(); "configuration not sent: {error}");
                 }
             }
             StreamOpen::Exchange(_) => log::warn!("{} sent a request to a router", peer.name),
@@ -111,24 +111,24 @@
 }
 
 impl Router {
-    /// A sidecar tells how many slots it has free. One that leaves has none: one that has
-    /// some again takes work for another upstream, and has forgotten what it was told.
-    fn on_room(
+    /// Updates a sidecar's free slots. A leaving sidecar announces none; when it announces
+    /// some again, its upstream was replaced, and it has dropped the demand announced to it.
+    fn on_free_slots(
         &self,
         peer: &Peer,
         free: u32,
     ) {
-        let mut comes_back = false;
-        self.with_sidecar(peer, |view| {
-            view.free = free;
-            comes_back = view.leaving && free > 0;
-            if comes_back {
+        let mut resumes = false;
+        self.update_sidecar(peer, |view| {
+            view.free_slots = free;
+            resumes = view.leaving && free > 0;
+            if resumes {
                 view.leaving = false;
                 view.announced.clear();
             }
         });
-        if comes_back {
-            log::info!(sidecar = &*peer.host, free = free; "a sidecar that left takes work again");
+        if resumes {
+            log::info!(sidecar = &*peer.host, free = free; "a sidecar that was leaving takes work again");
             let mut membership = self.node.membership.lock().expect("membership lock");
             membership.come_back(&peer.host);
             drop(membership);
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,23 +1,23 @@
-//! The process on an entry host: takes callers' requests, holds them per client
-//! account, and sends each to the sidecar that grants it capacity.
+//! The router process: accepts callers' HTTP requests, queues them per client account,
+//! and sends each to a sidecar that grants it capacity or has a free slot.
 
-mod announcer;
+mod announce_demand;
 mod answer_body;
 mod answer_reader;
-mod attempt;
 mod caller_port;
 mod caller_request;
+mod choose_offer_host;
 mod classify;
-mod held_body;
+mod counted_body;
 mod housekeeping;
 mod link_events;
-mod offers;
 mod request_flow;
 mod router;
+mod send_request;
 mod serve;
 mod sidecar_view;
 mod status;
-mod turn;
+mod wait_outcome;
 mod waiting_table;
 
 pub use {router::Router, serve::main};
--- a/src/router/request_flow.rs
+++ b/src/router/request_flow.rs
@@ -1,10 +1,10 @@
 use {
     super::{
         answer_reader::{AnswerHead, AnswerReader, outcome},
-        attempt::send_request,
         caller_request::CallerRequest,
         router::Router,
-        turn::Turn,
+        send_request::send_request,
+        wait_outcome::WaitOutcome,
     },
     crate::{
         codes::{ErrorAnswer, Ran, ResultCode},
@@ -16,44 +16,44 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Attempts at one request, however each was handed back.
+/// The most attempts at one request, including those that a sidecar handed back unstarted.
 const MAX_ATTEMPTS: u32 = 16;
 
-/// Answers that are no event stream are taken whole before the caller gets any
-/// of them, so that a cut one can be retried or becomes a plain error. Above
-/// this size they must declare their length, so that a cut shows.
-const KEPT_ANSWER: usize = 1 << 20;
+/// Answers other than event streams are buffered up to this size before the caller gets
+/// any of them, so that a truncated one can be retried or replaced by an error. A larger
+/// one is streamed if it declares its length, which makes truncation visible.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 1 << 20;
 
-/// Answers of no declared length are taken whole up to this size.
-const LONGEST_UNDECLARED: usize = 64 << 20;
+/// Answers without a declared length are buffered up to this size, and refused above it.
+const MAX_UNDECLARED_ANSWER_BYTES: usize = 64 << 20;
 
-/// When to come back after a refusal that says nothing better.
-const RETRY_SOON: Duration = Duration::from_secs(1);
+/// `Retry-After` of a refusal for which no better estimate is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// An answer that has begun.
+/// An answer whose head has been read.
 pub struct Answer {
     pub head: AnswerHead,
-    pub first: Vec<Bytes>,          // taken already
-    pub rest: Option<AnswerReader>, // none when `first` is whole
+    pub buffered: Vec<Bytes>,         // chunks read so far
+    pub unread: Option<AnswerReader>, // `None` if `buffered` holds the complete body
 }
 
-/// Brings one request to its answer: through the waiting room, by an offer or a
-/// grant, with retries where they are safe.
+/// Answers one request: sends it as an offer if a sidecar has a free slot, otherwise waits
+/// for grants, and retries where that is safe.
 pub async fn answer_request(
     router: &Arc<Router>,
     request: &CallerRequest,
 ) -> Result<Answer, ErrorAnswer> {
-    Flow::new(router, request).run().await
+    RequestFlow::new(router, request).run().await
 }
 
-struct Flow<'f> {
+struct RequestFlow<'f> {
     router: &'f Arc<Router>,
     request: &'f CallerRequest,
     waiting: WaitingRequest,
     attempts: Attempts,
 }
 
-impl<'f> Flow<'f> {
+impl<'f> RequestFlow<'f> {
     fn new(
         router: &'f Arc<Router>,
         request: &'f CallerRequest,
@@ -78,32 +78,39 @@
 
     async fn run(mut self) -> Result<Answer, ErrorAnswer> {
         self.router.count_request();
-        if let Some(peer) = self.router.pick_offer(&self.waiting) {
+        if let Some(peer) = self.router.begin_offer(&self.waiting) {
             let done = self.attempt(&peer, None).await;
-            self.router.offer_ended(&peer);
+            self.router.end_offer(&peer);
             if let Some(done) = done {
                 return done;
             }
         }
         loop {
-            let (peer, grant) = self.wait().await?;
+            let (peer, grant) = self.wait_for_grant().await?;
             if let Some(done) = self.attempt(&peer, Some(grant)).await {
                 return done;
             }
         }
     }
 
-    async fn wait(&self) -> Result<(Arc<Peer>, GrantNumber), ErrorAnswer> {
-        let again = self.attempts.count() > 0;
-        let turn = self.router.wait_for_turn(self.waiting.clone(), again).await;
-        match turn {
-            Some(Turn::Granted { peer, grant }) => Ok((peer, grant)),
-            Some(Turn::Shed(shed)) => Err(self.error(shed.code).retry_after(shed.retry_after)),
-            None => Err(self.error(ResultCode::Stopping).retry_after(RETRY_SOON)),
+    async fn wait_for_grant(&self) -> Result<(Arc<Peer>, GrantNumber), ErrorAnswer> {
+        let is_requeued = self.attempts.count() > 0;
+        let outcome = self
+            .router
+            .wait_for_grant(self.waiting.clone(), is_requeued)
+            .await;
+        match outcome {
+            Some(WaitOutcome::Granted { peer, grant }) => Ok((peer, grant)),
+            Some(WaitOutcome::Shed(shed)) => {
+                Err(self.error(shed.code).retry_after(shed.retry_after))
+            }
+            None => Err(self
+                .error(ResultCode::Stopping)
+                .retry_after(DEFAULT_RETRY_AFTER)),
         }
     }
 
-    /// An error that says what all attempts together know.
+    /// An error that states whether the request ran, as far as all attempts together show.
     fn error(
         &self,
         code: ResultCode,
@@ -115,7 +122,7 @@
         }
     }
 
-    /// One attempt. None when the request should wait for another.
+    /// Makes one attempt. `None` means that the request should be tried again.
     async fn attempt(
         &mut self,
         peer: &Arc<Peer>,
@@ -133,16 +140,16 @@
             peer = &*peer.host;
             "attempt {} ended", self.attempts.count()
         );
-        if self.goes_on(state, ran, code) {
+        if self.should_retry(state, ran, code) {
             return None;
         }
         let error = ErrorAnswer {
             ran: self.attempts.ran(ran),
             ..ErrorAnswer::new(code)
         };
-        let come_back = error.ran == Ran::No && !is_final(code);
-        Some(Err(if come_back {
-            error.retry_after(RETRY_SOON)
+        let suggest_retry = error.ran == Ran::No && !is_permanent(code);
+        Some(Err(if suggest_retry {
+            error.retry_after(DEFAULT_RETRY_AFTER)
         } else {
             error
         }))
@@ -156,53 +163,54 @@
         let patience = self.waiting.deadline.saturating_sub(self.now());
         let mut reader =
             send_request(self.request, peer, peer.incarnation, grant, patience).await?;
-        let head = reader.head().await?;
+        let head = reader.read_head().await?;
         if head.is_event_stream() {
             return Ok(Answer {
                 head,
-                first: Vec::new(),
-                rest: Some(reader),
+                buffered: Vec::new(),
+                unread: Some(reader),
             });
         }
         let bound = match head.declared_length() {
-            Some(_) => KEPT_ANSWER,
-            None => LONGEST_UNDECLARED,
+            Some(_) => MAX_BUFFERED_ANSWER_BYTES,
+            None => MAX_UNDECLARED_ANSWER_BYTES,
         };
-        let (mut first, mut size) = (Vec::new(), 0);
+        let (mut buffered, mut size) = (Vec::new(), 0);
         while size <= bound {
-            match reader.chunk().await? {
+            match reader.read_chunk().await? {
                 Some(chunk) => {
                     size += chunk.len();
-                    first.push(chunk.into());
+                    buffered.push(chunk.into());
                 }
                 None => {
                     return Ok(Answer {
                         head,
-                        first,
-                        rest: None,
+                        buffered,
+                        unread: None,
                     });
                 }
             }
         }
         if head.declared_length().is_none() {
-            return Err(reader.give_up(ResultCode::AnswerTooLarge));
+            return Err(reader.abort(ResultCode::AnswerTooLarge));
         }
         Ok(Answer {
             head,
-            first,
-            rest: Some(reader),
+            buffered,
+            unread: Some(reader),
         })
     }
 
-    /// Whether the request should be tried again.
-    fn goes_on(
+    /// Whether the request should be tried again. Takes a retry from the budget if needed.
+    fn should_retry(
         &self,
         state: RouterExchange,
         ran: Ran,
         code: ResultCode,
     ) -> bool {
-        let in_time = self.now() < self.waiting.deadline && self.attempts.count() < MAX_ATTEMPTS;
-        if !in_time || is_final(code) || !state.may_retry(self.request.repeatable, false) {
+        let may_continue =
+            self.now() < self.waiting.deadline && self.attempts.count() < MAX_ATTEMPTS;
+        if !may_continue || is_permanent(code) || !state.may_retry(self.request.repeatable, false) {
             return false;
         }
         let why = if ran == Ran::No { "not_run" } else { "unknown" };
@@ -218,8 +226,8 @@
     }
 }
 
-/// Refusals that another attempt would meet as well.
-fn is_final(code: ResultCode) -> bool {
+/// Whether another attempt would be refused for the same reason.
+fn is_permanent(code: ResultCode) -> bool {
     matches!(
         code,
         ResultCode::KeyInProgress | ResultCode::KeyAlreadyRan | ResultCode::KeyMemoryYoung
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        offers::offer_host, sidecar_view::SidecarView, turn::Turn, waiting_table::WaitingTable,
+        choose_offer_host::choose_offer_host, sidecar_view::SidecarView, wait_outcome::WaitOutcome,
+        waiting_table::WaitingTable,
     },
     crate::{
         conf::RouterSettings,
@@ -21,45 +22,45 @@
     tokio::sync::{Notify, watch},
 };
 
-/// A router's shared tables.
+/// The state that a router's tasks share.
 ///
-/// Lock order: membership, `waiting`, `sidecars`, `keeper`, `budget`, then leaf
+/// Lock order: membership, `waiting`, `sidecars`, `aggregator`, `retry_budget`, then leaf
 /// locks. None is held across an await, nor while a message is sent.
 pub struct Router {
     pub node: Arc<Node>,
     pub settings: RouterSettings,
     pub(super) waiting: Mutex<WaitingTable>,
-    pub(super) sidecars: Mutex<HashMap<Arc<str>, SidecarView>>, // connected ones, by host
-    pub(super) keeper: Mutex<Keeper>,
+    pub(super) sidecars: Mutex<HashMap<Arc<str>, SidecarView>>, // connected sidecars, by host
+    pub(super) aggregator: Mutex<Keeper>,
     pub(super) demand_changed: Notify,
-    budget: Mutex<RetryBudget>,
+    retry_budget: Mutex<RetryBudget>,
     link: OnceLock<Arc<Link<Router>>>,
     next_request: AtomicU64,
-    held: watch::Sender<usize>, // requests not yet wholly answered
-    refusing: AtomicBool,       // stops, and takes no more requests
+    open: watch::Sender<usize>, // requests not yet completely answered
+    refusing: AtomicBool,       // set when the router stops and takes no new requests
 }
 
-/// Counts a request as held for as long as it lives.
-pub struct HeldRequest {
+/// Counts a request as open for as long as the value lives.
+pub struct OpenRequest {
     router: Arc<Router>,
     request_id: String,
 }
 
-impl HeldRequest {
-    /// The request's name at every hop.
+impl OpenRequest {
+    /// The request's identifier, the same at every hop.
     pub fn request_id(&self) -> &str {
         &self.request_id
     }
 }
 
-impl Drop for HeldRequest {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.router.held.send_modify(|count| *count -= 1);
+        self.router.open.send_modify(|count| *count -= 1);
     }
 }
 
 impl Router {
-    /// A router that is not linked to anyone yet.
+    /// A router without connections.
     pub fn new(
         node: Arc<Node>,
         settings: RouterSettings,
@@ -70,29 +71,29 @@
             per_account: settings.max_per_account,
             refuse_early: settings.refuse_early,
         };
-        let room = WaitingRoom::new(bounds, settings.prefix_slack);
+        let queue = WaitingRoom::new(bounds, settings.prefix_slack);
         Self {
             node,
-            waiting: Mutex::new(WaitingTable::new(room)),
+            waiting: Mutex::new(WaitingTable::new(queue)),
             sidecars: Mutex::default(),
-            keeper: Mutex::new(Keeper::new(settings.idle_grace, settings.debt_ceiling)),
+            aggregator: Mutex::new(Keeper::new(settings.idle_grace, settings.debt_ceiling)),
             demand_changed: Notify::new(),
-            budget: Mutex::new(RetryBudget::new(settings.retry_fraction)),
+            retry_budget: Mutex::new(RetryBudget::new(settings.retry_fraction)),
             link: OnceLock::new(),
             next_request: AtomicU64::new(1),
-            held: watch::Sender::new(0),
+            open: watch::Sender::new(0),
             refusing: AtomicBool::new(false),
             settings,
         }
     }
 
-    /// Gives the router its link, once.
+    /// Sets the link. It can be set only once.
     pub fn set_link(
         &self,
         link: Arc<Link<Router>>,
     ) {
         if self.link.set(link).is_err() {
-            log::error!("the link was set before");
+            log::error!("the link is already set");
         }
     }
 
@@ -101,100 +102,107 @@
         self.link.get()
     }
 
-    /// Counts a request as held until the returned value is dropped.
-    pub fn hold(
+    /// Counts a request as open until the returned value is dropped.
+    pub fn count_open(
         self: &Arc<Self>,
         request_id: &str,
-    ) -> HeldRequest {
-        self.held.send_modify(|count| *count += 1);
-        HeldRequest {
+    ) -> OpenRequest {
+        self.open.send_modify(|count| *count += 1);
+        OpenRequest {
             router: self.clone(),
             request_id: request_id.to_owned(),
         }
     }
 
-    /// Waits until no request is held.
-    pub async fn all_answered(&self) {
-        let mut held = self.held.subscribe();
-        if held.wait_for(|count| *count == 0).await.is_err() {
-            log::debug!("the counter is gone");
+    /// Waits until no request is open.
+    pub async fn wait_until_all_answered(&self) {
+        let mut open = self.open.subscribe();
+        if open.wait_for(|count| *count == 0).await.is_err() {
+            log::debug!("the counter of open requests is closed");
         }
     }
 
-    /// Requests that are not wholly answered yet.
-    pub fn held(&self) -> u64 {
-        *self.held.borrow() as u64
+    /// The number of requests that are not completely answered yet.
+    pub fn open_requests(&self) -> u64 {
+        *self.open.borrow() as u64
     }
 
-    /// Refuses requests from now on.
-    pub fn refuse_new(&self) {
+    /// Makes the router refuse all new requests, because it stops.
+    pub fn refuse_new_requests(&self) {
         self.refusing.store(true, Ordering::SeqCst);
     }
 
-    /// Whether requests are refused because the router stops.
+    /// Whether new requests are refused because the router stops.
     pub fn is_refusing(&self) -> bool {
         self.refusing.load(Ordering::SeqCst)
     }
 
-    /// A number for a new request, in order of arrival.
+    /// The next number for a waiting request, in order of arrival.
     pub fn next_request_id(&self) -> u64 {
         self.next_request.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Counts a first attempt towards the retry budget.
+    /// Adds a request's share of retries to the retry budget.
     pub fn count_request(&self) {
-        self.budget.lock().expect("budget lock").request();
+        self.retry_budget
+            .lock()
+            .expect("retry budget lock")
+            .request();
     }
 
-    /// Takes a retry from the budget.
+    /// Takes one retry from the retry budget. False if none is left.
     pub fn take_retry(&self) -> bool {
-        self.budget.lock().expect("budget lock").take()
+        self.retry_budget.lock().expect("retry budget lock").take()
     }
 
-    /// Waits for a grant, or to be given up. None if the router stops first.
-    pub async fn wait_for_turn(
+    /// Queues a request and waits until it is granted or shed. `None` if the router stops
+    /// first. `is_requeued` is set for a request that a sidecar handed back.
+    pub async fn wait_for_grant(
         &self,
         request: WaitingRequest,
-        again: bool,
-    ) -> Option<Turn> {
-        let turn = {
+        is_requeued: bool,
+    ) -> Option<WaitOutcome> {
+        let outcome = {
             let mut waiting = self.waiting.lock().expect("waiting lock");
-            waiting.wait(self.node.now(), request, again)
+            waiting.enqueue(self.node.now(), request, is_requeued)
         };
         self.demand_changed.notify_one();
-        turn.await.ok()
+        outcome.await.ok()
     }
 
-    /// A sidecar with a slot free for a request nobody waits before: the one
-    /// that served its prompt prefix last, or one of the emptiest.
-    pub fn pick_offer(
+    /// Chooses a sidecar with a free slot to which the request can be sent without a grant,
+    /// and counts the offer there. `None` if there is none, or if other requests of the
+    /// account wait already.
+    pub fn begin_offer(
         &self,
         request: &WaitingRequest,
     ) -> Option<Arc<Peer>> {
         let link = self.link()?;
         let mut waiting = self.waiting.lock().expect("waiting lock");
-        if waiting.room.is_waiting(request.account) {
+        if waiting.queue.is_waiting(request.account) {
             return None;
         }
         let host = {
             let mut sidecars = self.sidecars.lock().expect("sidecar lock");
-            let cached = waiting.room.prefix_host(request);
-            let host = offer_host(&sidecars, request, cached)?;
+            let cached = waiting.queue.prefix_host(request);
+            let host = choose_offer_host(&sidecars, request, cached)?;
             let view = sidecars.get_mut(&host)?;
-            view.offered += 1;
+            view.open_offers += 1;
             host
         };
-        waiting.room.note_prefix(request, &host);
+        waiting.queue.note_prefix(request, &host);
         drop(waiting);
         link.peer(&host)
     }
 
-    /// An offer ended, in whatever way.
-    pub fn offer_ended(
+    /// Ends an offer that [`Self::begin_offer`] began, whatever its outcome.
+    pub fn end_offer(
         &self,
         peer: &Peer,
     ) {
-        self.with_sidecar(peer, |view| view.offered = view.offered.saturating_sub(1));
+        self.update_sidecar(peer, |view| {
+            view.open_offers = view.open_offers.saturating_sub(1)
+        });
     }
 
     pub(super) fn on_grants(
@@ -211,9 +219,9 @@
                 .entry(peer.host.clone())
                 .or_insert_with(|| SidecarView::new(false));
             for grant in grants {
-                view.seen = view.seen.max(grant.number);
+                view.newest_grant = view.newest_grant.max(grant.number);
                 view.announced.granted(now, grant.account);
-                if !waiting.grant(now, peer, grant.account, grant.number) {
+                if !waiting.assign_grant(now, peer, grant.account, grant.number) {
                     view.announced.declined(grant.account);
                     declined.push(grant.number);
                 }
@@ -238,13 +246,13 @@
             let config = config.as_ref()?;
             config.config.share(entry.account)
         };
-        let totals = {
-            let mut keeper = self.keeper.lock().expect("keeper lock");
+        let replies = {
+            let mut aggregator = self.aggregator.lock().expect("aggregator lock");
             entries
                 .iter()
                 .map(|entry| {
                     let share = share_of(entry).unwrap_or(1.0);
-                    keeper.report(
+                    aggregator.report(
                         now,
                         &peer.host,
                         peer.incarnation,
@@ -259,14 +267,14 @@
         if let Some(link) = self.link() {
             let reply = ControlMessage::Totals {
                 sequence,
-                entries: totals,
+                entries: replies,
             };
             link.send(peer, reply);
         }
     }
 
-    /// Changes what is known of a sidecar.
-    pub(super) fn with_sidecar(
+    /// Applies a change to what is known of a sidecar, if it is connected.
+    pub(super) fn update_sidecar(
         &self,
         peer: &Peer,
         change: impl FnOnce(&mut SidecarView),
--- a/src/router/attempt.rs
+++ b/src/router/send_request.rs
@@ -8,8 +8,8 @@
     std::time::Duration,
 };
 
-/// Sends a request to a sidecar. From the first byte on, only the sidecar's
-/// own word says that it did not run.
+/// Sends a request to a sidecar. The error is the state in which the attempt ended: once
+/// a byte was sent, only the sidecar can confirm that the request did not run.
 pub async fn send_request(
     request: &CallerRequest,
     peer: &Peer,
@@ -25,13 +25,14 @@
     let lost = sent.after(AnswerEvent::Lost);
     let open = StreamOpen::Exchange(Box::new(head));
     let (mut send, recv) = peer.open(&open).await.map_err(|error| {
-        log::debug!(code = error.code.number(), peer = &*peer.host; "not sent: {error}");
+        log::debug!(code = error.code.number(), peer = &*peer.host; "request not sent: {error}");
         lost
     })?;
     let written = send.write_all(&request.body).await;
     if written.is_err() || send.finish().is_err() {
-        // The sidecar may have refused it before reading it all: its answer counts.
-        log::debug!(peer = &*peer.host; "body not taken");
+        // The sidecar may have refused the request before it read the whole body, so its
+        // answer is still read.
+        log::debug!(peer = &*peer.host; "the sidecar did not read the whole body");
     }
     Ok(AnswerReader::new(recv, &request.request_id))
 }
@@ -58,7 +59,7 @@
         headers: request.headers.clone(),
         incarnation,
         grant,
-        once_key: request.once_key.clone(),
+        idempotency_key: request.idempotency_key.clone(),
         patience_ms: patience.as_millis().min(u128::from(u32::MAX)) as u32,
         body_len: request.body.len() as u64,
     }
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        announcer::announce_demand,
+        announce_demand::announce_demand,
         caller_port::caller_server,
-        housekeeping::{follow_config, keep_house},
+        housekeeping::{announce_config_changes, run_housekeeping},
         router::Router,
     },
     crate::{
@@ -23,7 +23,7 @@
     tokio::runtime::Builder,
 };
 
-/// The router's command line.
+/// The entry point of `archmast-router`.
 pub fn main() -> ExitCode {
     run_process(
         "archmast-router",
@@ -63,8 +63,8 @@
     start_watches(&node, &settings.platform, &dials).change_context_lazy(failed)?;
     tokio::spawn(link.clone().accept());
     tokio::spawn(announce_demand(router.clone()));
-    tokio::spawn(follow_config(router.clone()));
-    tokio::spawn(keep_house(router.clone(), dials));
+    tokio::spawn(announce_config_changes(router.clone()));
+    tokio::spawn(run_housekeeping(router.clone(), dials));
     tokio::spawn(follow_readiness(
         node.clone(),
         HostRole::Sidecar,
@@ -95,13 +95,14 @@
             ended.change_context_lazy(failed)?.change_context_lazy(failed)?;
         }
     }
-    // Readiness fails first, while requests are still taken: the balancer lags.
+    // The readiness check fails first while requests are still accepted, because the load
+    // balancer notices with a delay of up to `balancer_lag`.
     node.begin_leaving();
     link.send_to_all(&ControlMessage::Leaving);
     tokio::time::sleep(settings.balancer_lag).await;
-    router.refuse_new();
-    router.all_answered().await;
-    log::info!("everything held is answered");
+    router.refuse_new_requests();
+    router.wait_until_all_answered().await;
+    log::info!("all open requests are answered");
     shutdown.notify();
     callers
         .await
--- a/src/router/sidecar_view.rs
+++ b/src/router/sidecar_view.rs
@@ -1,17 +1,17 @@
 use crate::policy::{AnnouncedDemand, GrantNumber};
 
-/// What a router knows of one connected sidecar.
+/// What a router knows about one connected sidecar.
 #[derive(Default)]
 pub struct SidecarView {
-    pub free: u32,         // slots for offers without a grant, as last told
-    pub offered: u32,      // offers of this router that have not ended
-    pub seen: GrantNumber, // newest grant
+    pub free_slots: u32,           // announced as free for requests without a grant
+    pub open_offers: u32,          // requests sent without a grant that have not ended
+    pub newest_grant: GrantNumber, // newest grant received
     pub announced: AnnouncedDemand,
     pub leaving: bool,
 }
 
 impl SidecarView {
-    /// A sidecar of which nothing else is known yet.
+    /// The state of a sidecar that has just connected.
     pub fn new(leaving: bool) -> Self {
         Self {
             leaving,
@@ -19,10 +19,11 @@
         }
     }
 
-    /// Another connection to the same life of the sidecar: what was told on an
-    /// earlier one may be lost, so it is told again. The grants that were seen
-    /// stay seen, or the sidecar would count them against what is told.
-    pub fn connected_again(
+    /// Records another connection to the same incarnation of the sidecar. Demand announced on
+    /// an earlier connection may be lost, so it is announced again. The newest grant is
+    /// kept: otherwise the sidecar would subtract grants from demand that already excludes
+    /// them.
+    pub fn reconnect(
         &mut self,
         leaving: bool,
     ) {
@@ -30,11 +31,11 @@
         self.leaving |= leaving;
     }
 
-    /// Slots that another offer may take.
-    pub fn room(&self) -> u32 {
+    /// The number of further requests that may be sent without a grant.
+    pub fn available_slots(&self) -> u32 {
         if self.leaving {
             return 0;
         }
-        self.free.saturating_sub(self.offered)
+        self.free_slots.saturating_sub(self.open_offers)
     }
 }
--- a/src/router/status.rs
+++ b/src/router/status.rs
@@ -1,4 +1,4 @@
-//! What a router says of itself.
+//! The status that a router reports to operators.
 
 use {
     super::router::Router,
@@ -15,12 +15,12 @@
         let mut status = self.node.status();
         {
             let waiting = self.waiting.lock().expect("waiting lock");
-            status.waiting = waiting.room.len() as u64;
-            metrics::gauge!(WAITING).set(waiting.room.len() as f64);
-            status.accounts = self.account_statuses(&waiting.room);
+            status.waiting = waiting.queue.len() as u64;
+            metrics::gauge!(WAITING).set(waiting.queue.len() as f64);
+            status.accounts = self.account_statuses(&waiting.queue);
         }
-        status.running = self.held().saturating_sub(status.waiting);
-        status.kept_accounts = self.keeper.lock().expect("keeper lock").len() as u64;
+        status.running = self.open_requests().saturating_sub(status.waiting);
+        status.kept_accounts = self.aggregator.lock().expect("aggregator lock").len() as u64;
         if let Some(link) = self.link() {
             status.peers = PeerStatus::of_link(link);
             status.control_bytes = link.counters().totals();
@@ -39,28 +39,28 @@
 }
 
 impl Router {
-    /// The accounts that this router keeps, or that wait here.
+    /// The accounts whose fleet totals this router sums, or that have requests waiting here.
     fn account_statuses(
         &self,
-        room: &WaitingRoom,
+        queue: &WaitingRoom,
     ) -> Vec<AccountStatus> {
-        let kept: HashMap<_, _> = {
-            let keeper = self.keeper.lock().expect("keeper lock");
-            keeper.totals().collect()
+        let totals: HashMap<_, _> = {
+            let aggregator = self.aggregator.lock().expect("aggregator lock");
+            aggregator.totals().collect()
         };
-        let waiting: HashMap<_, _> = room
+        let waiting: HashMap<_, _> = queue
             .queues()
             .map(|(id, queue)| (id, queue.len() as u64))
             .collect();
         let config = self.node.config.current();
         let share = |id| config.as_ref().and_then(|c| c.config.share(id));
-        let ids: BTreeSet<AccountId> = kept.keys().chain(waiting.keys()).copied().collect();
+        let ids: BTreeSet<AccountId> = totals.keys().chain(waiting.keys()).copied().collect();
         ids.into_iter()
             .map(|id| AccountStatus {
                 account: self.node.account_name(id),
                 share: share(id).unwrap_or(1.0),
                 own: 0.0,
-                total: kept.get(&id).copied().unwrap_or(0.0),
+                total: totals.get(&id).copied().unwrap_or(0.0),
                 waiting: waiting.get(&id).copied().unwrap_or(0),
             })
             .collect()
--- a/src/router/turn.rs
+++ b/src/router/wait_outcome.rs
@@ -6,8 +6,8 @@
     std::sync::Arc,
 };
 
-/// What a waiting request is told.
-pub enum Turn {
+/// How a request's wait in the queue ended.
+pub enum WaitOutcome {
     Granted { peer: Arc<Peer>, grant: GrantNumber },
     Shed(Shed),
 }
--- a/src/router/waiting_table.rs
+++ b/src/router/waiting_table.rs
@@ -1,5 +1,5 @@
 use {
-    super::turn::Turn,
+    super::wait_outcome::WaitOutcome,
     crate::{
         fleet::AccountId,
         link::Peer,
@@ -9,77 +9,77 @@
     tokio::sync::oneshot,
 };
 
-/// The waiting room with the requests that wait in it. One lock guards it
-/// whole.
+/// The queues of waiting requests, with a channel to each request's task. The whole table
+/// is behind one lock.
 pub struct WaitingTable {
-    pub room: WaitingRoom,
-    waiters: HashMap<u64, oneshot::Sender<Turn>>, // by request id
+    pub queue: WaitingRoom,
+    waiters: HashMap<u64, oneshot::Sender<WaitOutcome>>, // by request id
 }
 
 impl WaitingTable {
     /// An empty table.
-    pub fn new(room: WaitingRoom) -> Self {
+    pub fn new(queue: WaitingRoom) -> Self {
         Self {
-            room,
+            queue,
             waiters: HashMap::new(),
         }
     }
 
-    /// Adds a request; `again` when a sidecar handed it back.
-    pub fn wait(
+    /// Queues a request; `is_requeued` if a sidecar handed it back. The receiver gets the outcome.
+    pub fn enqueue(
         &mut self,
         now: Moment,
         request: WaitingRequest,
-        again: bool,
-    ) -> oneshot::Receiver<Turn> {
+        is_requeued: bool,
+    ) -> oneshot::Receiver<WaitOutcome> {
         let (sender, receiver) = oneshot::channel();
         self.waiters.insert(request.id, sender);
-        if again {
-            self.room.push_back(request);
+        if is_requeued {
+            self.queue.push_back(request);
         } else {
-            let shed = self.room.push(now, request);
-            self.tell_shed(shed);
+            let shed = self.queue.push(now, request);
+            self.reject(shed);
         }
         receiver
     }
 
-    /// Gives a grant to the best waiting request. False if there is none.
-    pub fn grant(
+    /// Assigns a grant to the account's most suitable waiting request. False if none waits.
+    pub fn assign_grant(
         &mut self,
         now: Moment,
         peer: &Arc<Peer>,
         account: AccountId,
         grant: GrantNumber,
     ) -> bool {
-        while let Some(request) = self.room.take_for(now, &peer.host, account) {
-            let turn = Turn::Granted {
+        while let Some(request) = self.queue.take_for(now, &peer.host, account) {
+            let outcome = WaitOutcome::Granted {
                 peer: peer.clone(),
                 grant,
             };
-            if self.tell(request.id, turn) {
+            if self.resolve(request.id, outcome) {
                 return true;
             }
         }
         false
     }
 
-    /// Answers the requests that are given up.
-    pub fn tell_shed(
+    /// Notifies the requests that are shed.
+    pub fn reject(
         &mut self,
-        shed: Vec<Shed>,
+        requests: Vec<Shed>,
     ) {
-        for given_up in shed {
-            self.tell(given_up.id, Turn::Shed(given_up));
+        for shed in requests {
+            self.resolve(shed.id, WaitOutcome::Shed(shed));
         }
     }
 
-    fn tell(
+    fn resolve(
         &mut self,
         id: u64,
-        turn: Turn,
+        outcome: WaitOutcome,
     ) -> bool {
         self.waiters
             .remove(&id)
-            .is_some_and(|waiter| waiter.send(turn).is_ok())
+            .is_some_and(|waiter| waiter.send(outcome).is_ok())
     }
 }
