--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -59,7 +59,7 @@
         }
         match envelope.message {
             ControlMessage::Grants(grants) => self.on_grants(peer, &grants),
-            ControlMessage::Room { free } => self.on_free_slots(peer, free),
+            ControlMessage::FreeSlots { free } => self.on_free_slots(peer, free),
             ControlMessage::Leaving => {
                 self.update_sidecar(peer, |view| {
                     view.leaving = true;
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -142,7 +142,7 @@
     };
     if let Some(link) = sidecar.link() {
         for router in link.peers(HostRole::Router) {
-            link.send(&router, ControlMessage::Room { free });
+            link.send(&router, ControlMessage::FreeSlots { free });
         }
     }
 }
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -36,7 +36,7 @@
         }
         if let Some(link) = self.link() {
             let free = self.table.lock().expect("table lock").announced_free_slots;
-            link.send(peer, ControlMessage::Room { free });
+            link.send(peer, ControlMessage::FreeSlots { free });
         }
         true
     }
--- a/src/wire/control_message.rs
+++ b/src/wire/control_message.rs
@@ -28,7 +28,7 @@
     /// Router to sidecar: grants for which no request waits.
     Declines(Vec<GrantNumber>),
     /// Sidecar to router: the number of slots free for requests without a grant.
-    Room { free: u32 },
+    FreeSlots { free: u32 },
     /// In both directions: the sender is leaving and takes no new work.
     Leaving,
     /// Sidecar to the router that sums the service of the reported accounts over the fleet.
@@ -55,7 +55,7 @@
             Self::AskDemand => "ask_demand",
             Self::Grants(_) => "grants",
             Self::Declines(_) => "declines",
-            Self::Room { .. } => "room",
+            Self::FreeSlots { .. } => "room",
             Self::Leaving => "leaving",
             Self::Report { .. } => "report",
             Self::Totals { .. } => "totals",
