--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -68,7 +68,7 @@
                 let mut membership = self.node.membership.lock().expect("membership lock");
                 membership.leave(&peer.host);
             }
-            ControlMessage::AskDemand => {
+            ControlMessage::ResendDemand => {
                 self.update_sidecar(peer, |view| view.announced.clear());
                 self.demand_changed.notify_one();
             }
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -123,7 +123,7 @@
     }
     if let Some(link) = sidecar.link() {
         for router in link.peers(HostRole::Router) {
-            link.send(&router, ControlMessage::AskDemand);
+            link.send(&router, ControlMessage::ResendDemand);
         }
     }
 }
--- a/src/wire/control_message.rs
+++ b/src/wire/control_message.rs
@@ -22,7 +22,7 @@
         lines: Vec<DemandLine>,
     },
     /// Sidecar to router: the announced demand was dropped, and should be announced again.
-    AskDemand,
+    ResendDemand,
     /// Sidecar to router: permissions to send requests.
     Grants(Vec<Grant>),
     /// Router to sidecar: grants for which no request waits.
@@ -52,7 +52,7 @@
         match self {
             Self::Hello { .. } => "hello",
             Self::Demand { .. } => "demand",
-            Self::AskDemand => "ask_demand",
+            Self::ResendDemand => "ask_demand",
             Self::Grants(_) => "grants",
             Self::Declines(_) => "declines",
             Self::FreeSlots { .. } => "room",
