--- a/src/router/announce_demand.rs
+++ b/src/router/announce_demand.rs
@@ -43,7 +43,7 @@
                 messages.push((
                     host.clone(),
                     ControlMessage::Demand {
-                        seen: view.newest_grant,
+                        newest_grant: view.newest_grant,
                         lines,
                     },
                 ));
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -53,7 +53,10 @@
             return; // sidecars send each other only configuration revisions
         }
         match envelope.message {
-            ControlMessage::Demand { seen, lines } => self.on_demand(peer, seen, &lines),
+            ControlMessage::Demand {
+                newest_grant,
+                lines,
+            } => self.on_demand(peer, newest_grant, &lines),
             ControlMessage::Declines(numbers) => self.on_declines(peer, &numbers),
             ControlMessage::Totals { entries, .. } => {
                 let mut table = self.table.lock().expect("table lock");
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -253,7 +253,7 @@
     pub(super) fn on_demand(
         &self,
         peer: &Peer,
-        seen: u64,
+        newest_grant: u64,
         lines: &[DemandLine],
     ) {
         {
@@ -261,7 +261,7 @@
             let router = table.routers.number_of(&peer.host);
             table
                 .dispatcher
-                .announce(router, self.node.now(), seen, lines);
+                .announce(router, self.node.now(), newest_grant, lines);
         }
         self.dispatch();
     }
--- a/src/wire/control_message.rs
+++ b/src/wire/control_message.rs
@@ -18,7 +18,7 @@
     },
     /// Router to sidecar: the requests that wait for a grant.
     Demand {
-        seen: GrantNumber, // newest grant that the router has received
+        newest_grant: GrantNumber, // newest grant that the router has received
         lines: Vec<DemandLine>,
     },
     /// Sidecar to router: the announced demand was dropped, and should be announced again.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_frame_reads_back_the_same() {
     let message = envelope(ControlMessage::Demand {
-        seen: 9,
+        newest_grant: 9,
         lines: vec![DemandLine {
             account: AccountId(1),
             count: 64,
