--- a/src/link/connection.rs
+++ b/src/link/connection.rs
@@ -70,7 +70,7 @@
             role,
             incarnation,
             leaving,
-            settled,
+            config_confirmed,
         } = envelope.message
         else {
             return Err(Fault::new(
@@ -89,7 +89,7 @@
             name,
             incarnation,
             leaving,
-            settled,
+            config_confirmed,
             connection.clone(),
             outgoing,
         );
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -19,8 +19,8 @@
     pub name: PeerName, // from the peer's certificate
     pub host: Arc<str>,
     pub incarnation: Incarnation,
-    pub leaving: bool, // as stated in the peer's first message
-    pub settled: bool, // as stated in the peer's first message
+    pub leaving: bool,          // as stated in the peer's first message
+    pub config_confirmed: bool, // as stated in the peer's first message
     connection: Connection,
     outgoing: mpsc::Sender<Vec<u8>>, // encoded control messages
     revision: AtomicU64,             // of the peer's configuration, as last received
@@ -31,7 +31,7 @@
         name: PeerName,
         incarnation: Incarnation,
         leaving: bool,
-        settled: bool,
+        config_confirmed: bool,
         connection: Connection,
         outgoing: mpsc::Sender<Vec<u8>>,
     ) -> Self {
@@ -40,7 +40,7 @@
             name,
             incarnation,
             leaving,
-            settled,
+            config_confirmed,
             connection,
             outgoing,
             revision: AtomicU64::new(0),
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -98,7 +98,7 @@
             role: self.role,
             incarnation: self.incarnation,
             leaving: self.is_leaving(),
-            settled: self.readiness.has_asked(),
+            config_confirmed: self.readiness.has_asked(),
         }
     }
 
@@ -149,7 +149,7 @@
         let wants_hosts = self.hosts.revision() == Revision(0);
         let behind =
             revision > Revision(0) && self.config.judge(revision, digest) == Verdict::Fetch;
-        if !behind && peer.settled {
+        if !behind && peer.config_confirmed {
             self.readiness.heard_peer(&peer.host);
         }
         if !(behind || wants_hosts) || self.fetching.swap(true, Ordering::SeqCst) {
@@ -159,7 +159,7 @@
         tokio::spawn(async move {
             if let Err(error) = fetch_from_peer(&self, &peer).await {
                 log::debug!(code = error.code.number(); "nothing from {}: {error}", peer.host);
-            } else if peer.settled {
+            } else if peer.config_confirmed {
                 self.readiness.heard_peer(&peer.host);
             }
             self.fetching.store(false, Ordering::SeqCst);
--- a/src/wire/control_message.rs
+++ b/src/wire/control_message.rs
@@ -14,7 +14,7 @@
         role: HostRole,
         incarnation: Incarnation,
         leaving: bool,
-        settled: bool, // has asked its peers for the newest configuration
+        config_confirmed: bool, // has asked its peers for the newest configuration
     },
     /// Router to sidecar: the requests that wait for a grant.
     Demand {
