--- a/src/node/peer_config.rs
+++ b/src/node/peer_config.rs
@@ -4,7 +4,7 @@
         codes::{Fault, ResultCode},
         fleet::{HostList, Revision, VersionedConfig},
         link::Peer,
-        wire::{ConfigBundle, StreamOpen, encode_frame, read_frame},
+        wire::{ConfigFrame, StreamOpen, encode_frame, read_frame},
     },
     quinn::{RecvStream, SendStream},
     std::{collections::BTreeMap, sync::Arc},
@@ -23,14 +23,14 @@
     let mut root: Option<(Revision, String)> = None;
     loop {
         match next_bundle(&mut recv).await? {
-            ConfigBundle::Root { revision, text } => root = Some((revision, text)),
-            ConfigBundle::Part { digest, text } => {
+            ConfigFrame::Root { revision, text } => root = Some((revision, text)),
+            ConfigFrame::Part { digest, text } => {
                 parts.insert(digest, text.into());
             }
-            ConfigBundle::Hosts { revision, hosts } => {
+            ConfigFrame::Hosts { revision, hosts } => {
                 node.hosts.offer(revision, hosts);
             }
-            ConfigBundle::End => break,
+            ConfigFrame::End => break,
         }
     }
     if let Some((revision, text)) = root {
@@ -50,19 +50,19 @@
     mut send: SendStream,
 ) -> Result<(), Fault> {
     if let Some(config) = node.config.current() {
-        let root = ConfigBundle::Root {
+        let root = ConfigFrame::Root {
             revision: config.revision,
             text: config.root.to_string(),
         };
         write_bundle(&mut send, &root).await?;
         write_parts(&mut send, &config.parts, have).await?;
     }
-    let hosts = ConfigBundle::Hosts {
+    let hosts = ConfigFrame::Hosts {
         revision: node.hosts.revision(),
         hosts: HostList::clone(&node.hosts.current()),
     };
     write_bundle(&mut send, &hosts).await?;
-    write_bundle(&mut send, &ConfigBundle::End).await?;
+    write_bundle(&mut send, &ConfigFrame::End).await?;
     send.finish().map_err(Fault::unreachable)
 }
 
@@ -75,7 +75,7 @@
         if have.contains(digest) {
             continue;
         }
-        let part = ConfigBundle::Part {
+        let part = ConfigFrame::Part {
             digest: digest.clone(),
             text: text.to_string(),
         };
@@ -86,13 +86,13 @@
 
 async fn write_bundle(
     send: &mut SendStream,
-    bundle: &ConfigBundle,
+    bundle: &ConfigFrame,
 ) -> Result<(), Fault> {
     let frame = encode_frame(bundle)?;
     send.write_all(&frame).await.map_err(Fault::unreachable)
 }
 
-async fn next_bundle(recv: &mut RecvStream) -> Result<ConfigBundle, Fault> {
+async fn next_bundle(recv: &mut RecvStream) -> Result<ConfigFrame, Fault> {
     read_frame(recv)
         .await?
         .ok_or_else(|| Fault::new(ResultCode::PeerUnreachable, "cut configuration"))
--- a/src/wire/config_bundle.rs
+++ b/src/wire/config_frame.rs
@@ -5,7 +5,7 @@
 
 /// One frame of a configuration and host list that are sent to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ConfigBundle {
+pub enum ConfigFrame {
     Root { revision: Revision, text: String },
     Part { digest: String, text: String },
     Hosts { revision: Revision, hosts: HostList },
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -5,7 +5,7 @@
 
 mod answer_frame;
 mod codec;
-mod config_bundle;
+mod config_frame;
 mod control_message;
 mod envelope;
 mod request_head;
@@ -14,7 +14,7 @@
 pub use {
     answer_frame::AnswerFrame,
     codec::{MAX_FRAME, VERSION, decode_payload, encode_frame, encode_payload, read_frame},
-    config_bundle::ConfigBundle,
+    config_frame::ConfigFrame,
     control_message::ControlMessage,
     envelope::Envelope,
     request_head::RequestHead,
