--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -5,14 +5,14 @@
 };
 
 /// The protocol version of the messages between processes.
-pub const VERSION: u8 = 2;
+pub const PROTOCOL_VERSION: u8 = 2;
 
 /// The largest frame without its length prefix, in bytes. Bodies are sent in smaller chunks.
 pub const MAX_FRAME: usize = 8 << 20;
 
 /// Encodes a message as a frame. Fails with result codes 71 and 72.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, Fault> {
-    let head = vec![0, 0, 0, 0, VERSION];
+    let head = vec![0, 0, 0, 0, PROTOCOL_VERSION];
     let mut frame = postcard::to_extend(message, head)
         .map_err(|error| Fault::new(ResultCode::FrameMalformed, error.to_string()))?;
     let length = frame.len() - 4;
@@ -26,7 +26,7 @@
 
 /// Encodes a message as a datagram, that is, a frame without its length prefix.
 pub fn encode_payload<T: Serialize>(message: &T) -> Result<Vec<u8>, Fault> {
-    postcard::to_extend(message, vec![VERSION])
+    postcard::to_extend(message, vec![PROTOCOL_VERSION])
         .map_err(|error| Fault::new(ResultCode::FrameMalformed, error.to_string()))
 }
 
@@ -35,9 +35,9 @@
 pub fn decode_payload<T: DeserializeOwned>(payload: &[u8]) -> Result<T, Fault> {
     match payload.split_first() {
         None => Err(Fault::new(ResultCode::FrameMalformed, "empty")),
-        Some((&VERSION, message)) => decode_whole(message),
+        Some((&PROTOCOL_VERSION, message)) => decode_whole(message),
         Some((version, _)) => {
-            let detail = format!("version {version}, this process speaks {VERSION}");
+            let detail = format!("version {version}, this process speaks {PROTOCOL_VERSION}");
             Err(Fault::new(ResultCode::VersionUnknown, detail))
         }
     }
--- a/tests/foreign_text.rs
+++ b/tests/foreign_text.rs
@@ -9,7 +9,7 @@
         catalog::{Catalog, CatalogChange, Item, UpstreamRecord},
         peers::PeerMessage,
         platform::{dialect, parse_config, parse_replica},
-        wire::{VERSION, decode_payload},
+        wire::{PROTOCOL_VERSION, decode_payload},
     },
     hyper::{HeaderMap, header::HeaderValue},
     proptest::prelude::*,
@@ -138,7 +138,7 @@
 
     #[test]
     fn no_datagram_makes_a_router_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let mut versioned = vec![VERSION];
+        let mut versioned = vec![PROTOCOL_VERSION];
         versioned.extend_from_slice(&bytes);
         for payload in [&bytes, &versioned] {
             let _message = decode_payload::<PeerMessage>(payload);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -6,8 +6,8 @@
         fleet::{AccountId, Revision},
         policy::{DemandLine, Grant},
         wire::{
-            AnswerFrame, ControlMessage, Envelope, MAX_FRAME, StreamOpen, VERSION, decode_payload,
-            encode_frame, read_frame,
+            AnswerFrame, ControlMessage, Envelope, MAX_FRAME, PROTOCOL_VERSION, StreamOpen,
+            decode_payload, encode_frame, read_frame,
         },
     },
     proptest::prelude::*,
@@ -43,7 +43,7 @@
         account: AccountId(1),
     };
     let mut frame = encode_frame(&envelope(ControlMessage::Grants(vec![grant]))).expect("a frame");
-    frame[4] = VERSION + 1;
+    frame[4] = PROTOCOL_VERSION + 1;
     let error = decode_payload::<Envelope>(&frame[4..]).expect_err("a fault");
     assert_eq!(error.code, ResultCode::VersionUnknown);
     assert_eq!(error.code.number(), 70);
@@ -52,7 +52,7 @@
 #[tokio::test]
 async fn a_frame_over_the_bound_is_refused_before_it_is_read() {
     let mut bytes = ((MAX_FRAME + 1) as u32).to_be_bytes().to_vec();
-    bytes.push(VERSION);
+    bytes.push(PROTOCOL_VERSION);
     let error = read_frame::<Envelope, _>(&mut bytes.as_slice())
         .await
         .expect_err("a fault");
@@ -71,7 +71,7 @@
 proptest! {
     #[test]
     fn no_bytes_make_a_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut versioned = vec![VERSION];
+        let mut versioned = vec![PROTOCOL_VERSION];
         versioned.extend_from_slice(&bytes);
         for payload in [&bytes, &versioned] {
             let _envelope = decode_payload::<Envelope>(payload);
