--- a/src/sidecar/relay.rs
+++ b/src/sidecar/relay.rs
@@ -11,7 +11,7 @@
         fleet::Group,
         platform::read_notice,
         policy::{Finished, Moment},
-        wire::{AnswerFrame, MAX_FRAME},
+        wire::{AnswerFrame, MAX_FRAME_BYTES},
     },
     bytes::Bytes,
     quinn::SendStream,
@@ -126,7 +126,7 @@
             crc.update(&chunk);
             meter.chunk(&chunk);
             charged = self.charge(meter, started, charged);
-            for piece in chunk.chunks(MAX_FRAME / 2) {
+            for piece in chunk.chunks(MAX_FRAME_BYTES / 2) {
                 if !send_frame(send, &AnswerFrame::Chunk(piece.to_vec())).await {
                     return Err(ResultCode::RequestCancelled);
                 }
--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -8,7 +8,7 @@
 pub const PROTOCOL_VERSION: u8 = 2;
 
 /// The largest frame without its length prefix, in bytes. Bodies are sent in smaller chunks.
-pub const MAX_FRAME: usize = 8 << 20;
+pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
 /// Encodes a message as a frame. Fails with result codes 71 and 72.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, Fault> {
@@ -16,7 +16,7 @@
     let mut frame = postcard::to_extend(message, head)
         .map_err(|error| Fault::new(ResultCode::FrameMalformed, error.to_string()))?;
     let length = frame.len() - 4;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         let detail = format!("{length} bytes");
         return Err(Fault::new(ResultCode::FrameTooLarge, detail));
     }
@@ -59,7 +59,7 @@
         .await
         .map_err(connection_lost)?;
     let length = u32::from_be_bytes(head) as usize;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         let detail = format!("{length} bytes");
         return Err(Fault::new(ResultCode::FrameTooLarge, detail));
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -14,7 +14,7 @@
 pub use {
     answer_frame::AnswerFrame,
     codec::{
-        MAX_FRAME, PROTOCOL_VERSION, decode_payload, encode_frame, encode_payload, read_frame,
+        MAX_FRAME_BYTES, PROTOCOL_VERSION, decode_payload, encode_frame, encode_payload, read_frame,
     },
     config_frame::ConfigFrame,
     control_message::ControlMessage,
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -6,7 +6,7 @@
         fleet::{AccountId, Revision},
         policy::{DemandLine, Grant},
         wire::{
-            AnswerFrame, ControlMessage, Envelope, MAX_FRAME, PROTOCOL_VERSION, StreamOpen,
+            AnswerFrame, ControlMessage, Envelope, MAX_FRAME_BYTES, PROTOCOL_VERSION, StreamOpen,
             decode_payload, encode_frame, read_frame,
         },
     },
@@ -51,7 +51,7 @@
 
 #[tokio::test]
 async fn a_frame_over_the_bound_is_refused_before_it_is_read() {
-    let mut bytes = ((MAX_FRAME + 1) as u32).to_be_bytes().to_vec();
+    let mut bytes = ((MAX_FRAME_BYTES + 1) as u32).to_be_bytes().to_vec();
     bytes.push(PROTOCOL_VERSION);
     let error = read_frame::<Envelope, _>(&mut bytes.as_slice())
         .await
