--- a/src/link/link.rs
+++ b/src/link/link.rs
@@ -37,7 +37,7 @@
 }
 
 impl<H: LinkHandler> Link<H> {
-    /// Binds the listening address. Fails with result code 93.
+    /// Binds the listening address. Fails with `StartFailed`.
     pub fn bind(
         settings: &LinkSettings,
         identity: &Identity,
--- a/src/link/link_handler.rs
+++ b/src/link/link_handler.rs
@@ -7,8 +7,8 @@
 
 /// Handles the events of a process's connections.
 ///
-/// All methods but `on_stream` run on the connection's task and must not block. Each stream
-/// is handled on its own task.
+/// `on_connect`, `on_message` and `on_disconnect` run on the connection's task and must not
+/// block. Each stream is handled on its own task.
 pub trait LinkHandler: Send + Sync + 'static {
     /// Adds revision and digest of the configuration in force to a message.
     fn envelope(
--- a/src/link/peer.rs
+++ b/src/link/peer.rs
@@ -19,8 +19,8 @@
     pub name: PeerName, // from the peer's certificate
     pub host: Arc<str>,
     pub incarnation: Incarnation,
-    pub leaving: bool,          // as stated in the peer's first message
-    pub config_confirmed: bool, // as stated in the peer's first message
+    pub leaving: bool,          // as of the first message
+    pub config_confirmed: bool, // whether it had asked its peers for the newest configuration
     connection: Connection,
     outgoing: mpsc::Sender<Vec<u8>>, // encoded control messages
     revision: AtomicU64,             // of the peer's configuration, as last received
@@ -57,12 +57,12 @@
         self.connection.close_reason().is_none()
     }
 
-    /// Closes the connection. The peer gets the reason `why`.
+    /// Closes the connection. The peer logs the reason.
     pub fn close(
         &self,
-        why: &str,
+        reason: &str,
     ) {
-        self.connection.close(0u32.into(), why.as_bytes());
+        self.connection.close(0u32.into(), reason.as_bytes());
     }
 
     /// The configuration revision that the peer last reported as in force.
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Opens a stream and sends its first frame. Fails with result code 74.
+    /// Opens a stream and sends its first frame. Fails with `PeerUnreachable`.
     pub async fn open(
         &self,
         open: &StreamOpen,
--- a/src/router/announce_demand.rs
+++ b/src/router/announce_demand.rs
@@ -58,10 +58,10 @@
 }
 
 fn demand_for(
-    queue: &WaitingRoom,
+    waiting: &WaitingRoom,
     host: &str,
 ) -> BTreeMap<AccountId, CurrentDemand> {
-    queue
+    waiting
         .queues()
         .filter_map(|(account, queue)| {
             let demand = queue.demand_for(host)?;
--- a/src/router/classify.rs
+++ b/src/router/classify.rs
@@ -68,7 +68,8 @@
 
 /// Validates a caller's request and determines which hosts may serve it.
 ///
-/// Fails with the result codes 30 to 35.
+/// The error tells the caller why the request is refused: an unknown API key, model or
+/// path, an invalid body or header, or no eligible host.
 pub fn classify(
     config: &FleetConfig,
     hosts: &HostList,
@@ -123,7 +124,7 @@
     })
 }
 
-/// The account that owns the request's API key. Fails with result code 30.
+/// The account that owns the request's API key. Fails with `UnknownCallerKey`.
 pub fn authenticate<'c>(
     config: &'c FleetConfig,
     raw: &RawRequest,
--- a/src/router/sidecar_view.rs
+++ b/src/router/sidecar_view.rs
@@ -3,11 +3,11 @@
 /// What a router knows about one connected sidecar.
 #[derive(Default)]
 pub struct SidecarView {
-    pub free_slots: u32,           // announced as free for requests without a grant
-    pub open_offers: u32,          // requests sent without a grant that have not ended
-    pub newest_grant: GrantNumber, // newest grant received
-    pub announced: AnnouncedDemand,
-    pub leaving: bool,
+    pub free_slots: u32,            // announced as free for requests without a grant
+    pub open_offers: u32,           // requests sent without a grant that have not ended
+    pub newest_grant: GrantNumber,  // newest grant received
+    pub announced: AnnouncedDemand, // demand announced to it so far
+    pub leaving: bool,              // takes no new requests
 }
 
 impl SidecarView {
--- a/src/sidecar/relay.rs
+++ b/src/sidecar/relay.rs
@@ -73,7 +73,7 @@
             Err(ResultCode::AnswerMismatch)
         };
         drop(response);
-        meter.end();
+        meter.finish();
         self.state.end();
         self.record_key_ran();
         self.finish_with_cost(meter, started);
@@ -105,7 +105,7 @@
         started: Moment,
         send: &mut SendStream,
     ) -> Result<(), ResultCode> {
-        meter.begin(is_event_stream(response));
+        meter.set_streamed(is_event_stream(response));
         let head = AnswerFrame::Head {
             request_id: self.head.request_id.clone(),
             status: response.status().as_u16(),
@@ -118,13 +118,13 @@
         let mut charged = started;
         loop {
             let chunk = tokio::select! {
-                chunk = self.sidecar.upstream.chunk(response) => chunk?,
+                chunk = self.sidecar.upstream.read_chunk(response) => chunk?,
                 _ = send.stopped() => return Err(ResultCode::RequestCancelled),
             };
             let Some(chunk) = chunk else { break };
             length += chunk.len() as u64;
             crc.update(&chunk);
-            meter.chunk(&chunk);
+            meter.add_chunk(&chunk);
             charged = self.charge(meter, started, charged);
             for piece in chunk.chunks(MAX_FRAME_BYTES / 2) {
                 if !send_frame(send, &AnswerFrame::Chunk(piece.to_vec())).await {
--- a/src/sidecar/upstream_client.rs
+++ b/src/sidecar/upstream_client.rs
@@ -35,7 +35,7 @@
     /// Each request uses a new connection. The upstream could close a kept-alive one while
     /// the next request is written, and it would then be unknown whether that request ran.
     ///
-    /// Fails if the HTTP client cannot be built; the process then stops with result code 93.
+    /// Fails if the HTTP client cannot be built; the process then does not start.
     pub fn new(
         address: SocketAddr,
         silence_limit: Duration,
@@ -88,7 +88,7 @@
     }
 
     /// The next chunk of an answer's body, or `None` at its end.
-    pub async fn chunk(
+    pub async fn read_chunk(
         &self,
         response: &mut Response,
     ) -> Result<Option<Bytes>, ResultCode> {
--- a/src/sidecar/usage_meter.rs
+++ b/src/sidecar/usage_meter.rs
@@ -50,7 +50,7 @@
     }
 
     /// Sets whether the answer is an event stream, once its head is known.
-    pub fn begin(
+    pub fn set_streamed(
         &mut self,
         streamed: bool,
     ) {
@@ -58,7 +58,7 @@
     }
 
     /// Processes a chunk of the answer.
-    pub fn chunk(
+    pub fn add_chunk(
         &mut self,
         chunk: &[u8],
     ) {
@@ -74,7 +74,7 @@
     }
 
     /// Processes the end of the answer.
-    pub fn end(&mut self) {
+    pub fn finish(&mut self) {
         if !self.streamed {
             let body = std::mem::take(&mut self.pending);
             self.read_usage(&body);
@@ -106,9 +106,9 @@
     fn read_lines(&mut self) {
         let pending = std::mem::take(&mut self.pending);
         let mut rest = pending.as_slice();
-        while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
-            self.read_line(&rest[..end]);
-            rest = &rest[end + 1..];
+        while let Some(line_end) = rest.iter().position(|byte| *byte == b'\n') {
+            self.read_line(&rest[..line_end]);
+            rest = &rest[line_end + 1..];
         }
         if rest.len() <= MAX_BUFFERED_LINE_BYTES {
             self.pending = rest.to_vec();
--- a/src/wire/codec.rs
+++ b/src/wire/codec.rs
@@ -10,7 +10,7 @@
 /// The largest frame without its length prefix, in bytes. Bodies are sent in smaller chunks.
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// Encodes a message as a frame. Fails with result codes 71 and 72.
+/// Encodes a message as a frame. Fails with `FrameTooLarge` or `FrameMalformed`.
 pub fn encode_frame<T: Serialize>(message: &T) -> Result<Vec<u8>, Fault> {
     let head = vec![0, 0, 0, 0, PROTOCOL_VERSION];
     let mut frame = postcard::to_extend(message, head)
@@ -31,7 +31,7 @@
 }
 
 /// Decodes the message in a datagram, or in a frame without its length prefix. Fails with
-/// result codes 70 and 72.
+/// `VersionUnknown` or `FrameMalformed`.
 pub fn decode_payload<T: DeserializeOwned>(payload: &[u8]) -> Result<T, Fault> {
     match payload.split_first() {
         None => Err(Fault::new(ResultCode::FrameMalformed, "empty")),
@@ -43,7 +43,10 @@
     }
 }
 
-/// Reads one frame; `None` if the stream has ended. Fails with result codes 70 to 74.
+/// Reads one frame; `None` if the stream has ended.
+///
+/// Fails with `FrameTooLarge`, `VersionUnknown`, `FrameMalformed`, or `PeerUnreachable` if
+/// the connection or the stream ends within the frame.
 pub async fn read_frame<T, R>(reader: &mut R) -> Result<Option<T>, Fault>
 where
     T: DeserializeOwned,
