--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -19,7 +19,7 @@
     std::time::Duration,
 };
 
-/// The calls that tell what a replica keeps.
+/// The calls that read a replica's prompt cache.
 pub const CACHE_CALLS: CacheCalls = CacheCalls {
     list: list_call,
     read_list: parse_list,
@@ -27,22 +27,23 @@
     read_events: parse_events,
 };
 
-/// How long a call for events may be held, in milliseconds.
-const WAIT: HeaderName = HeaderName::from_static("wait-ms");
+/// Request header: how long the replica may hold a call for events, in milliseconds.
+const WAIT_HEADER: HeaderName = HeaderName::from_static("wait-ms");
 
-/// A replica's list of what it keeps: [text, ID, tokens, model] each.
+/// A replica's list of its cached prompt parts, each as `[text, ID, tokens, model]`.
 #[derive(Deserialize)]
 struct ListJson {
     held: Vec<(Value, String, u32, Value)>,
 }
 
-/// What changed there: [number, + or -, text, ID, tokens kept now, model] each. Of a part
-/// that is given up in steps some tokens are left for a moment.
+/// Changes of a replica's prompt cache, each as `[number, "+" or "-", text, ID, tokens cached
+/// after the change, model]`. A part may be evicted in several steps, which leave some of its
+/// tokens at first.
 #[derive(Deserialize)]
 struct EventsJson {
     epoch: Value,
-    next_token: u64, // number of the last event
-    lost: Value,     // false or 0: nothing
+    next_token: u64, // number of the last event, despite its name
+    lost: Value,     // whether events were lost; null, false or 0 if none
     events: Vec<(u64, String, Value, String, u32, Value)>,
 }
 
@@ -69,8 +70,8 @@
     let mut request = Request::new(Full::default());
     let target = format!("/v1/kv-events?since={since}");
     *request.uri_mut() = Uri::try_from(target).expect("a path with a number");
-    let wait = HeaderValue::from(wait.as_millis() as u64);
-    request.headers_mut().insert(WAIT, wait);
+    let wait_ms = HeaderValue::from(wait.as_millis() as u64);
+    request.headers_mut().insert(WAIT_HEADER, wait_ms);
     request
 }
 
--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -10,7 +10,7 @@
     std::time::Duration,
 };
 
-/// The operator's configuration as the platform's store holds it.
+/// The operator's configuration in the JSON form of the platform's store.
 #[derive(Deserialize)]
 struct ConfigJson {
     version: u64,
@@ -94,12 +94,12 @@
     allowed_regions: Vec<String>,
 }
 
-/// Where a configuration names no bound.
+/// Defaults for settings that a configuration omits.
 const DEFAULT_TIMEOUT_MS: f64 = 30_000.0;
-const DEFAULT_AIM_MS: f64 = 1_000.0;
-const DEFAULT_CONNECTIONS: usize = 64;
+const DEFAULT_TARGET_LATENCY_MS: f64 = 1_000.0;
+const DEFAULT_MAX_CONNECTIONS: usize = 64;
 
-/// Reads the operator's configuration: code 82.
+/// Parses the operator's configuration. Fails with code 82.
 pub fn parse_config(text: &str) -> Result<RoutingTable, Fault> {
     let config: ConfigJson =
         serde_json::from_str(text).map_err(|error| Fault::new(ResultCode::PlatformReply, error))?;
@@ -131,7 +131,7 @@
             resumable: route.resumable,
         },
         other => {
-            let detail = format!("route {}: kind {other:?}", route.name);
+            let detail = format!("route {}: unknown kind {other:?}", route.name);
             return Err(Fault::new(ResultCode::PlatformReply, detail));
         }
     };
@@ -152,7 +152,7 @@
         path_prefix: route.path_prefix,
         kind,
         timeout: millis(route.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS))?,
-        aim: millis(route.target_latency_ms.unwrap_or(DEFAULT_AIM_MS))?,
+        aim: millis(route.target_latency_ms.unwrap_or(DEFAULT_TARGET_LATENCY_MS))?,
         pause_aim: route.itl_target_ms.map(millis).transpose()?,
         priority: route.priority,
         shares,
@@ -173,7 +173,7 @@
     });
     Ok(Service {
         name: service.name.into(),
-        max_connections: service.max_connections.unwrap_or(DEFAULT_CONNECTIONS),
+        max_connections: service.max_connections.unwrap_or(DEFAULT_MAX_CONNECTIONS),
         engine,
         slow_per_s: service.cold_per_s,
         slow_start: millis(service.cold_start_s * 1000.0)?,
@@ -188,14 +188,14 @@
     }
 }
 
-/// Anywhere where no region is named.
+/// None, which stands for no restriction, if no region is named.
 fn regions(names: Vec<String>) -> Option<AllowedRegions> {
     (!names.is_empty()).then(|| names.into_iter().collect())
 }
 
 fn limits(limits: &LimitsJson) -> Result<RequestLimits, Fault> {
     let default = RequestLimits::default();
-    let time = |given: Option<f64>, default| given.map_or(Ok(default), millis);
+    let time = |configured: Option<f64>, default| configured.map_or(Ok(default), millis);
     Ok(RequestLimits {
         max_header_bytes: limits.max_header_bytes.unwrap_or(default.max_header_bytes),
         max_body_bytes: limits.max_body_bytes.unwrap_or(default.max_body_bytes),
@@ -205,14 +205,14 @@
     })
 }
 
-/// The longest time that a configuration may name.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
+/// The longest time that a configuration may set.
+const MAX_TIME: Duration = Duration::from_secs(24 * 3600);
 
-/// A time in milliseconds: code 82 outside zero and a day.
+/// Converts milliseconds. Fails with code 82 outside the range from zero to [`MAX_TIME`].
 fn millis(ms: f64) -> Result<Duration, Fault> {
     let time = Duration::try_from_secs_f64(ms / 1000.0).ok();
-    time.filter(|time| *time <= LONGEST).ok_or_else(|| {
-        let detail = format!("{ms} ms is outside 0 to {} s", LONGEST.as_secs());
+    time.filter(|time| *time <= MAX_TIME).ok_or_else(|| {
+        let detail = format!("{ms} ms is outside 0 to {} s", MAX_TIME.as_secs());
         Fault::new(ResultCode::PlatformReply, detail)
     })
 }
--- a/src/platform/dialect.rs
+++ b/src/platform/dialect.rs
@@ -4,7 +4,7 @@
     hyper::{StatusCode, header::HeaderName},
 };
 
-/// Headers that only the system sets: a caller's own are not passed on.
+/// Headers that only the router sets. They are removed from callers' requests.
 const SYSTEM_HEADERS: &[&str] = &[
     "archmast-credential",
     "archmast-expected-replica",
@@ -17,7 +17,7 @@
     "kv-from",
 ];
 
-/// The platform's header names and readers.
+/// The platform's header names, and the functions that parse its headers and calls.
 pub fn dialect() -> Dialect {
     let name = HeaderName::from_static;
     Dialect {
@@ -40,7 +40,8 @@
     }
 }
 
-/// Replicas may answer with these without the promise that callers read in them.
+/// Whether a status tells a caller that its request did not run and never will. A replica's
+/// answer with such a status does not guarantee that.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The users' machines: names, formats and calls of their platform, translated
-//! into the product's own. Nothing in here decides anything, and nothing
-//! outside knows these names.
+//! Adapter to the platform: translates the header names, data formats and calls of its store
+//! and replicas into this project's own types. It makes no decisions, and the platform's names
+//! are used nowhere else.
 
 mod cache_json;
 mod config_json;
--- a/src/platform/notice_headers.rs
+++ b/src/platform/notice_headers.rs
@@ -6,11 +6,11 @@
     },
 };
 
-/// The header by which a replica says in its answers that it leaves.
-const LEAVING: &str = "server-leaving";
+/// The answer header by which a replica announces that it is shutting down.
+const LEAVING_HEADER: &str = "server-leaving";
 
-/// Reads what the head of an answer says of the replica that gave it. One that is not the
-/// replica that was asked (421) says nothing of that one.
+/// Reads what a replica announces about itself in the head of an answer. Status 421 comes from
+/// another replica than the addressed one and says nothing about that one.
 pub fn read_notice(
     status: StatusCode,
     headers: &HeaderMap,
@@ -18,10 +18,10 @@
     if status == StatusCode::MISDIRECTED_REQUEST {
         return ReplicaNotice::default();
     }
-    let leaves = text(headers, LEAVING) == Some("1");
-    let turns_away = status == StatusCode::SERVICE_UNAVAILABLE;
-    let rest = text(headers, RETRY_AFTER.as_str()).and_then(asked_rest);
-    ReplicaNotice::new(leaves, rest.filter(|_| turns_away))
+    let is_leaving = text(headers, LEAVING_HEADER) == Some("1");
+    let is_unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
+    let retry_after = text(headers, RETRY_AFTER.as_str()).and_then(asked_rest);
+    ReplicaNotice::new(is_leaving, retry_after.filter(|_| is_unavailable))
 }
 
 fn text<'h>(
--- a/src/platform/prompt_headers.rs
+++ b/src/platform/prompt_headers.rs
@@ -4,24 +4,26 @@
     std::hash::{DefaultHasher, Hash, Hasher},
 };
 
-/// Lists the parts of a prompt as ID:TOKENS, separated by commas.
-pub const PARTS: &str = "archmast-prefix-hash";
+/// Request header that lists the parts of the prompt as `ID:TOKENS`, separated by commas.
+pub const PREFIX_HASH_HEADER: &str = "archmast-prefix-hash";
 
-/// Tokens of the prompt and the most to be generated.
-pub const COUNTS: &str = "archmast-token-count";
+/// Request header with the number of prompt tokens and the limit on generated tokens, separated
+/// by a comma.
+pub const TOKEN_COUNT_HEADER: &str = "archmast-token-count";
 
-/// Tokens of a request, beyond which what it says is not believed: some twenty times the
-/// memory of the largest engine seen (784,000 tokens). Sums of a few such fit their numbers.
-const MOST_TOKENS: u64 = 1 << 24;
+/// Limit on the tokens that a request may state; prompt headers beyond it are ignored. It is
+/// some twenty times the KV cache of the largest known engine (784,000 tokens), and low enough
+/// that sums over a few requests do not overflow.
+const MAX_TOKENS: u64 = 1 << 24;
 
-/// What a request says of its prompt; none if it says nothing that can be read.
+/// Parses the prompt headers of a request; none if they are missing or invalid.
 pub fn prompt_shape(headers: &HeaderMap) -> Option<PromptShape> {
-    let parts = headers.get(PARTS)?.to_str().ok()?;
+    let parts = headers.get(PREFIX_HASH_HEADER)?.to_str().ok()?;
     let parts = parts.split(',').map(part).collect::<Option<Vec<_>>>()?;
-    let counts = headers.get(COUNTS)?.to_str().ok()?;
+    let counts = headers.get(TOKEN_COUNT_HEADER)?.to_str().ok()?;
     let output_tokens: u32 = counts.split(',').nth(1)?.trim().parse().ok()?;
-    let named = parts.iter().map(|part| u64::from(part.tokens));
-    if named.sum::<u64>() + u64::from(output_tokens) > MOST_TOKENS {
+    let part_tokens = parts.iter().map(|part| u64::from(part.tokens));
+    if part_tokens.sum::<u64>() + u64::from(output_tokens) > MAX_TOKENS {
         return None;
     }
     Some(PromptShape {
@@ -38,7 +40,7 @@
     })
 }
 
-/// The number of a part that the platform names in hexadecimal digits.
+/// Parses the hexadecimal ID of a prompt part. Other IDs are hashed.
 pub fn part_id(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
--- a/src/platform/replica_json.rs
+++ b/src/platform/replica_json.rs
@@ -7,14 +7,14 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// A replica's entry as the platform's store holds it. Every replica writes all of these;
-/// where one is missing or of another type, another writer did.
+/// A replica's entry in the JSON form of the platform's store. Replicas write all of these
+/// fields, so an entry that lacks one or has another type is not a replica's.
 #[derive(Deserialize)]
 struct ReplicaJson {
     service: String,
     address: SocketAddr,
     zone: String,
-    born: Option<u64>, // missing where replicas never start again under their ids
+    born: Option<u64>, // start time in Unix ms; missing where replicas never reuse their ids
     #[serde(rename = "version")]
     _version: String,
     slots: u32,
@@ -24,35 +24,35 @@
     _sequence: u64,
 }
 
-/// The longest id of a replica, in bytes; those seen have 12.
-const LONGEST_ID: usize = 128;
+/// Limit on the length of a replica's id, in bytes. Ids have 12 in practice.
+const MAX_ID_BYTES: usize = 128;
 
-/// The longest that a replica is believed to be slow after its start.
-const LONGEST_START: Duration = Duration::from_secs(3600);
+/// Upper bound of the remaining slow start that an entry may state.
+const MAX_SLOW_START: Duration = Duration::from_secs(3600);
 
-/// Reads a replica's entry: code 82.
+/// Parses a replica's entry. Fails with code 82.
 pub fn parse_replica(
     id: &str,
     text: &str,
 ) -> Result<UpstreamEntry, Fault> {
     let refused = |detail: String| Fault::new(ResultCode::PlatformReply, detail);
-    let is_id = (1..=LONGEST_ID).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic());
+    let is_id = (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic());
     if !is_id {
-        return Err(refused("a key that is no replica's id".to_owned()));
+        return Err(refused("the key is not a valid replica id".to_owned()));
     }
     let entry: ReplicaJson =
         serde_json::from_str(text).map_err(|error| refused(error.to_string()))?;
     let ip = entry.address.ip();
     if entry.address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
         return Err(refused(format!(
-            "{} is no replica's address",
+            "{} cannot be a replica's address",
             entry.address
         )));
     }
     let state = match entry.state.as_str() {
         "ready" => UpstreamState::Ready,
         "draining" => UpstreamState::Draining,
-        other => return Err(refused(format!("state {other:?}"))),
+        other => return Err(refused(format!("unknown state {other:?}"))),
     };
     Ok(UpstreamEntry {
         id: id.into(),
@@ -64,6 +64,6 @@
         state,
         slow_for: Duration::try_from_secs_f64(entry.cold_remaining_ms / 1000.0)
             .unwrap_or_default()
-            .min(LONGEST_START),
+            .min(MAX_SLOW_START),
     })
 }
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -13,23 +13,23 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What is encoded in the words of a query: keys may have any characters.
+/// Characters that are percent-encoded in query values. Keys may contain any character.
 const ENCODED: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'/')
     .remove(b'-')
     .remove(b'_')
     .remove(b'.');
 
-/// Calls to the platform's store, each on a connection of its own: one that was kept
-/// from before may have fallen silent, which costs the time of a call to find out.
+/// HTTP client of the platform's store. Each call opens a new connection: a pooled one may be
+/// dead, which is noticed only when a call on it times out.
 pub struct StoreClient {
     http: Client,
-    base: String,
-    call_time: Duration, // that a call may take beyond what it waits
+    base_url: String,
+    call_time: Duration, // time-out of a call, in addition to the wait of a watch
 }
 
 impl StoreClient {
-    /// A client of the store at this address: code 93.
+    /// A client of the store at this address. Fails with code 93.
     pub fn new(
         address: SocketAddr,
         call_time: Duration,
@@ -44,12 +44,12 @@
             .map_err(|error| Fault::new(ResultCode::StartFailed, error))?;
         Ok(Self {
             http,
-            base: format!("http://{address}/v1"),
+            base_url: format!("http://{address}/v1"),
             call_time,
         })
     }
 
-    /// One call. None for an answer that says there is no such thing (any more).
+    /// Makes one call. Returns none for status 404 or 410. Fails with codes 80 to 82.
     async fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -57,12 +57,12 @@
         time: Duration,
     ) -> Result<Option<T>, Fault> {
         let down = |error: reqwest::Error| Fault::caused(ResultCode::PlatformDown, &error);
-        let words = query.iter().map(|(name, value)| {
+        let parameters = query.iter().map(|(name, value)| {
             let value = utf8_percent_encode(value, ENCODED);
             format!("{name}={value}")
         });
-        let words: Vec<String> = words.collect();
-        let url = format!("{}/{path}?{}", self.base, words.join("&"));
+        let parameters: Vec<String> = parameters.collect();
+        let url = format!("{}/{path}?{}", self.base_url, parameters.join("&"));
         let sent = self.http.get(url).timeout(time).send().await;
         let label = match &sent {
             Ok(response) => response.status().as_str().to_owned(),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// All items below a prefix, page by page, as of the first page's revision.
+    /// Reads all items below a prefix, page by page. The revision is that of the first page.
     async fn range(
         &self,
         prefix: &str,
@@ -97,7 +97,8 @@
             query.extend(after.as_deref().map(|after| ("after_revision", after)));
             let page: Option<RangeJson> = self.get("kv-range", &query, self.call_time).await?;
             let reply = |detail: &str| Fault::new(ResultCode::PlatformReply, detail);
-            let page = page.ok_or_else(|| reply("no such range"))?;
+            let page =
+                page.ok_or_else(|| reply("the store answered that the range does not exist"))?;
             at.get_or_insert(page.at);
             let last = last_key(&page.items).map(str::to_owned);
             items.extend(translate_all(page.items));
@@ -105,7 +106,7 @@
                 break;
             }
             if last.is_none() || last <= after {
-                return Err(reply("a page does not say where the next one begins"));
+                return Err(reply("a page has no key after which the next one begins"));
             }
             after = last;
         }
@@ -119,7 +120,8 @@
 impl CatalogSource for StoreClient {
     async fn list(&self) -> Result<CatalogChange, Fault> {
         let replicas = self.range(REPLICA_PREFIX).await?;
-        // Last, so that no change falls between it and the watch that goes on.
+        // Read after the replicas, whose revision the watch continues from, so that no change
+        // is missed between the listing and the watch.
         let operator = self.range(OPERATOR_PREFIX).await?;
         let items = replicas.items.into_iter().chain(operator.items);
         Ok(CatalogChange {
--- a/src/platform/store_json.rs
+++ b/src/platform/store_json.rs
@@ -12,23 +12,23 @@
 /// The key of the operator's configuration.
 const CONFIG_KEY: &str = "op/config";
 
-/// What the operator's keys begin with.
+/// Prefix of the operator's keys.
 pub const OPERATOR_PREFIX: &str = "op/";
 
-/// What the keys begin with that name zones to be emptied.
-const EMPTIED_PREFIX: &str = "op/evacuate/";
+/// Prefix of the keys that name cordoned zones.
+const CORDON_PREFIX: &str = "op/evacuate/";
 
-/// The longest name of a zone, in bytes; those seen have some 10.
-const LONGEST_ZONE: usize = 128;
+/// Limit on the length of a zone's name, in bytes. Names have some 10 in practice.
+const MAX_ZONE_BYTES: usize = 128;
 
-/// What the keys of replicas begin with.
+/// Prefix of the keys of replicas.
 pub const REPLICA_PREFIX: &str = "servers/";
 
-/// The longest entry of a replica that is kept, in bytes; those seen take some 300. What
-/// is longer is no replica's, and would cost each router its size in memory.
-const LONGEST_ENTRY: usize = 16 << 10;
+/// Limit on the size of a replica's entry. Entries have some 300 bytes in practice; longer ones
+/// are not a replica's and would take memory in each router.
+const MAX_ENTRY_BYTES: usize = 16 << 10;
 
-/// An item of the store, or that it is gone.
+/// An item of the store, or its removal.
 #[derive(Deserialize)]
 struct ItemJson {
     private_key: String,
@@ -38,8 +38,8 @@
     gone: bool,
 }
 
-/// A page of a range. Items are read one by one, so that one that cannot be read
-/// costs itself only.
+/// A page of a range. Items are parsed one by one, so that an invalid one does not affect the
+/// others.
 #[derive(Deserialize)]
 pub struct RangeJson {
     pub items: Vec<Value>,
@@ -47,26 +47,27 @@
     pub at: u64,
 }
 
-/// An answer to a watch.
+/// The answer to a watch.
 #[derive(Deserialize)]
 pub struct WatchJson {
     pub events: Vec<Value>,
     pub at: u64,
 }
 
-/// The key of the last item that has one, for the next page.
+/// The key of the last item that has one, after which the next page begins.
 pub fn last_key(items: &[Value]) -> Option<&str> {
     let mut keys = items.iter().rev();
     keys.find_map(|item| item["private_key"].as_str())
 }
 
-/// Items in the product's own terms, without those it has no use for or cannot read.
+/// Converts items to the catalog's types, without those that are irrelevant or invalid.
 pub fn translate_all(items: Vec<Value>) -> Vec<Item> {
     items.into_iter().filter_map(translate).collect()
 }
 
-/// One item in the product's own terms; none for keys it has no use for. A value that is
-/// no text becomes an empty one, which is no entry and no configuration.
+/// Converts one item to the catalog's type; none for irrelevant keys and invalid items. A
+/// value that is not text becomes an empty one, which is rejected later as an entry or as a
+/// configuration.
 pub fn translate(item: Value) -> Option<Item> {
     let item: ItemJson = match serde_json::from_value(item) {
         Ok(item) => item,
@@ -74,13 +75,13 @@
             metrics::counter!(UNREADABLE, "what" => "item").increment(1);
             log::error!(
                 code = ResultCode::PlatformReply.number();
-                "item of the store left out: it cannot be read: {error}"
+                "invalid item of the store ignored: {error}"
             );
             return None;
         }
     };
-    if let Some(zone) = item.private_key.strip_prefix(EMPTIED_PREFIX) {
-        return emptied(&item, zone).map(Item::Cordon);
+    if let Some(zone) = item.private_key.strip_prefix(CORDON_PREFIX) {
+        return cordon_change(&item, zone).map(Item::Cordon);
     }
     let is_config = item.private_key == CONFIG_KEY;
     let id = item.private_key.strip_prefix(REPLICA_PREFIX);
@@ -101,16 +102,16 @@
     }
 }
 
-/// A zone that is to be emptied, or is given back. None for a key that can name no zone,
-/// and for a value that is no text: another writer's.
-fn emptied(
+/// A cordon that was set or lifted. None if the key cannot name a zone, or the value is not
+/// text: such items come from a faulty writer.
+fn cordon_change(
     item: &ItemJson,
     zone: &str,
 ) -> Option<CordonChange> {
-    let is_name = (1..=LONGEST_ZONE).contains(&zone.len())
+    let is_name = (1..=MAX_ZONE_BYTES).contains(&zone.len())
         && zone.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
     if !is_name {
-        refuse(item, "cordon", "a key that names no zone");
+        report_invalid(item, "cordon", "the key does not name a zone");
         return None;
     }
     let cordon = Cordon {
@@ -124,14 +125,14 @@
     match text_of(value) {
         Ok(_) => Some(CordonChange::Set(cordon)),
         Err(error) => {
-            refuse(item, "cordon", &error);
+            report_invalid(item, "cordon", &error);
             None
         }
     }
 }
 
-/// Counts and logs an item that cannot be used.
-fn refuse(
+/// Counts and logs an invalid item.
+fn report_invalid(
     item: &ItemJson,
     what: &'static str,
     detail: &str,
@@ -140,27 +141,28 @@
     log::error!(
         code = ResultCode::PlatformReply.number(),
         key = item.private_key.as_str(), revision = item.revision;
-        "{what} of the store cannot be read: {detail}"
+        "invalid {what} in the store: {detail}"
     );
 }
 
+/// Decodes a value from Base64 to UTF-8 text.
 fn text_of(value: &str) -> Result<String, String> {
     let bytes = STANDARD.decode(value).map_err(|error| error.to_string())?;
     String::from_utf8(bytes).map_err(|error| error.to_string())
 }
 
-/// The text of a value; empty if it is none, or far too long for an entry.
+/// The text of a value; empty if it is not text, or too long for a replica's entry.
 fn decode(
     item: &ItemJson,
     value: &str,
     is_entry: bool,
 ) -> String {
-    let text = text_of(value).and_then(|text| match is_entry && text.len() > LONGEST_ENTRY {
-        true => Err(format!("{} bytes", text.len())),
+    let text = text_of(value).and_then(|text| match is_entry && text.len() > MAX_ENTRY_BYTES {
+        true => Err(format!("{} bytes, more than {MAX_ENTRY_BYTES}", text.len())),
         false => Ok(text),
     });
     text.unwrap_or_else(|error| {
-        refuse(item, "value", &error);
+        report_invalid(item, "value", &error);
         String::new()
     })
 }
