--- a/src/routing/account_entry.rs
+++ b/src/routing/account_entry.rs
@@ -4,6 +4,6 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AccountEntry {
     pub name: Arc<str>,
-    pub keys: Vec<String>,               // each authenticates as this account
-    pub regions: Option<AllowedRegions>, // anywhere if none
+    pub keys: Vec<String>, // API keys; any of them authenticates the account
+    pub regions: Option<AllowedRegions>, // none: no restriction
 }
--- a/src/routing/allowed_regions.rs
+++ b/src/routing/allowed_regions.rs
@@ -1,7 +1,7 @@
 use std::{collections::BTreeSet, sync::Arc};
 
-/// The only regions in which requests of a route or of a client account may be served, and
-/// what they bring kept.
+/// The only regions in which requests of a route or of a client account may be served and
+/// their data may be kept.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AllowedRegions(BTreeSet<Arc<str>>);
 
@@ -12,7 +12,7 @@
 }
 
 impl AllowedRegions {
-    /// Whether a region is among them. One that is not known is not.
+    /// Whether the region is allowed. An unknown region (none) is not.
     pub fn permit(
         &self,
         region: Option<&str>,
@@ -20,7 +20,7 @@
         region.is_some_and(|region| self.0.contains(region))
     }
 
-    /// What both allow; none bounds nothing.
+    /// The regions that both allow. None stands for no restriction.
     pub fn both(
         one: Option<&Self>,
         other: Option<&Self>,
--- a/src/routing/engine_facts.rs
+++ b/src/routing/engine_facts.rs
@@ -1,8 +1,8 @@
-/// What the configuration tells of a service's model engines.
+/// Properties of the model engines of a service, from the configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineFacts {
-    pub memory_tokens: u64, // prompt memory of one engine, shared by running requests and cache
-    pub token_bytes: f64,   // that a token takes when memory is moved; 0 if not told
-    pub link_mbps: f64,     // of the engines' links for such moves; 0 if not told
-    pub moves: bool,        // whether engines may fetch memory from each other
+    pub memory_tokens: u64, // KV cache of one engine, for running requests and cached prompts
+    pub token_bytes: f64,   // size of one token's KV cache entry; 0 if unknown
+    pub link_mbps: f64,     // of the links for KV cache transfers between engines; 0 if unknown
+    pub moves: bool,        // whether engines may fetch KV cache entries from each other
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Which service serves a request: routes by host and path, accounts by key,
-//! and the limits on what callers may send.
+//! Finds the service for a request: routes by host and path, accounts by API key, and the
+//! limits on what callers may send.
 //!
-//! A [`RoutingTable`] is one version of the operator's configuration, ready to
-//! be looked up. It holds no state of the process.
+//! A [`RoutingTable`] is one version of the operator's configuration, indexed for look-up. It
+//! is immutable and holds no state of the process.
 
 mod account_entry;
 mod allowed_regions;
--- a/src/routing/request_limits.rs
+++ b/src/routing/request_limits.rs
@@ -1,13 +1,13 @@
 use std::time::Duration;
 
-/// What a caller may send, and how long it may take.
+/// Limits on requests and connections of callers, and the capacity of all engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestLimits {
-    pub max_header_bytes: usize,   // request line and headers
+    pub max_header_bytes: usize,   // request line and headers together
     pub max_body_bytes: usize,     // request body
-    pub header_timeout: Duration,  // for a whole head, once it has begun
-    pub idle_timeout: Duration,    // a kept connection at rest
-    pub tokens_per_s: Option<f64>, // what all engines together make, if told
+    pub header_timeout: Duration,  // from the first byte of a head to its end
+    pub idle_timeout: Duration,    // of a keep-alive connection between requests
+    pub tokens_per_s: Option<f64>, // throughput of all engines together, if configured
 }
 
 impl Default for RequestLimits {
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -3,34 +3,34 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Where requests below one host and path prefix go, and how.
+/// How requests for one host and path prefix are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     pub name: String,
     pub host: String,        // lower case, without port
     pub path_prefix: String, // begins and ends with a slash
     pub kind: RouteKind,
-    pub timeout: Duration,               // longest that a request is held
-    pub aim: Duration,                   // to the answer, or the first event of a stream
-    pub pause_aim: Option<Duration>,     // longest pause between events that is in time
+    pub timeout: Duration,               // longest time that a request is held
+    pub aim: Duration,                   // target latency of the answer or first stream event
+    pub pause_aim: Option<Duration>,     // target for the longest gap between stream events
     pub priority: u32,                   // 0 is the most urgent
-    pub shares: Vec<ServiceShare>,       // at least one
+    pub shares: Vec<ServiceShare>,       // traffic split over services; at least one
     pub max_attempts: u32,               // replicas that one request may be sent to
-    pub public: bool,                    // needs no key
-    pub regions: Option<AllowedRegions>, // anywhere if none
+    pub public: bool,                    // needs no API key
+    pub regions: Option<AllowedRegions>, // none: no restriction
 }
 
 impl Route {
-    /// The service for a request; `draw` is uniform in [0, 1).
+    /// Picks a service by weight; `draw` is uniform in [0, 1).
     pub fn service(
         &self,
         draw: f64,
     ) -> Option<&Arc<str>> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = draw * total;
+        let mut remaining = draw * total;
         for share in &self.shares {
-            left -= share.weight;
-            if left < 0.0 {
+            remaining -= share.weight;
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
--- a/src/routing/route_kind.rs
+++ b/src/routing/route_kind.rs
@@ -1,11 +1,12 @@
-/// Whether the requests of a route may be repeated, and how they are answered.
+/// Whether requests of a route may be retried, and how they are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of a caller.
+    /// Runs at most once for each request that a caller sends.
     Once,
-    /// Answers with events; may go on at another replica if `resumable`.
+    /// Answered with a stream of events, which may continue at another replica if
+    /// `resumable`.
     Stream { resumable: bool },
 }
 
@@ -15,7 +16,7 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether answers are streams of events.
+    /// Whether requests are answered with a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -4,7 +4,7 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// One version of the configuration, ready to be looked up.
+/// One version of the configuration, indexed for look-up.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingTable {
     pub version: u64,
@@ -12,13 +12,13 @@
     routes: HashMap<String, Vec<Arc<Route>>>, // by host, longest prefix first
     services: HashMap<Arc<str>, Service>,
     shortest_aims: HashMap<Arc<str>, Duration>, // by service
-    accounts: HashMap<String, Arc<str>>,        // names by key
+    accounts: HashMap<String, Arc<str>>,        // account names, by API key
     has_accounts: bool,
-    bounded: HashMap<Arc<str>, AllowedRegions>, // accounts that are not served anywhere
+    account_regions: HashMap<Arc<str>, AllowedRegions>, // of restricted accounts, by name
 }
 
 impl RoutingTable {
-    /// Sorts the parts of a configuration for look-up.
+    /// Indexes the parts of a configuration.
     pub fn new(
         version: u64,
         limits: RequestLimits,
@@ -36,11 +36,11 @@
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         let has_accounts = !accounts.is_empty();
-        let bounded = accounts.iter().filter_map(|account| {
+        let account_regions = accounts.iter().filter_map(|account| {
             let regions = account.regions.clone()?;
             Some((account.name.clone(), regions))
         });
-        let bounded = bounded.collect();
+        let account_regions = account_regions.collect();
         let keys = accounts.into_iter().flat_map(|account| {
             let name = account.name;
             account.keys.into_iter().map(move |key| (key, name.clone()))
@@ -56,12 +56,11 @@
                 .collect(),
             accounts: keys.collect(),
             has_accounts,
-            bounded,
+            account_regions,
         }
     }
 
-    /// The route with the longest prefix of `path` among those of `host`,
-    /// which may carry a port.
+    /// The route of `host` with the longest prefix of `path`. `host` may include a port.
     pub fn route(
         &self,
         host: &str,
@@ -74,7 +73,6 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// A service by name.
     pub fn service(
         &self,
         name: &str,
@@ -82,12 +80,11 @@
         self.services.get(name)
     }
 
-    /// All services.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// The account with a short name.
+    /// The name of the account whose `short_name` hash is `short`.
     pub fn account_named(
         &self,
         short: u32,
@@ -96,7 +93,7 @@
         names.find(|name| short_name(name) == short)
     }
 
-    /// The account that holds a key.
+    /// The name of the account with this API key.
     pub fn account(
         &self,
         key: &str,
@@ -104,28 +101,29 @@
         self.accounts.get(key)
     }
 
-    /// Where requests of a route and an account may be served; anywhere if none.
+    /// The regions in which requests of an account on a route may be served; none if there is
+    /// no restriction.
     pub fn regions(
         &self,
         route: &Route,
         account: Option<&str>,
     ) -> Option<AllowedRegions> {
-        let bound = account.and_then(|name| self.bounded.get(name));
-        AllowedRegions::both(route.regions.as_ref(), bound)
+        let of_account = account.and_then(|name| self.account_regions.get(name));
+        AllowedRegions::both(route.regions.as_ref(), of_account)
     }
 
-    /// Whether any route or account names regions.
+    /// Whether any route or account is restricted to regions.
     pub fn names_regions(&self) -> bool {
         let mut routes = self.routes.values().flatten();
-        !self.bounded.is_empty() || routes.any(|route| route.regions.is_some())
+        !self.account_regions.is_empty() || routes.any(|route| route.regions.is_some())
     }
 
-    /// Whether requests need a key, but for public routes.
+    /// Whether requests need an API key, except on public routes.
     pub fn has_accounts(&self) -> bool {
         self.has_accounts
     }
 
-    /// The shortest aim among the routes that a service serves.
+    /// The shortest target latency among the routes that a service serves.
     pub fn shortest_aim(
         &self,
         service: &str,
--- a/src/routing/service.rs
+++ b/src/routing/service.rs
@@ -7,8 +7,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     pub name: Arc<str>,
-    pub max_connections: usize, // to one replica, from all callers together
-    pub engine: Option<EngineFacts>, // of model services
-    pub slow_per_s: f64, // requests that a replica bears that has just started; 0 is no bound
-    pub slow_start: Duration, // how long it is slow then
+    pub max_connections: usize, // to one replica, shared by all callers
+    pub engine: Option<EngineFacts>, // for model services
+    pub slow_per_s: f64, // requests per second that a replica takes in slow start; 0: no limit
+    pub slow_start: Duration, // how long a replica is slow after its start
 }
--- a/src/routing/service_share.rs
+++ b/src/routing/service_share.rs
@@ -1,8 +1,8 @@
 use std::sync::Arc;
 
-/// A part of a route's traffic.
+/// A service of a route with its weight in the route's traffic split.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceShare {
     pub service: Arc<str>,
-    pub weight: f64, // relative to the route's other shares
+    pub weight: f64, // relative to the route's other services
 }
