--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -17,23 +17,23 @@
     tokio::{sync::watch, time::Instant},
 };
 
-/// Reads a configuration's text: code 82.
+/// Parses the text of a configuration. Fails with code 82.
 pub type ParseConfig = fn(&str) -> Result<RoutingTable, Fault>;
 
-/// How far a catalog has come. Compared field by field, never as a whole.
+/// Version of a catalog. Has no total order, since the two parts advance independently.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogVersion {
-    pub config: u64,    // version of the configuration, 0 is none
-    pub upstreams: u64, // the store's revision that the list reflects, 0 is none
+    pub config: u64,    // version of the configuration; 0 if there is none
+    pub upstreams: u64, // store revision that the list of upstreams reflects; 0 if none
 }
 
 impl CatalogVersion {
-    /// Whether there is a configuration and a list of upstreams.
+    /// Whether the catalog has both a configuration and a list of upstreams.
     pub fn knows_both(&self) -> bool {
         self.config > 0 && self.upstreams > 0
     }
 
-    /// Whether something here is newer than there.
+    /// Whether the configuration or the list of upstreams is newer than the other's.
     pub fn is_ahead_of(
         &self,
         other: Self,
@@ -42,11 +42,11 @@
     }
 }
 
-/// The newest configuration and list of upstreams that this process has heard
-/// of, from the store or from peers. Higher versions win; nothing reverts.
+/// The newest configuration, list of upstreams and cordons that this process has received
+/// from the store or from peers. Older versions are ignored.
 pub struct Catalog {
     parse_config: ParseConfig,
-    state: Mutex<State>, // a leaf lock
+    state: Mutex<State>, // no other lock is taken while it is held
     changed: watch::Sender<CatalogVersion>,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Catalog {
-    /// A catalog that knows nothing yet.
+    /// An empty catalog.
     pub fn new(
         parse_config: ParseConfig,
         parse_upstream: ParseUpstream,
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Addresses of this process, which are no upstream's.
+    /// Sets the listening addresses of this process. Upstream entries that name one of them
+    /// are rejected.
     pub fn keep_out(
         &self,
         own: Vec<SocketAddr>,
@@ -82,24 +83,22 @@
         state.upstreams.keep_out(own);
     }
 
-    /// The configuration in force.
     pub fn config(&self) -> Option<Arc<RoutingTable>> {
         let state = self.state.lock().expect("catalog lock");
         state.config.as_ref().map(|config| config.table.clone())
     }
 
-    /// The upstreams that the newest list shows.
+    /// The upstreams in use, including lapsed ones in their grace period.
     pub fn upstreams(&self) -> Vec<Arc<UpstreamEntry>> {
         let state = self.state.lock().expect("catalog lock");
         state.upstreams.entries()
     }
 
-    /// How far the catalog has come.
     pub fn version(&self) -> CatalogVersion {
         *self.changed.borrow()
     }
 
-    /// Tells of every change.
+    /// A receiver that is notified of every change, also of those that leave the version as it is.
     pub fn subscribe(&self) -> watch::Receiver<CatalogVersion> {
         self.changed.subscribe()
     }
@@ -110,7 +109,7 @@
         state.config.as_ref().map(|config| config.text.clone())
     }
 
-    /// Who told the configuration in force, and how long ago.
+    /// Version, source and age of the configuration in force.
     pub fn config_origin(&self) -> Option<ConfigOrigin> {
         let state = self.state.lock().expect("catalog lock");
         state.config.as_ref().map(|config| ConfigOrigin {
@@ -120,7 +119,7 @@
         })
     }
 
-    /// Who told what is known of an upstream.
+    /// Source and revision of an upstream's last record; none for unknown upstreams.
     pub fn upstream_origin(
         &self,
         id: &str,
@@ -129,49 +128,49 @@
         state.upstreams.origin(id)
     }
 
-    /// The availability zones that get no new work.
+    /// The availability zones that the operator has cordoned: they get no new work.
     pub fn cordoned(&self) -> BTreeSet<String> {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.zones()
     }
 
-    /// The store's revision up to which cordons are known, 0 is none. Routers of builds
-    /// that know no cordons tell of configurations and upstreams alone, so that this may
-    /// lag behind them.
+    /// The store revision that the cordons reflect; 0 if none. It may lag behind that of the
+    /// upstreams, because routers of builds without support for cordons do not send any.
     pub fn cordons_at(&self) -> u64 {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.at()
     }
 
-    /// Whether cordons are known as far as the list of upstreams is.
+    /// Whether the cordons are at least as recent as the list of upstreams.
     pub fn knows_cordons(&self) -> bool {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.at() > 0 && state.cordons.at() >= state.upstreams.at()
     }
 
-    /// All that is known of cordons.
+    /// A snapshot of all cordons, for a peer.
     pub fn cordon_news(&self) -> CordonNews {
         let state = self.state.lock().expect("catalog lock");
-        state.cordons.news()
+        state.cordons.snapshot()
     }
 
-    /// Takes in what another router knows of cordons. Comes after the upstreams that were
-    /// told with it: a replica may have become cold just before its zone is given back.
+    /// Applies a snapshot of all cordons, if it is newer. Must be called after the upstreams
+    /// of the same message are applied: a replica may restart cold just before its zone is
+    /// uncordoned, and must not get full load then.
     pub fn offer_cordons(
         &self,
-        news: CordonNews,
+        snapshot: CordonNews,
         from: &str,
     ) {
-        let is_news = {
+        let is_changed = {
             let mut state = self.state.lock().expect("catalog lock");
-            state.cordons.take_whole(news, from)
+            state.cordons.apply_snapshot(snapshot, from)
         };
-        if is_news {
+        if is_changed {
             self.changed.send_modify(|_| {});
         }
     }
 
-    /// What one that has come to a revision lacks of the list of upstreams.
+    /// The records of upstreams that a peer lacks whose list reflects this store revision.
     pub fn news_after(
         &self,
         revision: u64,
@@ -180,8 +179,9 @@
         state.upstreams.news_after(revision)
     }
 
-    /// Takes in a configuration if it is newer than the one in force. Code 82
-    /// if it cannot be read; the one in force stays.
+    /// Applies a configuration if its version is higher than that of the one in force, and
+    /// returns whether it was. Fails with code 82 if it cannot be parsed; then the one in
+    /// force stays.
     pub fn offer_config(
         &self,
         text: &str,
@@ -220,25 +220,25 @@
         Ok(true)
     }
 
-    /// Takes in news of the list of upstreams.
+    /// Applies changes or a snapshot of the list of upstreams.
     pub fn offer_upstreams(
         &self,
-        news: UpstreamNews,
+        update: UpstreamNews,
         from: &str,
     ) {
-        let (is_news, reached) = {
+        let (is_changed, revision) = {
             let mut state = self.state.lock().expect("catalog lock");
-            let is_news = state.upstreams.take(news, from);
+            let is_changed = state.upstreams.apply(update, from);
             metrics::gauge!(UNUSABLE_ENTRIES).set(state.upstreams.unusable() as f64);
-            (is_news, state.upstreams.at())
+            (is_changed, state.upstreams.at())
         };
-        if is_news {
+        if is_changed {
             self.changed
-                .send_modify(|version| version.upstreams = reached);
+                .send_modify(|version| version.upstreams = revision);
         }
     }
 
-    /// Takes in what a watch of the store brought.
+    /// Applies the changes that a watch of the store returned.
     pub fn offer_change(
         &self,
         change: CatalogChange,
@@ -247,8 +247,8 @@
         self.offer_items(change, false, from);
     }
 
-    /// Takes in a whole reading of the store: upstreams that it lacks, and that
-    /// were known before it, are gone.
+    /// Applies a full listing of the store. Upstreams of older revisions that are missing from
+    /// it are removed.
     pub fn offer_listing(
         &self,
         listing: CatalogChange,
@@ -257,7 +257,7 @@
         self.offer_items(listing, true, from);
     }
 
-    /// Takes the upstreams as gone whose entries did not come back in time.
+    /// Removes the lapsed upstreams whose entries did not reappear within the grace period.
     pub fn drop_lapsed(&self) {
         let dropped = {
             let mut state = self.state.lock().expect("catalog lock");
@@ -268,8 +268,8 @@
         }
     }
 
-    /// Takes all upstreams as gone whose entries have lapsed: the process stood still, and
-    /// their time to come back is over.
+    /// Removes all lapsed upstreams at once. Called after the process was suspended, so that
+    /// the grace period may have passed without changes being seen.
     pub fn end_lapses(&self) {
         let dropped = {
             let mut state = self.state.lock().expect("catalog lock");
@@ -295,17 +295,17 @@
                 Item::Config { text } => self.offer_told_config(&text, from),
             }
         }
-        let news = UpstreamNews {
+        let update = UpstreamNews {
             records,
             at: change.at,
             is_whole,
         };
-        let at = news.at;
-        self.offer_upstreams(news, from);
-        self.take_cordons(cordons, at, is_whole, from);
+        let at = update.at;
+        self.offer_upstreams(update, from);
+        self.apply_cordons(cordons, at, is_whole, from);
     }
 
-    fn take_cordons(
+    fn apply_cordons(
         &self,
         changes: Vec<CordonChange>,
         at: u64,
@@ -320,17 +320,17 @@
             let cordons = set.collect();
             return self.offer_cordons(CordonNews { cordons, at }, from);
         }
-        let is_news = {
+        let is_changed = {
             let mut state = self.state.lock().expect("catalog lock");
-            state.cordons.take_changes(changes, at, from)
+            state.cordons.apply_changes(changes, at, from)
         };
-        if is_news {
+        if is_changed {
             self.changed.send_modify(|_| {});
         }
     }
 
-    /// Takes in a configuration of which nobody waits to hear whether it was taken: one
-    /// that cannot be read leaves a line.
+    /// Applies a configuration as [`Catalog::offer_config`] does, and logs the error if it
+    /// cannot be parsed.
     pub fn offer_told_config(
         &self,
         text: &str,
--- a/src/catalog/cordon.rs
+++ b/src/catalog/cordon.rs
@@ -1,9 +1,8 @@
 use serde::{Deserialize, Serialize};
 
-/// The operator's word that an availability zone gets no new work, by the store's
-/// revision at which it was given.
+/// The operator's instruction that an availability zone gets no new work.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cordon {
     pub zone: String,
-    pub revision: u64,
+    pub revision: u64, // store revision at which it was written
 }
--- a/src/catalog/cordon_list.rs
+++ b/src/catalog/cordon_list.rs
@@ -4,32 +4,30 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Zones that may be cordoned at once. A fleet has some ten; names beyond are another
-/// writer's, and would cost each router their size.
-const MOST: usize = 256;
+/// Limit on the cordoned zones. A fleet has some ten zones; more names come from a faulty
+/// writer and would only take memory in each router.
+const MAX_ZONES: usize = 256;
 
-/// The zones that the operator has cordoned, as of a revision of the store. What is told
-/// of a later revision replaces it whole, so that nothing needs to be kept of cordons that
-/// were lifted.
+/// The zones that the operator has cordoned, as of a store revision. Snapshots replace the
+/// whole list, so that lifted cordons need not be remembered.
 #[derive(Debug, Default)]
 pub struct CordonList {
-    zones: BTreeMap<String, u64>, // the revision of each cordon
-    at: u64,                      // the store's revision that is reflected, 0 is none
+    zones: BTreeMap<String, u64>, // revision of the cordon, by zone
+    at: u64,                      // store revision that the list reflects; 0 if none
 }
 
 impl CordonList {
-    /// The store's revision that the list reflects, 0 is none.
+    /// The store revision that the list reflects; 0 if none.
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// The cordoned zones.
     pub fn zones(&self) -> BTreeSet<String> {
         self.zones.keys().cloned().collect()
     }
 
-    /// All of it, for a router that is behind.
-    pub fn news(&self) -> CordonNews {
+    /// The whole list, for a peer.
+    pub fn snapshot(&self) -> CordonNews {
         let cordons = self.zones.iter().map(|(zone, revision)| Cordon {
             zone: zone.clone(),
             revision: *revision,
@@ -40,35 +38,34 @@
         }
     }
 
-    /// Takes in a whole reading, of the store or of what another router knows. Whether
-    /// other zones are cordoned than before. A cordon that is younger than the reading
-    /// stays: whether it was lifted since is told by what follows on the reading.
-    pub fn take_whole(
+    /// Applies a snapshot from the store or a peer if it is newer. Cordons written after the
+    /// snapshot's revision stay; changes that follow the snapshot say whether they were
+    /// lifted since. Returns whether the set of cordoned zones changed.
+    pub fn apply_snapshot(
         &mut self,
-        news: CordonNews,
+        snapshot: CordonNews,
         from: &str,
     ) -> bool {
-        if news.at <= self.at {
+        if snapshot.at <= self.at {
             return false;
         }
         let before = std::mem::take(&mut self.zones);
         let younger = before
             .iter()
-            .filter(|(_, revision)| **revision > news.at)
+            .filter(|(_, revision)| **revision > snapshot.at)
             .map(|(zone, revision)| (zone.clone(), *revision));
         self.zones.extend(younger);
-        for cordon in news.cordons {
+        for cordon in snapshot.cordons {
             self.set(cordon, from);
         }
-        self.at = news.at;
+        self.at = snapshot.at;
         log_changes(&before, &self.zones, self.at, from);
         before.keys().ne(self.zones.keys())
     }
 
-    /// Takes in what a watch of the store brought, which goes on from no later than what
-    /// is reflected here: cordons that were set, and zones that were given back. Whether
-    /// other zones are cordoned than before.
-    pub fn take_changes(
+    /// Applies the changes of a watch that started at or before the revision of this list.
+    /// Returns whether the set of cordoned zones changed.
+    pub fn apply_changes(
         &mut self,
         changes: Vec<CordonChange>,
         at: u64,
@@ -79,8 +76,8 @@
             match change {
                 CordonChange::Set(cordon) if cordon.revision > self.at => self.set(cordon, from),
                 CordonChange::Lifted(cordon) if cordon.revision > self.at => {
-                    let lifts = |known: &u64| *known < cordon.revision;
-                    if self.zones.get(&cordon.zone).is_some_and(lifts) {
+                    let is_older = |known: &u64| *known < cordon.revision;
+                    if self.zones.get(&cordon.zone).is_some_and(is_older) {
                         self.zones.remove(&cordon.zone);
                     }
                 }
@@ -97,11 +94,11 @@
         cordon: Cordon,
         from: &str,
     ) {
-        if self.zones.len() >= MOST && !self.zones.contains_key(&cordon.zone) {
+        if self.zones.len() >= MAX_ZONES && !self.zones.contains_key(&cordon.zone) {
             log::error!(
                 code = ResultCode::PlatformReply.number(), zone = cordon.zone.as_str(),
                 revision = cordon.revision, from = from;
-                "cordon left out: {MOST} zones are cordoned"
+                "cordon ignored: the limit of {MAX_ZONES} cordoned zones is reached"
             );
             return;
         }
@@ -110,11 +107,11 @@
     }
 }
 
-/// What the store said of one zone.
+/// A change of one cordon in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CordonChange {
     Set(Cordon),
-    Lifted(Cordon),
+    Lifted(Cordon), // with the revision at which it was lifted
 }
 
 fn log_changes(
@@ -130,6 +127,6 @@
         );
     }
     for zone in before.keys().filter(|zone| !after.contains_key(*zone)) {
-        log::warn!(zone = zone.as_str(), at = at, from = from; "zone gets work again");
+        log::warn!(zone = zone.as_str(), at = at, from = from; "zone uncordoned: it gets new work");
     }
 }
--- a/src/catalog/cordon_news.rs
+++ b/src/catalog/cordon_news.rs
@@ -3,9 +3,9 @@
     serde::{Deserialize, Serialize},
 };
 
-/// All zones that were cordoned at a revision of the store.
+/// All cordons as of a store revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CordonNews {
     pub cordons: Vec<Cordon>,
-    pub at: u64, // 0: nothing is known of cordons
+    pub at: u64, // store revision; 0 if the sender has not read any cordons
 }
--- a/src/catalog/lapse_grace.rs
+++ b/src/catalog/lapse_grace.rs
@@ -4,22 +4,23 @@
     tokio::time::Instant,
 };
 
-/// Upstreams write their entries anew within about two seconds of the store's
-/// return; what is still missing then is gone. Shorter than the time in which
-/// a leaving upstream must get nothing new (2 s on the shortest sheet).
+/// Grace period for entries that lapsed during an outage of the store. Upstreams write them
+/// anew within about 2 s of its return; entries still missing then are removed. It has to be
+/// below 2 s, the shortest time within which an upstream that shuts down must not get any
+/// new work.
 const GRACE: Duration = Duration::from_millis(1800);
 
-/// Entries that vanished from the store around an outage of it. Their leases ran
-/// out unrenewed, which says nothing of the upstreams themselves: they are kept for
-/// a short time, in which those that live come back.
+/// Tracks upstream entries that disappeared because of an outage of the store. Their leases
+/// expired without being renewed, which says nothing about the upstreams themselves, so they
+/// stay in use for a grace period, in which live upstreams write their entries again.
 #[derive(Debug, Default)]
 pub struct LapseGrace {
-    until: Option<Instant>, // entries that vanish before are kept until then
-    kept: BTreeMap<String, Instant>, // when each is taken as gone, by id
+    until: Option<Instant>, // end of the grace period; entries that vanish before it are kept
+    lapsed: BTreeMap<String, Instant>, // when each is removed, by id
 }
 
 impl LapseGrace {
-    /// Entries vanish because their leases ran out.
+    /// Starts the grace period.
     pub fn begin(
         &mut self,
         now: Instant,
@@ -27,7 +28,7 @@
         self.until = Some(now + GRACE);
     }
 
-    /// An entry vanished. Whether it is kept for now.
+    /// Records that an entry vanished. Returns whether it stays in use for now.
     pub fn keeps(
         &mut self,
         id: &str,
@@ -36,42 +37,42 @@
         let Some(until) = self.until.filter(|until| now < *until) else {
             return false;
         };
-        self.kept.insert(id.to_owned(), until);
+        self.lapsed.insert(id.to_owned(), until);
         true
     }
 
-    /// An entry is there again, or is gone for another reason.
+    /// Records that an entry reappeared, or was removed for another reason.
     pub fn forget(
         &mut self,
         id: &str,
     ) {
-        self.kept.remove(id);
+        self.lapsed.remove(id);
     }
 
-    /// All that are kept: their time is over.
+    /// Ends the grace period, and takes out all lapsed entries.
     pub fn take_all(&mut self) -> Vec<String> {
         self.until = None;
-        std::mem::take(&mut self.kept).into_keys().collect()
+        std::mem::take(&mut self.lapsed).into_keys().collect()
     }
 
-    /// The entries that did not come back in time.
+    /// Takes out the entries that did not reappear within the grace period.
     pub fn take_expired(
         &mut self,
         now: Instant,
     ) -> Vec<String> {
-        let expired = self.kept.extract_if(.., |_, until| now >= *until);
+        let expired = self.lapsed.extract_if(.., |_, until| now >= *until);
         expired.map(|(id, _)| id).collect()
     }
 }
 
-/// Whether records take away more than half of the entries at once. No planned
-/// work does; leases that ran out while the store was away do.
-pub fn vanish_together(
+/// Whether records remove more than half of the entries, and more than one, at once. No
+/// planned work does that; leases that expired during an outage of the store do.
+pub fn remove_most_entries(
     entries: &BTreeMap<String, Arc<UpstreamEntry>>,
     records: &[UpstreamRecord],
 ) -> bool {
-    let vanishing = records.iter().filter(|record| record.text.is_none());
-    let known = vanishing.filter(|record| entries.contains_key(&record.id));
+    let removals = records.iter().filter(|record| record.text.is_none());
+    let known = removals.filter(|record| entries.contains_key(&record.id));
     let count = known.count();
     count > 1 && count * 2 > entries.len()
 }
--- a/src/catalog/upstream_entry.rs
+++ b/src/catalog/upstream_entry.rs
@@ -4,23 +4,23 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// A replica as the platform's list shows it. It may start again under its id, and knows
-/// nothing of before then.
+/// A replica as listed in the platform's store. It may restart under the same id, with empty
+/// caches and without its earlier requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
     pub id: Arc<str>,
-    pub born: Option<u64>, // unix milliseconds of its start, where it says so
+    pub born: Option<u64>, // start time in Unix milliseconds; none if replicas never restart
     pub service: Arc<str>,
     pub address: SocketAddr,
     pub zone: Arc<str>,
-    pub slots: u32, // requests it works on at once
+    pub slots: u32, // requests that it processes concurrently
     pub state: UpstreamState,
-    pub slow_for: Duration, // how much longer it was slow from its start, when it said so
+    pub slow_for: Duration, // remaining slow start when it wrote the entry
 }
 
 impl UpstreamEntry {
-    /// The short name of this start of the replica, for messages between routers: what
-    /// one says of an earlier start is not taken for this one.
+    /// A hash of the id and the start time, which identifies this incarnation of the replica
+    /// in messages between routers. Messages about an earlier incarnation do not match it.
     pub fn start_name(&self) -> u32 {
         match self.born {
             None => short_name(&self.id),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether another entry is of the same start of the same replica.
+    /// Whether another entry is of the same incarnation of the same replica.
     pub fn is_same_start(
         &self,
         other: &Self,
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         UpstreamEntry, UpstreamNews, UpstreamOrigin, UpstreamRecord, UpstreamState,
-        lapse_grace::{LapseGrace, vanish_together},
+        lapse_grace::{LapseGrace, remove_most_entries},
     },
     crate::codes::{Fault, ResultCode},
     std::{
@@ -12,28 +12,27 @@
     tokio::time::Instant,
 };
 
-/// Reads an upstream's entry by its id and text: code 82.
+/// Parses an upstream's entry from its id and text. Fails with code 82.
 pub type ParseUpstream = fn(&str, &str) -> Result<UpstreamEntry, Fault>;
 
-/// The upstreams, by the newest word on each. Higher revisions win.
+/// The upstreams, by the record of highest revision for each.
 pub struct UpstreamList {
     parse: ParseUpstream,
-    records: BTreeMap<String, ToldRecord>, // by id, those that are gone too
-    entries: BTreeMap<String, Arc<UpstreamEntry>>,
-    at: u64,    // the store's revision that the list reflects, 0 is none
-    since: u64, // all removals behind this revision are among the records
+    records: BTreeMap<String, SourcedRecord>, // by id, with those of removed upstreams
+    entries: BTreeMap<String, Arc<UpstreamEntry>>, // by id, those in use
+    at: u64,                                  // store revision reflected; 0 if none
+    since: u64, // of the last snapshot; the records have all removals after it
     lapses: LapseGrace,
-    own: Vec<SocketAddr>, // addresses of this process, which are no upstream's
+    own: Vec<SocketAddr>, // listening addresses of this process
 }
 
-/// A record, and who told it.
-struct ToldRecord {
+/// A record with its source.
+struct SourcedRecord {
     record: UpstreamRecord,
-    from: Arc<str>,
+    from: Arc<str>, // "store", or a router's address
 }
 
 impl UpstreamList {
-    /// A list that knows nothing yet.
     pub fn new(parse: ParseUpstream) -> Self {
         Self {
             parse,
@@ -46,8 +45,8 @@
         }
     }
 
-    /// Addresses of this process, which are no upstream's: a request that is sent there
-    /// comes back to be sent again.
+    /// Sets the listening addresses of this process. Entries with one of them are rejected: a
+    /// request sent there would come back to this process in a loop.
     pub fn keep_out(
         &mut self,
         own: Vec<SocketAddr>,
@@ -55,97 +54,102 @@
         self.own = own;
     }
 
-    /// The upstreams that are there, as far as known.
+    /// The upstreams in use, including lapsed ones in their grace period.
     pub fn entries(&self) -> Vec<Arc<UpstreamEntry>> {
         self.entries.values().cloned().collect()
     }
 
-    /// The store's revision that the list reflects, 0 is none.
+    /// The store revision that the list reflects; 0 if none.
     pub fn at(&self) -> u64 {
         self.at
     }
 
-    /// Entries that name no upstream: known, not usable.
+    /// Number of entries in the store that do not describe a usable upstream.
     pub fn unusable(&self) -> usize {
-        let told = self.records.iter();
-        let unusable =
-            told.filter(|(id, told)| told.record.text.is_some() && !self.entries.contains_key(*id));
+        let records = self.records.iter();
+        let unusable = records.filter(|(id, sourced)| {
+            sourced.record.text.is_some() && !self.entries.contains_key(*id)
+        });
         unusable.count()
     }
 
-    /// Who told what is known of an upstream; none if it was never heard of.
+    /// Source and revision of an upstream's last record; none for unknown upstreams.
     pub fn origin(
         &self,
         id: &str,
     ) -> Option<UpstreamOrigin> {
-        let told = self.records.get(id)?;
+        let sourced = self.records.get(id)?;
         Some(UpstreamOrigin {
-            revision: told.record.revision,
-            from: told.from.clone(),
-            is_lapsed: told.record.text.is_none() && self.entries.contains_key(id),
+            revision: sourced.record.revision,
+            from: sourced.from.clone(),
+            is_lapsed: sourced.record.text.is_none() && self.entries.contains_key(id),
         })
     }
 
-    /// What changed after a revision; the whole list for one that may know upstreams
-    /// whose removals were never heard of here. Without that it would take the revision
-    /// for its own, and keep and use them.
+    /// The changes after a store revision, or a snapshot if removals after it may be missing
+    /// from the records. A peer that got only changes then would adopt the revision and go on
+    /// using removed upstreams.
     pub fn news_after(
         &self,
         revision: u64,
     ) -> UpstreamNews {
         let is_whole = revision < self.since;
-        let told = self.records.values().map(|told| &told.record);
-        let lacking = told.filter(|record| match is_whole {
+        let records = self.records.values().map(|sourced| &sourced.record);
+        let sent = records.filter(|record| match is_whole {
             true => record.text.is_some(),
             false => record.revision > revision,
         });
         UpstreamNews {
-            records: lacking.cloned().collect(),
+            records: sent.cloned().collect(),
             at: self.at,
             is_whole,
         }
     }
 
-    /// Takes in news. Whether they were any.
-    pub fn take(
+    /// Applies changes or a snapshot. Returns whether the upstreams in use or the revision
+    /// changed.
+    pub fn apply(
         &mut self,
-        news: UpstreamNews,
+        update: UpstreamNews,
         from: &str,
     ) -> bool {
         let UpstreamNews {
             mut records,
             at,
             is_whole,
-        } = news;
+        } = update;
         if is_whole {
-            records.extend(self.missing_from(&records, at));
+            records.extend(self.removals_by(&records, at));
         }
-        if vanish_together(&self.entries, &records) {
-            log::warn!(from = from; "most upstreams vanished at once: their leases ran out");
+        if remove_most_entries(&self.entries, &records) {
+            log::warn!(
+                from = from;
+                "most upstream entries vanished at once: their leases expired"
+            );
             self.lapses.begin(Instant::now());
         }
         let from: Arc<str> = from.into();
         let changed = records
             .into_iter()
-            .filter(|record| self.take_one(record, &from))
+            .filter(|record| self.apply_record(record, &from))
             .count();
-        let moved = at > self.at;
+        let has_advanced = at > self.at;
         self.at = self.at.max(at);
         if is_whole {
             self.since = self.since.max(at);
         }
-        changed > 0 || moved
+        changed > 0 || has_advanced
     }
 
-    /// Records that say that what was known by the revision `at`, and is not among
-    /// these, is gone.
-    fn missing_from(
+    /// Removal records for the upstreams up to the revision `at` that a snapshot of that
+    /// revision does not list.
+    fn removals_by(
         &self,
         listed: &[UpstreamRecord],
         at: u64,
     ) -> Vec<UpstreamRecord> {
         let listed: BTreeSet<&str> = listed.iter().map(|record| &*record.id).collect();
-        let known = self.records.values().map(|told| &told.record);
+        let known = self.records.values().map(|sourced| &sourced.record);
         known
             .filter(|known| {
                 known.text.is_some() && known.revision <= at && !listed.contains(&*known.id)
@@ -158,14 +162,14 @@
             .collect()
     }
 
-    /// Takes the upstreams as gone whose entries did not come back in time. Whether
-    /// there were any.
+    /// Removes the lapsed upstreams whose entries did not reappear within the grace period.
+    /// Returns whether there were any.
     pub fn drop_lapsed(&mut self) -> bool {
         let expired = self.lapses.take_expired(Instant::now());
         self.drop_all(&expired)
     }
 
-    /// Takes all upstreams as gone whose entries have lapsed. Whether there were any.
+    /// Removes all lapsed upstreams. Returns whether there were any.
     pub fn end_lapses(&mut self) -> bool {
         let lapsed = self.lapses.take_all();
         self.drop_all(&lapsed)
@@ -173,30 +177,31 @@
 
     fn drop_all(
         &mut self,
-        expired: &[String],
+        ids: &[String],
     ) -> bool {
-        for id in expired {
+        for id in ids {
             self.entries.remove(id);
             log::info!(upstream = id.as_str(); "upstream gone: its entry did not come back");
         }
-        !expired.is_empty()
+        !ids.is_empty()
     }
 
-    fn take_one(
+    /// Applies one record. Returns whether the upstreams in use changed.
+    fn apply_record(
         &mut self,
         record: &UpstreamRecord,
         from: &Arc<str>,
     ) -> bool {
-        // A whole reading had all that was written before it: an answer that was given
-        // before, and comes after it, would list an upstream that has gone since for as long
-        // as the process lives.
+        // Records up to the last snapshot are ignored even for unknown upstreams: the snapshot
+        // contains everything written before it. An answer of the store that is overtaken by
+        // the snapshot would otherwise restore a removed upstream for good.
         let known = self.records.get(&record.id);
-        let reached = known.map_or(0, |known| known.record.revision);
-        if record.revision <= reached.max(self.since) {
+        let known_revision = known.map_or(0, |known| known.record.revision);
+        if record.revision <= known_revision.max(self.since) {
             return false;
         }
         let entry = self.parse(record, from);
-        let told = ToldRecord {
+        let sourced = SourcedRecord {
             record: UpstreamRecord {
                 text: match entry {
                     Some(_) => record.text.clone(),
@@ -206,9 +211,10 @@
             },
             from: from.clone(),
         };
-        self.records.insert(record.id.clone(), told);
+        self.records.insert(record.id.clone(), sourced);
         let before = self.entries.get(&record.id);
-        // How long it is slow counts from when it is heard: the same again is news.
+        // The remaining slow start counts from the time of receipt, so an equal entry extends
+        // it and is a change.
         let is_slow = entry
             .as_ref()
             .is_some_and(|entry| !entry.slow_for.is_zero());
@@ -218,7 +224,7 @@
         if is_gone && was_ready && self.lapses.keeps(&record.id, Instant::now()) {
             log::info!(
                 upstream = record.id.as_str(), revision = record.revision, from = &**from;
-                "upstream's entry lapsed: kept for a moment"
+                "upstream entry lapsed: the upstream stays in use for a grace period"
             );
             return false;
         }
@@ -236,8 +242,8 @@
         !same
     }
 
-    /// The upstream that a record names. One that names none is known all the same, so
-    /// that its revision and its removal go on; its text is not kept.
+    /// Parses the entry of a record. Logs entries that cannot be used and returns none for
+    /// them, as for removals.
     fn parse(
         &self,
         record: &UpstreamRecord,
--- a/src/catalog/upstream_news.rs
+++ b/src/catalog/upstream_news.rs
@@ -3,10 +3,10 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What one that is behind lacks of the list of upstreams.
+/// Changes of the list of upstreams, or a snapshot of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamNews {
     pub records: Vec<UpstreamRecord>,
-    pub at: u64,        // the store's revision that they reach up to
-    pub is_whole: bool, // all that there is: upstreams known by then that it lacks are gone
+    pub at: u64,        // store revision reflected after they are applied
+    pub is_whole: bool, // a snapshot: older upstreams that are missing from it are removed
 }
--- a/src/catalog/upstream_origin.rs
+++ b/src/catalog/upstream_origin.rs
@@ -1,9 +1,9 @@
 use std::sync::Arc;
 
-/// Where the newest word on an upstream came from.
+/// Source and revision of the last record of an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamOrigin {
-    pub revision: u64,   // of the store, at the change it tells of
-    pub from: Arc<str>,  // the store, or a router's address
-    pub is_lapsed: bool, // its entry vanished with most others, and it is kept for a moment
+    pub revision: u64,   // store revision of the change
+    pub from: Arc<str>,  // "store", or a router's address
+    pub is_lapsed: bool, // its entry vanished with most others; in use for a grace period
 }
--- a/src/catalog/upstream_record.rs
+++ b/src/catalog/upstream_record.rs
@@ -1,9 +1,9 @@
 use serde::{Deserialize, Serialize};
 
-/// The newest known text of one upstream's entry, or that it is gone.
+/// The text of an upstream's entry in the store at some revision, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
     pub id: String,
-    pub revision: u64,        // of the store, at this change
-    pub text: Option<String>, // none: gone
+    pub revision: u64,        // store revision of the change
+    pub text: Option<String>, // none if removed; empty if unusable
 }
--- a/src/catalog/upstream_state.rs
+++ b/src/catalog/upstream_state.rs
@@ -1,4 +1,4 @@
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamState {
     Ready,
