--- a/src/catalog/catalog_change.rs
+++ b/src/catalog/catalog_change.rs
@@ -1,6 +1,6 @@
 use super::{CordonChange, UpstreamRecord};
 
-/// One item of the store that the catalog takes in.
+/// One item of the store that concerns the catalog.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Item {
     Config { text: String },
@@ -8,9 +8,9 @@
     Cordon(CordonChange),
 }
 
-/// What a read of the store brought.
+/// Result of a listing or a watch of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CatalogChange {
     pub items: Vec<Item>,
-    pub at: u64, // the store's revision that the next watch goes on from
+    pub at: u64, // store revision from which the next watch continues
 }
--- a/src/catalog/catalog_source.rs
+++ b/src/catalog/catalog_source.rs
@@ -4,13 +4,13 @@
     std::{future::Future, time::Duration},
 };
 
-/// The store that the platform keeps, which can only be read.
+/// Read access to the platform's store.
 pub trait CatalogSource: Send + Sync + 'static {
-    /// Reads everything: codes 80 to 82. Upstreams that it lacks are gone.
+    /// Reads all items. Fails with codes 80 to 82.
     fn list(&self) -> impl Future<Output = Result<CatalogChange, Fault>> + Send;
 
-    /// Waits up to `wait` for changes after a revision; none when the history
-    /// that far back is gone. Codes 80 to 82.
+    /// Waits up to `wait` for changes after the revision `after`; none if the store has
+    /// discarded its history from there on. Fails with codes 80 to 82.
     fn watch(
         &self,
         after: u64,
--- a/src/catalog/config_origin.rs
+++ b/src/catalog/config_origin.rs
@@ -1,9 +1,9 @@
 use std::{sync::Arc, time::Duration};
 
-/// Where the configuration in force came from.
+/// Version, source and age of the configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigOrigin {
     pub version: u64,
-    pub from: Arc<str>, // the store, or a router's address
-    pub age: Duration,  // since it was accepted here
+    pub from: Arc<str>, // "store", or a router's address
+    pub age: Duration,  // since this process accepted it
 }
--- a/src/catalog/follow.rs
+++ b/src/catalog/follow.rs
@@ -9,15 +9,16 @@
     tokio::time::{Instant, sleep, timeout},
 };
 
-/// How often lapsed upstreams are looked at.
-const LAPSE_LOOK: Duration = Duration::from_millis(100);
+/// Interval at which lapsed upstreams are checked for expiry.
+const LAPSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a process that leaves reading to others looks whether it still does.
-const DUTY_LOOK: Duration = Duration::from_millis(100);
+/// Interval at which a process that does not read the store checks whether it should.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows the store for as long as the process lives: a whole reading first,
-/// then watches, and a whole reading again when history is gone. While reading is
-/// not this process's duty, others tell it, and it goes on from what they told.
+/// Keeps the catalog in step with the store until the process exits: lists all items, then
+/// watches for changes, and lists again when the store has discarded its history. While
+/// `duty` says that other processes read the store, their updates arrive by other means; when
+/// this process takes over, it continues from the revision that those have reached.
 pub async fn follow_source<S: CatalogSource, D: ReadDuty>(
     catalog: Arc<Catalog>,
     source: Arc<S>,
@@ -27,27 +28,30 @@
     tokio::spawn(drop_lapsed(Arc::downgrade(&catalog)));
     let mut reached = None;
     let mut failures = 0u32;
-    let mut answered = Instant::now();
-    let mut left_to_others = true;
+    let mut last_answer = Instant::now();
+    let mut was_inactive = true;
     loop {
         if !duty.is_mine() {
-            left_to_others = true;
-            sleep(DUTY_LOOK).await;
+            was_inactive = true;
+            sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
-        if std::mem::take(&mut left_to_others) {
-            reached = told_so_far(&catalog);
+        if std::mem::take(&mut was_inactive) {
+            reached = reached_through_peers(&catalog);
             failures = 0;
-            answered = Instant::now();
+            last_answer = Instant::now();
         }
-        let begun = Instant::now();
-        match step(&catalog, &*source, pace, failures > 0, reached).await {
+        let call_start = Instant::now();
+        match call_store(&catalog, &*source, pace, failures > 0, reached).await {
             Ok(at) => {
                 if failures > 0 {
-                    log::info!(failures = failures, silent_ms = millis(answered); "store answers again");
+                    log::info!(
+                        failures = failures, silent_ms = millis_since(last_answer);
+                        "store answers again"
+                    );
                 }
                 failures = 0;
-                answered = Instant::now();
+                last_answer = Instant::now();
                 duty.went(true);
                 reached = at;
                 sleep(pace.pause).await;
@@ -56,40 +60,40 @@
                 failures += 1;
                 log::warn!(
                     code = error.code.number(), failures = failures, after = reached.unwrap_or(0),
-                    call_ms = millis(begun), silent_ms = millis(answered);
+                    call_ms = millis_since(call_start), silent_ms = millis_since(last_answer);
                     "store does not answer: {error}"
                 );
                 duty.went(false);
-                sleep(pace.pause_after_failure(begun.elapsed(), rand::random())).await;
+                sleep(pace.pause_after_failure(call_start.elapsed(), rand::random())).await;
             }
         }
     }
 }
 
-/// The revision up to which others told what the store holds; none if they did not
-/// tell of all: the configuration, the upstreams and the cordons.
-fn told_so_far(catalog: &Catalog) -> Option<u64> {
+/// The store revision up to which peers have sent everything: the configuration, the upstreams
+/// and the cordons. None if any of these is missing.
+fn reached_through_peers(catalog: &Catalog) -> Option<u64> {
     let version = catalog.version();
     let at = version.upstreams.min(catalog.cordons_at());
     (version.config > 0 && at > 0).then_some(at)
 }
 
-/// Milliseconds since a moment.
-fn millis(since: Instant) -> u64 {
-    since.elapsed().as_millis() as u64
+fn millis_since(start: Instant) -> u64 {
+    start.elapsed().as_millis() as u64
 }
 
-/// Takes lapsed upstreams as gone in time, for as long as the catalog lives.
+/// Removes expired lapsed upstreams regularly, until the catalog is dropped.
 async fn drop_lapsed(catalog: Weak<Catalog>) {
     while let Some(catalog) = catalog.upgrade() {
         catalog.drop_lapsed();
         drop(catalog);
-        sleep(LAPSE_LOOK).await;
+        sleep(LAPSE_CHECK_INTERVAL).await;
     }
 }
 
-/// One call. Gives the revision to go on from, or none for a whole reading.
-async fn step<S: CatalogSource>(
+/// Makes one call to the store and applies its answer. Watches from the revision `reached`, or
+/// lists all items if that is none. Returns the revision for the next call.
+async fn call_store<S: CatalogSource>(
     catalog: &Catalog,
     source: &S,
     pace: FollowPace,
@@ -97,8 +101,8 @@
     reached: Option<u64>,
 ) -> Result<Option<u64>, Fault> {
     let Some(after) = reached else {
-        let knows_nothing = catalog.version().config == 0;
-        let listing = match knows_nothing {
+        let is_first = catalog.version().config == 0;
+        let listing = match is_first {
             true => first_listing(source, pace.first_again()).await?,
             false => source.list().await?,
         };
@@ -107,10 +111,10 @@
         return Ok(Some(at));
     };
     let time = pace.next_watch(failed_before);
-    let asked = timeout(time.limit, source.watch(after, time.wait)).await;
-    let lost = |_| Fault::new(ResultCode::PlatformDown, "no answer in time");
-    let Some(change) = asked.map_err(lost)?? else {
-        log::info!(after = after; "store forgot its history: reading it whole");
+    let answer = timeout(time.limit, source.watch(after, time.wait)).await;
+    let timed_out = |_| Fault::new(ResultCode::PlatformDown, "the watch timed out");
+    let Some(change) = answer.map_err(timed_out)?? else {
+        log::info!(after = after; "store has discarded its history: listing all items");
         return Ok(None);
     };
     let at = change.at.max(after);
@@ -118,17 +122,18 @@
     Ok(Some(at))
 }
 
-/// Reads everything for a process that can serve nobody before: while a call is not answered
-/// others are begun beside it, and whichever ends first counts. One that is sent into a
-/// silence is not answered when the store speaks again.
+/// The first listing of a process, without which it cannot serve any request. Starts another
+/// call every `hedge_delay` while none has ended, and returns the result of the first that
+/// ends. A call sent while the store is unreachable is not answered after its return, so a
+/// single call would only fail at its time-out.
 async fn first_listing<S: CatalogSource>(
     source: &S,
-    again: Duration,
+    hedge_delay: Duration,
 ) -> Result<CatalogChange, Fault> {
     let mut calls = FuturesUnordered::from_iter([source.list()]);
     loop {
-        match timeout(again, calls.next()).await {
-            Ok(Some(ended)) => return ended,
+        match timeout(hedge_delay, calls.next()).await {
+            Ok(Some(result)) => return result,
             Ok(None) | Err(_) => calls.push(source.list()),
         }
     }
--- a/src/catalog/follow_pace.rs
+++ b/src/catalog/follow_pace.rs
@@ -1,31 +1,30 @@
 use {super::WatchTime, std::time::Duration};
 
-/// The part of `apply` by which an answer may be late before its call counts as lost:
-/// a store answers in milliseconds, the rest is for a host that is short of processor.
-const SLACK_SHARE: f64 = 0.15;
+/// Fraction of `apply` that a watch may exceed its wait by before it counts as lost. The store
+/// answers in milliseconds; the rest covers a host short of processor time.
+const SLACK_FRACTION: f64 = 0.15;
 
-/// The part of `apply` left for the call that replaces a lost one, and for telling
-/// what it brought to the other routers of the zone.
-const SPARE_SHARE: f64 = 0.1;
+/// Fraction of `apply` reserved for the call that replaces a lost one, and for passing its
+/// result on to the other routers of the zone.
+const RESERVE_FRACTION: f64 = 0.1;
 
-/// The part of `apply` that a call may take that waits for nothing.
-const READ_SHARE: f64 = 0.5;
+/// Fraction of `apply` after which a call that does not wait for changes times out.
+const READ_FRACTION: f64 = 0.5;
 
-/// How often the store is asked, and how long an answer may take. A call that got lost
-/// looks like one that waits, so that no call may last longer than a confirmed
-/// configuration has to come into force.
+/// Timing of calls to the store. A lost watch cannot be told from one that waits for changes,
+/// so no watch may take longer than a published configuration has to come into force.
 #[derive(Debug, Clone, Copy)]
 pub struct FollowPace {
-    pub apply: Duration,       // within which a confirmed configuration is in force
-    pub pause: Duration,       // between two watches, so that changes come together
-    pub retry_pause: Duration, // after the start of a call that failed, at most; drawn below it
+    pub apply: Duration, // deadline for a published configuration to be in force
+    pub pause: Duration, // between two watches, so that changes are batched
+    pub retry_pause: Duration, // upper bound of the time between the starts of retries
 }
 
 impl FollowPace {
-    /// How the next watch is asked. After a failure it asks for what is there instead of
-    /// waiting for a change: a watch that is sent while the store is silent is missed
-    /// for its whole wait after the return (3 s of old configuration at five routers after
-    /// a silence of 9 s, from their logs).
+    /// Timing of the next watch. After a failure the watch returns at once instead of waiting
+    /// for a change. A waiting watch sent while the store is unreachable would go unanswered
+    /// until its time-out, and after a silence of 9 s would leave routers with the old
+    /// configuration for another 3 s.
     pub fn next_watch(
         &self,
         failed_before: bool,
@@ -37,42 +36,42 @@
         }
     }
 
-    /// How long a call may take that waits for nothing.
+    /// Time-out of a call that does not wait for changes.
     pub fn read_time(&self) -> Duration {
-        self.apply.mul_f64(READ_SHARE)
+        self.apply.mul_f64(READ_FRACTION)
     }
 
-    /// After how long the first reading is begun anew beside one that is not answered.
+    /// Delay after which another first listing is started beside an unanswered one.
     pub fn first_again(&self) -> Duration {
         self.slack()
     }
 
-    /// The pause after a call that failed. `drawn` is from 0 to 1, so that a store that
-    /// comes back is not met by all at once; what the call took counts.
+    /// Pause after a failed call that took `call_time`. `jitter`, from 0 to 1, spreads the
+    /// retries of processes, so that a store that recovers is not called by all at once.
     pub fn pause_after_failure(
         &self,
-        call_took: Duration,
-        drawn: f64,
+        call_time: Duration,
+        jitter: f64,
     ) -> Duration {
-        let pause = self.retry_pause.mul_f64(0.5 + 0.5 * drawn);
-        pause.saturating_sub(call_took)
+        let pause = self.retry_pause.mul_f64(0.5 + 0.5 * jitter);
+        pause.saturating_sub(call_time)
     }
 
-    /// Whether a change comes into force in time where calls get lost.
+    /// Whether a change is in force within `apply` even if a call is lost.
     pub fn keeps_apply(&self) -> bool {
         self.watch_wait().is_some() && self.retry_pause < self.apply
     }
 
-    /// The longest that a watch waits; none if no time is left for waiting.
+    /// The longest wait of a watch; none if `apply` leaves no time for one.
     fn watch_wait(&self) -> Option<Duration> {
-        let spare = self.apply.mul_f64(SPARE_SHARE);
-        let taken = self.pause + self.slack() + spare;
-        let wait = self.apply.checked_sub(taken);
+        let reserve = self.apply.mul_f64(RESERVE_FRACTION);
+        let overhead = self.pause + self.slack() + reserve;
+        let wait = self.apply.checked_sub(overhead);
         wait.filter(|wait| wait.as_millis() > 0)
     }
 
-    /// How much longer than it waits a watch may take.
+    /// Time by which a watch may exceed its wait.
     fn slack(&self) -> Duration {
-        self.apply.mul_f64(SLACK_SHARE)
+        self.apply.mul_f64(SLACK_FRACTION)
     }
 }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -1,6 +1,6 @@
-//! What a process knows of the operator's configuration and of the upstreams,
-//! by version: it reads the platform's store and its peers, and never goes
-//! back to an older version.
+//! The catalog of a process: the operator's configuration, the list of upstreams and the
+//! cordoned zones, read from the platform's store or received from peers. Each part has a
+//! version and never returns to an older one.
 
 mod accepted_config;
 mod catalog;
--- a/src/catalog/read_duty.rs
+++ b/src/catalog/read_duty.rs
@@ -1,17 +1,17 @@
-/// Whether this process reads the store for itself, or leaves that to others that
-/// tell it what they read.
+/// Decides whether this process reads the store itself or receives the catalog from others
+/// that do.
 pub trait ReadDuty: Send + Sync + 'static {
-    /// Whether it reads now.
+    /// Whether this process is to read the store now.
     fn is_mine(&self) -> bool;
 
-    /// How its last call went.
+    /// Records whether the store answered the last call.
     fn went(
         &self,
         answered: bool,
     );
 }
 
-/// A process that always reads for itself.
+/// The role of a process that always reads the store itself.
 #[derive(Debug, Clone, Copy)]
 pub struct AlwaysReads;
 
--- a/src/catalog/watch_time.rs
+++ b/src/catalog/watch_time.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
-/// How long one watch waits, and when it counts as lost.
+/// Timing of one watch of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchTime {
-    pub wait: Duration,
-    pub limit: Duration, // the wait included
+    pub wait: Duration, // how long the store may hold the answer until there is a change
+    pub limit: Duration, // time-out of the whole call
 }
