--- a/src/peers/catalog_news.rs
+++ b/src/peers/catalog_news.rs
@@ -3,9 +3,10 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a peer lacks of the configuration and the list of upstreams.
+/// Answer to a peer whose catalog is older: the configuration and the upstream records that
+/// it lacks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogNews {
-    pub config: Option<String>, // the whole text, if newer
+    pub config: Option<String>, // full text, if newer than the peer's
     pub upstreams: UpstreamNews,
 }
--- a/src/peers/evidence_told.rs
+++ b/src/peers/evidence_told.rs
@@ -4,11 +4,11 @@
     std::net::SocketAddr,
 };
 
-/// One datagram with what a router has seen of how replicas work, to the routers of its
-/// zone. What it says of a replica replaces what the same router said before.
+/// Datagram to the routers of the own zone with what one router has observed of the pace and
+/// the pauses of replicas. Replaces what the same router sent of a replica before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceTold {
-    pub zone: u32, // of the teller, short name
-    pub teller: SocketAddr,
+    pub zone: u32,          // hash of the zone's name
+    pub teller: SocketAddr, // the router that made the observations
     pub replicas: Vec<ReplicaEvidence>,
 }
--- a/src/peers/kept_told.rs
+++ b/src/peers/kept_told.rs
@@ -4,12 +4,12 @@
     std::net::SocketAddr,
 };
 
-/// One datagram with what a router heard of replicas that it follows, of their events
-/// those that changed what it believed: to the routers of its zone; and of these to other
-/// zones those by which shared parts were given up.
+/// Datagram with prompt-cache events of the replicas whose events one router reads. The
+/// routers of its zone get all events that changed its view of the caches; other zones get
+/// only the evictions of prompt parts that several prompts share.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeptTold {
-    pub zone: u32, // of the teller, short name
-    pub teller: SocketAddr,
-    pub replicas: Vec<(u32, KeptNews)>, // by the short name of the start
+    pub zone: u32,                      // hash of the zone's name
+    pub teller: SocketAddr,             // the router that read the events
+    pub replicas: Vec<(u32, KeptNews)>, // by `UpstreamEntry::start_name`
 }
--- a/src/peers/leaving_told.rs
+++ b/src/peers/leaving_told.rs
@@ -3,10 +3,11 @@
     std::net::SocketAddr,
 };
 
-/// One datagram with the replicas that said to a router that they leave.
+/// Datagram to the routers of the own zone with the replicas that announced to one router
+/// that they are shutting down.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingTold {
-    pub zone: u32, // of the teller, short name
-    pub teller: SocketAddr,
-    pub starts: Vec<u32>, // of replicas, short names
+    pub zone: u32,          // hash of the zone's name
+    pub teller: SocketAddr, // the router that got the announcements
+    pub starts: Vec<u32>,   // replicas, by `UpstreamEntry::start_name`
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,18 +1,18 @@
-//! What routers tell each other: what each has at which replica, what accounts
-//! got, which configuration is in force, and who else there is.
+//! Gossip between routers: the load that each has placed on each replica, the service that
+//! accounts got, the version of the configuration, and the membership of the fleet.
 //!
-//! Availability zones are cells. Every router reports to those of its own zone.
-//! Between two zones one router of each, drawn by hash among those that its zone
-//! hears of, tells the other zone's the sum of its own; the router that gets a sum
-//! hands it to its fellows. So what a router sends and hears grows with its zone,
-//! and what passes between zones with the square of their number.
+//! Every router sends reports to all routers of its own availability zone. Between two zones
+//! one representative of each, chosen by hash among the live routers of its zone, sends a
+//! summary of its zone to the other one's representative, which relays it within its own zone.
+//! The traffic of a router therefore grows with the size of its zone, and the traffic between
+//! zones with the square of their number.
 //!
-//! Reports and sums go by datagrams, since QUIC for each takes more processor than small
-//! hosts have to spare; a report may be lost, since the next one says the same. News of the
-//! catalog go over QUIC when a router is behind, encrypted with certificates that each
-//! process makes for itself at its start; reports are not. Since hosts are given no keys, a
-//! peer is known by its address alone: a stranger who can send from inside the network from
-//! such an address is not kept out.
+//! Reports and summaries are UDP datagrams, because QUIC connections between all routers take
+//! more processor time than small hosts have to spare. A lost datagram does no harm, since
+//! the next one carries the same state. A router whose catalog is out of date fetches updates
+//! over QUIC, encrypted with a self-signed certificate that each process generates at start.
+//! Datagrams are not encrypted. Hosts hold no keys, so a peer is identified by its address
+//! alone: an attacker inside the network who can send from a peer's address is not kept out.
 
 mod ask_names;
 mod ask_news;
--- a/src/peers/named_router.rs
+++ b/src/peers/named_router.rs
@@ -3,9 +3,9 @@
     std::net::SocketAddr,
 };
 
-/// A router as others name it.
+/// Address and zone of a router, as exchanged in discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedRouter {
-    pub address: SocketAddr, // where it takes reports
-    pub zone: u32,           // short name
+    pub address: SocketAddr, // where it receives datagrams of other routers
+    pub zone: u32,           // hash of the zone's name
 }
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -8,27 +8,27 @@
 /// One datagram between routers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// To the routers of the own zone.
+    /// State of one router, to the routers of its own zone.
     Report(RouterReport),
-    /// To another zone, and there from the router that got it to its fellows.
+    /// State of a zone, to the representative of another zone, which relays it in its zone.
     Sum(ZoneSum),
-    /// A router names itself, and asks for the others of its zone.
+    /// Discovery request: the sender names itself and asks for other routers.
     Ask(NamedRouter),
-    /// Routers that were heard of lately: those of the asker's zone, and some of
-    /// each other zone.
+    /// Answer to a discovery request: the live routers of the asker's zone, and some of each
+    /// other zone.
     Names(Vec<NamedRouter>),
-    /// Requests under which replicas ended, to the own zone and others.
+    /// Requests that may have crashed replicas, to the own zone and to others.
     Suspects(SuspectsTold),
-    /// Replicas that said that they leave, to the routers of the own zone.
+    /// Replicas that announced their shutdown, to the own zone.
     Leaving(LeavingTold),
-    /// What was seen of how replicas work, to the routers of the own zone.
+    /// Observed performance of replicas, to the own zone.
     Evidence(EvidenceTold),
-    /// What replicas say that they keep, to the own zone; shared parts given up, to others.
+    /// Prompt-cache events of replicas, to the own zone; evictions of shared parts, to others.
     Kept(KeptTold),
 }
 
 impl PeerMessage {
-    /// Its kind, for metrics and logs.
+    /// Its label in metrics and logs.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Report(_) => "report",
--- a/src/peers/router_report.rs
+++ b/src/peers/router_report.rs
@@ -5,19 +5,20 @@
     std::net::SocketAddr,
 };
 
-/// One datagram from one router to another of its availability zone.
+/// Datagram with the state of one router, to the other routers of its availability zone. The
+/// figures of one report may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouterReport {
-    pub address: SocketAddr, // where the router takes reports
-    pub news: SocketAddr,    // where it can be asked for its catalog
-    pub callers: SocketAddr, // where it takes callers
-    pub zone: u32,           // short name
-    pub incarnation: u64,    // of its process; higher is later
+    pub address: SocketAddr, // where it receives datagrams of other routers
+    pub news: SocketAddr,    // QUIC address that serves its catalog
+    pub callers: SocketAddr, // address for caller connections
+    pub zone: u32,           // hash of the zone's name
+    pub incarnation: u64,    // start time of the process in Unix milliseconds
     pub sequence: u64,
-    pub leaving: bool,
-    pub busy: u8,         // part of the time with work for its processor, in percent
-    pub millicores: u16,  // thousandths of a core that it has
-    pub store_lost: bool, // it could not read the store of late
+    pub leaving: bool,    // shutting down
+    pub busy: u8,         // percent of the time that its processor had work
+    pub millicores: u16,  // processor capacity, in thousandths of a core
+    pub store_lost: bool, // its recent reads of the store failed
     pub version: CatalogVersion,
     pub figures: Figures,
 }
--- a/src/peers/suspects_told.rs
+++ b/src/peers/suspects_told.rs
@@ -4,10 +4,10 @@
     std::net::SocketAddr,
 };
 
-/// One datagram with what a router knows of requests under which replicas ended.
+/// Datagram with requests that one router suspects of crashing replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectsTold {
-    pub zone: u32,          // of the teller, short name
-    pub teller: SocketAddr, // who hears it from another zone's router hands it on in its own
+    pub zone: u32,          // hash of the zone's name
+    pub teller: SocketAddr, // its author; the first receiver in another zone relays it there
     pub notes: Vec<SuspectNote>,
 }
--- a/src/peers/zone_sum.rs
+++ b/src/peers/zone_sum.rs
@@ -5,17 +5,17 @@
     std::net::SocketAddr,
 };
 
-/// One datagram from one availability zone to another: what its routers have
-/// together. A later one replaces it, whichever router of the zone made it.
+/// Datagram from one availability zone to another with the totals of its routers. A later one
+/// replaces it, also if another router of the zone made that.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ZoneSum {
-    pub zone: u32,           // short name
-    pub carrier: SocketAddr, // the router that made it, and takes sums for its zone
-    pub news: SocketAddr,    // where it can be asked for its catalog
-    pub incarnation: u64,    // of its process
+    pub zone: u32,           // hash of the zone's name
+    pub carrier: SocketAddr, // its author; also receives the summaries for its zone
+    pub news: SocketAddr,    // QUIC address that serves the author's catalog
+    pub incarnation: u64,    // start time of the author's process in Unix milliseconds
     pub sequence: u64,
-    pub routers: u32, // in the zone, as the carrier knows them
+    pub routers: u32, // live ones in the zone
     pub version: CatalogVersion,
     pub figures: Figures,
-    pub members: Vec<SocketAddr>, // some routers of the zone
+    pub members: Vec<SocketAddr>, // some live routers of the zone
 }
