--- a/src/peers/evidence_turn.rs
+++ b/src/peers/evidence_turn.rs
@@ -3,57 +3,61 @@
     std::time::Duration,
 };
 
-/// Replicas in one datagram, so that it stays within some 1,200 bytes: up to 29 each.
-const REPLICAS: usize = 40;
+/// Replicas in one datagram. At up to 29 bytes each it stays below 1,200 bytes, which fit
+/// one packet.
+const MAX_REPLICAS: usize = 40;
 
-/// Of these, those of which most is to be said; the others follow in turn.
-const FOREMOST: usize = 20;
+/// Replicas in each datagram that deviate most from the usual. The rest of the datagram is
+/// filled with the other replicas, round robin.
+const MOST_DEVIANT: usize = 20;
 
-/// The shortest time between two such datagrams of one router.
-const TOLD_AGAIN: Duration = Duration::from_secs(1);
+/// Shortest time between two evidence datagrams to the same router.
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Datagrams a second that one router sends of this at most: where its zone has many
-/// routers, each is told less often, and each sees less.
-const DATAGRAMS_PER_SECOND: f64 = 50.0;
+/// Limit on the evidence datagrams of one router to all others together. In zones with
+/// more routers than that each one is sent to less often.
+const MAX_DATAGRAMS_PER_SECOND: f64 = 50.0;
 
-/// What was told of how replicas work, and when.
+/// Decides when evidence is sent to the own zone, and of which replicas.
 #[derive(Debug, Default)]
 pub struct EvidenceTurn {
-    told: Option<Moment>,
-    next: usize, // of the replicas, whose turn it is
+    last_sent: Option<Moment>,
+    next: usize, // position of the round robin
 }
 
 impl EvidenceTurn {
-    /// Whether so many routers are told something now.
+    /// Whether evidence is due, for a zone with this many other routers.
     pub fn is_due(
         &self,
         now: Moment,
         routers: usize,
     ) -> bool {
-        let paced = Duration::from_secs_f64(routers as f64 / DATAGRAMS_PER_SECOND);
-        let pause = TOLD_AGAIN.max(paced);
-        let is_due = |told| now.saturating_sub(told) >= pause;
-        routers > 0 && self.told.is_none_or(is_due)
+        let paced = Duration::from_secs_f64(routers as f64 / MAX_DATAGRAMS_PER_SECOND);
+        let interval = MIN_INTERVAL.max(paced);
+        let is_due = |sent| now.saturating_sub(sent) >= interval;
+        routers > 0 && self.last_sent.is_none_or(is_due)
     }
 
-    /// What of all that was seen goes into one datagram now.
+    /// Selects from all evidence what goes into the datagram that is sent now.
     pub fn take(
         &mut self,
         now: Moment,
-        mut seen: Vec<ReplicaEvidence>,
+        mut evidence: Vec<ReplicaEvidence>,
     ) -> Vec<ReplicaEvidence> {
-        self.told = Some(now);
-        if seen.len() <= REPLICAS {
-            return seen;
+        self.last_sent = Some(now);
+        if evidence.len() <= MAX_REPLICAS {
+            return evidence;
         }
-        seen.select_nth_unstable_by(FOREMOST, |one, other| other.says().total_cmp(&one.says()));
-        let mut rest = seen.split_off(FOREMOST);
+        evidence.select_nth_unstable_by(MOST_DEVIANT, |one, other| {
+            other.says().total_cmp(&one.says())
+        });
+        let mut rest = evidence.split_off(MOST_DEVIANT);
         rest.sort_unstable_by_key(|evidence| evidence.start);
         let begin = self.next % rest.len();
-        let count = REPLICAS - FOREMOST;
+        let count = MAX_REPLICAS - MOST_DEVIANT;
         self.next = begin + count;
-        let round = rest.iter().cycle().skip(begin);
-        seen.extend(round.take(count.min(rest.len())));
-        seen
+        let round_robin = rest.iter().cycle().skip(begin);
+        evidence.extend(round_robin.take(count.min(rest.len())));
+        evidence
     }
 }
--- a/src/peers/peer_entry.rs
+++ b/src/peers/peer_entry.rs
@@ -4,63 +4,64 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What is known of one router.
+/// State of one known router.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeerEntry {
     pub is_seed: bool,
     pub zone: Option<u32>,
-    pub told: Moment,             // when it was first named
-    pub met: Option<Moment>,      // when it, or one of its zone that hears it, last spoke
-    pub heard: Option<Moment>,    // its own last report
-    pub news: Option<SocketAddr>, // where it can be asked for its catalog
+    pub named_at: Moment,            // when another router first named it
+    pub last_seen: Option<Moment>,   // last message from it, or from its zone naming it
+    pub last_report: Option<Moment>, // last report from it
+    pub news: Option<SocketAddr>,    // QUIC address that serves its catalog
     pub incarnation: u64,
     pub sequence: u64,
     pub leaving: bool,
-    pub busy: u8, // percent
+    pub busy: u8, // percent of the time that its processor had work
     pub millicores: u16,
-    pub store_lost: bool,            // it could not read the store of late
-    pub callers: Option<SocketAddr>, // where it takes callers
+    pub store_lost: bool,            // its recent reads of the store failed
+    pub callers: Option<SocketAddr>, // address for caller connections
     pub version: CatalogVersion,
 }
 
 impl PeerEntry {
-    /// Whether it was heard of within `age`, and stays.
-    pub fn is_there(
+    /// Whether it reported within `age` and is not shutting down.
+    pub fn is_live(
         &self,
         now: Moment,
         age: Duration,
     ) -> bool {
-        self.is_heard(now, age) && !self.leaving
+        self.has_reported(now, age) && !self.leaving
     }
 
-    /// Whether it was heard of within `age`.
-    pub fn is_heard(
+    /// Whether it reported within `age`.
+    pub fn has_reported(
         &self,
         now: Moment,
         age: Duration,
     ) -> bool {
-        self.heard.is_some_and(|at| now.saturating_sub(at) <= age)
+        self.last_report
+            .is_some_and(|at| now.saturating_sub(at) <= age)
     }
 
-    /// Whether a report is older than what is known. A process that was silent for
-    /// longer than reports are believed may have started anew with a lower number,
-    /// where the time of day stepped back.
+    /// Whether a report is older than the last one received. After a silence longer than
+    /// `max_age` a lower incarnation counts as newer: incarnations are start times, and a
+    /// process restarted after its host's clock stepped back has a lower one.
     pub fn is_older(
         &self,
         now: Moment,
         report: &RouterReport,
-        believed: Duration,
+        max_age: Duration,
     ) -> bool {
         let known = (self.incarnation, self.sequence);
         let is_lower = known > (report.incarnation, report.sequence);
         let is_silent = self
-            .heard
-            .is_none_or(|at| now.saturating_sub(at) > believed);
+            .last_report
+            .is_none_or(|at| now.saturating_sub(at) > max_age);
         is_lower && !(is_silent && report.incarnation != self.incarnation)
     }
 
-    /// Takes in the router's own report.
-    pub fn take(
+    /// Replaces the state by that of a report of the same router.
+    pub fn apply(
         &mut self,
         now: Moment,
         report: &RouterReport,
@@ -68,8 +69,8 @@
         *self = Self {
             zone: Some(report.zone),
             news: Some(report.news),
-            met: Some(now),
-            heard: Some(now),
+            last_seen: Some(now),
+            last_report: Some(now),
             incarnation: report.incarnation,
             sequence: report.sequence,
             leaving: report.leaving,
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -12,15 +12,15 @@
     },
 };
 
-/// The routers that this one knows of, by address: those of its own availability
-/// zone by their reports, some of other zones by name.
+/// The other routers that this one knows, by address. Those of its own availability zone are
+/// known by their reports, some of other zones only by address and zone.
 pub struct PeerTable {
     own: NamedRouter,
-    peers: Mutex<BTreeMap<SocketAddr, PeerEntry>>, // a leaf lock
+    peers: Mutex<BTreeMap<SocketAddr, PeerEntry>>, // no other lock is taken while it is held
 }
 
 impl PeerTable {
-    /// A table of the seeds, which may be stale; this router itself is left out.
+    /// A table that contains the seeds, without this router itself. Seeds may be stale.
     pub fn new(
         own: NamedRouter,
         seeds: &[SocketAddr],
@@ -33,12 +33,12 @@
         table
     }
 
-    /// This router, as others name it.
+    /// Address and zone of this router.
     pub fn own(&self) -> NamedRouter {
         self.own
     }
 
-    /// Takes in seeds that changed.
+    /// Adds seeds, after the settings changed.
     pub fn add_seeds(
         &self,
         seeds: &[SocketAddr],
@@ -49,20 +49,20 @@
         }
     }
 
-    /// Takes in the report of a router of the own zone. False if a later one was
-    /// heard before; `believed` is how long reports count.
+    /// Applies the report of a router of the own zone. False if it is this router's own, or
+    /// if a later one was received before; `max_age` is the age at which reports expire.
     pub fn hear(
         &self,
         now: Moment,
         report: &RouterReport,
-        believed: Duration,
+        max_age: Duration,
     ) -> bool {
         if report.address == self.own.address {
             return false;
         }
         let mut peers = self.peers();
         let entry = peers.entry(report.address).or_default();
-        if entry.is_older(now, report, believed) {
+        if entry.is_older(now, report, max_age) {
             return false;
         }
         if entry.incarnation != report.incarnation {
@@ -71,11 +71,12 @@
                 "router heard of"
             );
         }
-        entry.take(now, report);
+        entry.apply(now, report);
         true
     }
 
-    /// A router of any zone spoke, or one of its zone that hears it.
+    /// Records that a router is alive: a message came from it, or from a router of its zone
+    /// that receives its reports.
     pub fn meet(
         &self,
         now: Moment,
@@ -85,11 +86,11 @@
             let mut peers = self.peers();
             let entry = peers.entry(router.address).or_default();
             entry.zone = Some(router.zone);
-            entry.met = Some(now);
+            entry.last_seen = Some(now);
         }
     }
 
-    /// Others named these routers.
+    /// Adds routers that another router named. That alone does not show that they are alive.
     pub fn learn(
         &self,
         now: Moment,
@@ -99,7 +100,7 @@
         for router in routers {
             if router.address != self.own.address {
                 let new = PeerEntry {
-                    told: now,
+                    named_at: now,
                     ..PeerEntry::default()
                 };
                 let entry = peers.entry(router.address).or_insert(new);
@@ -108,50 +109,50 @@
         }
     }
 
-    /// Forgets routers that were silent too long, but for the seeds. Gives those
-    /// forgotten.
+    /// Removes routers other than seeds that were silent for longer than `age`, and returns
+    /// their addresses.
     pub fn forget_silent(
         &self,
         now: Moment,
         age: Duration,
     ) -> Vec<SocketAddr> {
-        let last = |entry: &PeerEntry| entry.met.unwrap_or(entry.told);
-        let mut forgotten = Vec::new();
+        let last_time = |entry: &PeerEntry| entry.last_seen.unwrap_or(entry.named_at);
+        let mut removed = Vec::new();
         self.peers().retain(|address, entry| {
-            let stays = entry.is_seed || now.saturating_sub(last(entry)) <= age;
+            let stays = entry.is_seed || now.saturating_sub(last_time(entry)) <= age;
             if !stays {
-                forgotten.push(*address);
+                removed.push(*address);
             }
             stays
         });
-        forgotten
+        removed
     }
 
-    /// Addresses to send reports to: the routers of the own zone.
+    /// Known routers of the own zone, to which reports are sent.
     pub fn in_zone(&self) -> Vec<SocketAddr> {
         self.in_any_zone(self.own.zone)
     }
 
-    /// The addresses known of a zone.
+    /// Known routers of a zone.
     pub fn in_any_zone(
         &self,
         zone: u32,
     ) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let named = peers.iter().filter(|(_, entry)| entry.zone == Some(zone));
-        named.map(|(address, _)| *address).collect()
+        let of_zone = peers.iter().filter(|(_, entry)| entry.zone == Some(zone));
+        of_zone.map(|(address, _)| *address).collect()
     }
 
-    /// Seeds, and the routers of the own zone: who can name others.
+    /// Targets of discovery requests: the seeds and the routers of the own zone.
     pub fn to_ask(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let asked = peers
+        let targets = peers
             .iter()
             .filter(|(_, entry)| entry.is_seed || entry.zone == Some(self.own.zone));
-        asked.map(|(address, _)| *address).collect()
+        targets.map(|(address, _)| *address).collect()
     }
 
-    /// The other zones of which a router is known.
+    /// The other zones that have a known router.
     pub fn other_zones(&self) -> Vec<u32> {
         let peers = self.peers();
         let zones: BTreeSet<u32> = peers.values().filter_map(|entry| entry.zone).collect();
@@ -161,8 +162,9 @@
             .collect()
     }
 
-    /// Names to give to a router of `zone`: those of its zone that spoke within
-    /// `age`, and up to `each` of every other zone.
+    /// Routers to name to a router of `zone`: this one, the live ones of that zone, and up to
+    /// `each` live ones of every other zone. Live ones were seen within `age` and are not
+    /// shutting down.
     pub fn names(
         &self,
         now: Moment,
@@ -170,26 +172,29 @@
         zone: u32,
         each: usize,
     ) -> Vec<NamedRouter> {
-        let mut taken: BTreeMap<u32, usize> = BTreeMap::new();
-        let mut names = vec![self.own];
+        let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
+        let mut contacts = vec![self.own];
         for (address, entry) in self.peers().iter() {
-            let is_met = entry.met.is_some_and(|at| now.saturating_sub(at) <= age);
-            let Some(of) = entry.zone.filter(|_| is_met && !entry.leaving) else {
+            let is_recent = entry
+                .last_seen
+                .is_some_and(|at| now.saturating_sub(at) <= age);
+            let Some(peer_zone) = entry.zone.filter(|_| is_recent && !entry.leaving) else {
                 continue;
             };
-            let count = taken.entry(of).or_default();
-            if of == zone || *count < each {
+            let count = counts.entry(peer_zone).or_default();
+            if peer_zone == zone || *count < each {
                 *count += 1;
-                names.push(NamedRouter {
+                contacts.push(NamedRouter {
                     address: *address,
-                    zone: of,
+                    zone: peer_zone,
                 });
             }
         }
-        names
+        contacts
     }
 
-    /// Routers of the own zone that were heard of within `age` and do not leave.
+    /// Number of live routers of the own zone, besides this one: those that reported within
+    /// `age` and are not shutting down.
     pub fn alive(
         &self,
         now: Moment,
@@ -198,32 +203,32 @@
         self.heard(now, age).len()
     }
 
-    /// Their addresses.
+    /// Addresses of the live routers of the own zone, besides this one.
     pub fn heard(
         &self,
         now: Moment,
         age: Duration,
     ) -> Vec<SocketAddr> {
         let peers = self.peers();
-        let fresh = peers.iter().filter(|(_, entry)| entry.is_there(now, age));
-        fresh.map(|(address, _)| *address).collect()
+        let live = peers.iter().filter(|(_, entry)| entry.is_live(now, age));
+        live.map(|(address, _)| *address).collect()
     }
 
-    /// How busy the routers of the own zone are that were heard of within `age`, on
-    /// average and in percent; none if there are none.
+    /// Mean processor utilisation, in percent, of the live routers of the own zone besides
+    /// this one; none if there are none.
     pub fn mean_busy(
         &self,
         now: Moment,
         age: Duration,
     ) -> Option<f64> {
         let peers = self.peers();
-        let fresh = peers.values().filter(|entry| entry.is_there(now, age));
-        let busy: Vec<f64> = fresh.map(|entry| f64::from(entry.busy)).collect();
+        let live = peers.values().filter(|entry| entry.is_live(now, age));
+        let busy: Vec<f64> = live.map(|entry| f64::from(entry.busy)).collect();
         (!busy.is_empty()).then(|| busy.iter().sum::<f64>() / busy.len() as f64)
     }
 
-    /// The routers of the own zone that were heard of within `age` and were busy for
-    /// at most this part of their time, and what they have to spare.
+    /// The live routers of the own zone, besides this one, whose processor utilisation is at
+    /// most `most_busy` (0 to 1), with their idle processor time in cores.
     pub fn neighbours(
         &self,
         now: Moment,
@@ -231,10 +236,11 @@
         most_busy: f64,
     ) -> Vec<Neighbour> {
         let peers = self.peers();
-        let there = peers.values().filter(|entry| entry.is_there(now, age));
-        // One that has just started refused what was handed on to it.
-        let serving = there.filter(|entry| entry.version.knows_both());
-        let told = serving.filter_map(|entry| {
+        let live = peers.values().filter(|entry| entry.is_live(now, age));
+        // A router without a complete catalog, such as one that has just started, refuses
+        // requests.
+        let serving = live.filter(|entry| entry.version.knows_both());
+        let neighbours = serving.filter_map(|entry| {
             let busy = f64::from(entry.busy) / 100.0;
             let callers = entry.callers.filter(|_| busy <= most_busy)?;
             Some(Neighbour {
@@ -242,10 +248,10 @@
                 spare: f64::from(entry.millicores) / 1000.0 * (1.0 - busy).max(0.0),
             })
         });
-        told.collect()
+        neighbours.collect()
     }
 
-    /// Whether an address is that of a router of the own zone.
+    /// Whether a router of the own zone has this IP address.
     pub fn is_neighbour(
         &self,
         address: IpAddr,
@@ -256,17 +262,17 @@
             .any(|(peer, entry)| peer.ip() == address && entry.zone == Some(self.own.zone))
     }
 
-    /// Whether the router of the own zone with this address said that it leaves.
+    /// Whether a router with this IP address reported that it is shutting down.
     pub fn is_leaving(
         &self,
         address: IpAddr,
     ) -> bool {
         let peers = self.peers();
-        let mut there = peers.iter().filter(|(peer, _)| peer.ip() == address);
-        there.any(|(_, entry)| entry.leaving)
+        let mut at_address = peers.iter().filter(|(peer, _)| peer.ip() == address);
+        at_address.any(|(_, entry)| entry.leaving)
     }
 
-    /// How far a peer's catalog had come by its last report.
+    /// The catalog version in a peer's last report; the default one for unknown peers.
     pub fn version(
         &self,
         address: SocketAddr,
@@ -278,17 +284,17 @@
             .unwrap_or_default()
     }
 
-    /// Where the routers of the own zone that were heard of within `age` can be asked
-    /// for their catalogs, and how far those had come.
+    /// The routers of the own zone that reported within `age`: the address at which each
+    /// serves catalog updates, and its catalog version.
     pub fn news(
         &self,
         now: Moment,
         age: Duration,
     ) -> Vec<(SocketAddr, CatalogVersion)> {
         let peers = self.peers();
-        let there = peers.values().filter(|entry| entry.is_heard(now, age));
-        let told = there.filter_map(|entry| Some((entry.news?, entry.version)));
-        told.collect()
+        let recent = peers.values().filter(|entry| entry.has_reported(now, age));
+        let sources = recent.filter_map(|entry| Some((entry.news?, entry.version)));
+        sources.collect()
     }
 
     pub(super) fn peers(&self) -> MutexGuard<'_, BTreeMap<SocketAddr, PeerEntry>> {
--- a/src/peers/told_reports.rs
+++ b/src/peers/told_reports.rs
@@ -10,26 +10,26 @@
     },
 };
 
-/// An account is told again when its usage differs by more than this part from
-/// what peers make of what they were told.
-const ACCOUNT_CHANGE: f32 = 0.05;
+/// Relative difference between an account's usage and what peers assume of it, above which
+/// the account is sent again.
+const MAX_USAGE_ERROR: f32 = 0.05;
 
-/// Smaller differences of an account's usage are not worth a report, in tokens.
-const ACCOUNT_TOKENS: f32 = 100.0;
+/// Differences of an account's usage up to this many tokens are ignored.
+const MIN_USAGE_ERROR_TOKENS: f32 = 100.0;
 
-/// What this router last told its peers, so that reports carry what changed and,
-/// in turn, the rest: a lost datagram is made good by the next turn.
+/// What was last sent to a group of peers. Reports carry only what changed since; everything
+/// else is sent again at intervals, which makes up for lost datagrams.
 #[derive(Debug, Default)]
 pub struct ToldReports {
     replicas: HashMap<u32, (Moment, ReplicaReport)>, // when and what, by replica
     accounts: HashMap<u32, (Moment, AccountUsage)>,  // when and what, by account
-    notes: HashMap<CacheNote, Moment>,
-    engines: Option<Moment>,
+    notes: HashMap<CacheNote, Moment>,               // when each was sent
+    engines: Option<Moment>,                         // when they were sent
 }
 
 impl ToldReports {
-    /// The replicas to tell of: those that changed, and those last told longer
-    /// ago than `refresh`.
+    /// The replica reports to send: those that changed, and those last sent at least
+    /// `refresh` ago.
     pub fn replicas(
         &mut self,
         now: Moment,
@@ -39,21 +39,21 @@
         let known: HashMap<u32, (Moment, ReplicaReport)> = std::mem::take(&mut self.replicas);
         let mut due = Vec::new();
         for report in reports {
-            let told = known.get(&report.replica).copied();
-            let is_due = told.is_none_or(|(at, told)| told != report || is_old(now, at, refresh));
-            let kept = if is_due {
+            let sent = known.get(&report.replica).copied();
+            let is_due = sent.is_none_or(|(at, sent)| sent != report || is_old(now, at, refresh));
+            let last_sent = if is_due {
                 due.push(report);
                 (now, report)
             } else {
-                told.unwrap_or((now, report))
+                sent.unwrap_or((now, report))
             };
-            self.replicas.insert(report.replica, kept);
+            self.replicas.insert(report.replica, last_sent);
         }
         due
     }
 
-    /// The accounts to tell of. Peers let usage fade over `window` themselves, so
-    /// that only what was asked or given since is news.
+    /// The account usage to send. Peers decay what they received over `window` by
+    /// themselves, so that an account whose usage only decays is not sent before `refresh`.
     pub fn accounts(
         &mut self,
         now: Moment,
@@ -65,14 +65,14 @@
         self.accounts.retain(|account, _| named.contains(account));
         let mut due = Vec::new();
         for (account, usage) in usage {
-            let believed = self.accounts.get(account).map(|(at, told)| {
+            let assumed = self.accounts.get(account).map(|(at, sent)| {
                 let age = now.saturating_sub(*at);
-                (age, told.faded(age, window))
+                (age, sent.faded(age, window))
             });
-            let is_due = believed.is_none_or(|(age, believed)| {
+            let is_due = assumed.is_none_or(|(age, assumed)| {
                 age >= refresh
-                    || differs(believed.asked, usage.asked)
-                    || differs(believed.got, usage.got)
+                    || differs(assumed.asked, usage.asked)
+                    || differs(assumed.got, usage.got)
             });
             if is_due {
                 due.push((*account, *usage));
@@ -82,7 +82,7 @@
         due
     }
 
-    /// The notes to tell: each again only after `refresh`.
+    /// The cache notes to send, without those sent less than `refresh` ago.
     pub fn notes(
         &mut self,
         now: Moment,
@@ -100,7 +100,7 @@
         due
     }
 
-    /// Whether it is time to tell of the engines again.
+    /// Whether engine reports are to be sent now, and records that they are.
     pub fn engines_due(
         &mut self,
         now: Moment,
@@ -123,8 +123,8 @@
 }
 
 fn differs(
-    believed: f32,
+    assumed: f32,
     actual: f32,
 ) -> bool {
-    (believed - actual).abs() > ACCOUNT_TOKENS.max(actual * ACCOUNT_CHANGE)
+    (assumed - actual).abs() > MIN_USAGE_ERROR_TOKENS.max(actual * MAX_USAGE_ERROR)
 }
--- a/src/peers/zone_duties.rs
+++ b/src/peers/zone_duties.rs
@@ -1,5 +1,5 @@
-//! Who of a zone does what for all of it: drawn by hash among the routers that are
-//! heard of, so that all agree without asking each other.
+//! Assigns roles that a few routers of a zone fill for all of it. They are chosen by
+//! rendezvous hashing among the live routers, so that all routers agree without negotiation.
 
 use {
     super::PeerTable,
@@ -7,14 +7,13 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Routers of a zone that read the store: one may be cut off from it, and takes some
-/// seconds to find that out.
-const READERS: usize = 2;
+/// Routers of a zone that read the store. One alone may lose its connection to the store and
+/// take some seconds to notice.
+const STORE_READERS: usize = 2;
 
 impl PeerTable {
-    /// Whether this router speaks for its zone to another one: of those of the zone
-    /// that were heard of within `age`, one is drawn by hash, so that all agree
-    /// without asking each other.
+    /// Whether this router is the representative of its zone towards another one: the first
+    /// by hash among those of the zone that reported within `age` and are not shutting down.
     pub fn speaks_to(
         &self,
         now: Moment,
@@ -24,26 +23,26 @@
         let weight = |address: &SocketAddr| mix(stable_hash(address), u64::from(zone));
         let own = weight(&self.own().address);
         let peers = self.peers();
-        let mut there = peers.iter().filter(|(_, entry)| entry.is_there(now, age));
-        !there.any(|(address, _)| weight(address) > own)
+        let mut live = peers.iter().filter(|(_, entry)| entry.is_live(now, age));
+        !live.any(|(address, _)| weight(address) > own)
     }
 
-    /// Whether this router reads the store for its zone: the first [`READERS`] by hash
-    /// do of those that were heard of within `age` and did not lose the store. One
-    /// that lost it, as `own_lost` says, goes on trying if it were among the first
-    /// otherwise.
+    /// Whether this router reads the store for its zone: the first [`STORE_READERS`] by hash
+    /// do, among the routers that reported within `age`, are not shutting down and can read
+    /// the store. A router that lost the store (`own_lost`) goes on trying if it is among the
+    /// first ones of all.
     pub fn reads_store(
         &self,
         now: Moment,
         age: Duration,
         own_lost: bool,
     ) -> bool {
-        let weight = |address: &SocketAddr| mix(stable_hash(address), READERS as u64);
+        let weight = |address: &SocketAddr| mix(stable_hash(address), STORE_READERS as u64);
         let own = weight(&self.own().address);
         let peers = self.peers();
-        let there = peers.iter().filter(|(_, entry)| entry.is_there(now, age));
-        let able = there.filter(|(_, entry)| own_lost || !entry.store_lost);
+        let live = peers.iter().filter(|(_, entry)| entry.is_live(now, age));
+        let able = live.filter(|(_, entry)| own_lost || !entry.store_lost);
         let before = able.filter(|(address, _)| weight(address) > own);
-        before.count() < READERS
+        before.count() < STORE_READERS
     }
 }
--- a/src/peers/zone_table.rs
+++ b/src/peers/zone_table.rs
@@ -9,18 +9,18 @@
     },
 };
 
-/// What is known of the other availability zones, by short name.
+/// State of the other availability zones, by the hash of the zone's name.
 #[derive(Debug, Default)]
 pub struct ZoneTable {
-    zones: Mutex<BTreeMap<u32, ZoneEntry>>, // a leaf lock
+    zones: Mutex<BTreeMap<u32, ZoneEntry>>, // no other lock is taken while it is held
 }
 
-/// What is known of one zone, from its last sum.
+/// State of one zone, from its last summary.
 #[derive(Debug, Clone, Copy)]
 struct ZoneEntry {
-    carrier: SocketAddr, // that made the sum
-    news: SocketAddr,
-    incarnation: u64, // of the carrier
+    carrier: SocketAddr, // author of the summary
+    news: SocketAddr,    // QUIC address that serves the author's catalog
+    incarnation: u64,    // of the author's process
     sequence: u64,
     heard: Moment,
     routers: u32,
@@ -28,7 +28,7 @@
 }
 
 impl ZoneEntry {
-    /// Whether the zone was heard of within `age`.
+    /// Whether the zone's last summary is at most `age` old.
     fn is_fresh(
         &self,
         now: Moment,
@@ -39,8 +39,8 @@
 }
 
 impl ZoneTable {
-    /// Takes in a sum. False if a later one of the same carrier was heard before:
-    /// it may come several times, by several ways.
+    /// Applies a summary. False if it, or a later one of the same author, was applied before:
+    /// summaries arrive several times, directly and relayed.
     pub fn hear(
         &self,
         now: Moment,
@@ -75,8 +75,8 @@
         true
     }
 
-    /// Where sums for a zone go: to the router that last spoke for it, if it did
-    /// within `age`.
+    /// The representative of a zone: the author of its last summary, if that is at most `age`
+    /// old.
     pub fn carrier(
         &self,
         now: Moment,
@@ -89,7 +89,7 @@
         fresh.map(|entry| entry.carrier)
     }
 
-    /// Routers of all the zones that were heard of within `age`.
+    /// Number of live routers in all other zones whose last summary is at most `age` old.
     pub fn routers(
         &self,
         now: Moment,
@@ -100,8 +100,8 @@
         fresh.map(|entry| entry.routers as usize).sum()
     }
 
-    /// Where the routers that spoke for their zones within `age` can be asked for
-    /// their catalogs, and how far those had come.
+    /// The representatives whose last summary is at most `age` old: the address at which each
+    /// serves catalog updates, and its catalog version.
     pub fn news(
         &self,
         now: Moment,
