--- a/src/peers/ask_news.rs
+++ b/src/peers/ask_news.rs
@@ -1,4 +1,4 @@
-//! Asking another router for what it has in advance of this one.
+//! Fetches from another router the parts of its catalog that are newer than this router's.
 
 use {
     super::{CatalogNews, own_certificate::SERVER_NAME},
@@ -12,18 +12,17 @@
     tokio::time::timeout,
 };
 
-/// How long connecting and the answer may take, each, before another router is asked:
-/// one question that gets no answer leaves time for the next within the shortest
-/// [catalog] apply in use (2 s).
-const ASK_TIME: Duration = Duration::from_millis(600);
+/// Time-out for connecting and, separately, for the answer. After one request without an
+/// answer there is time for another within 2 s, the shortest `[catalog] apply` in use.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What another router told.
-pub struct ToldNews {
+/// The answer of another router.
+pub struct FetchedUpdate {
     pub catalog: CatalogNews,
-    pub cordons: Option<CordonNews>, // none by a router of a build that knows none
+    pub cordons: Option<CordonNews>, // none from builds without support for cordons
 }
 
-/// Connects to a router that can be asked: code 74.
+/// Connects to the QUIC endpoint of another router. Fails with code 74.
 pub async fn connect(
     endpoint: &Endpoint,
     address: SocketAddr,
@@ -31,39 +30,37 @@
     let connecting = endpoint
         .connect(address, SERVER_NAME)
         .map_err(Fault::unreachable)?;
-    timeout(ASK_TIME, connecting)
+    timeout(REQUEST_TIMEOUT, connecting)
         .await
         .map_err(Fault::unreachable)?
         .map_err(Fault::unreachable)
 }
 
-/// Asks a router for its news: codes 70 to 74. After a failure the connection is
-/// closed.
-pub async fn ask_news(
+/// Requests everything newer than `own_version`, and closes the connection on failure.
+/// Fails with codes 70 to 74.
+pub async fn fetch_update(
     connection: &Connection,
-    ours: CatalogVersion,
-) -> Result<ToldNews, Fault> {
-    let asked = timeout(ASK_TIME, ask(connection, ours)).await;
-    let answer = asked.map_err(Fault::unreachable).flatten();
+    own_version: CatalogVersion,
+) -> Result<FetchedUpdate, Fault> {
+    let exchange = timeout(REQUEST_TIMEOUT, request(connection, own_version)).await;
+    let answer = exchange.map_err(Fault::unreachable).flatten();
     if answer.is_err() {
         connection.close(0u32.into(), b"failed");
     }
     answer
 }
 
-async fn ask(
+async fn request(
     connection: &Connection,
-    ours: CatalogVersion,
-) -> Result<ToldNews, Fault> {
+    own_version: CatalogVersion,
+) -> Result<FetchedUpdate, Fault> {
     let (mut send, mut recv) = connection.open_bi().await.map_err(Fault::unreachable)?;
-    let question = encode_frame(&ours)?;
-    send.write_all(&question)
-        .await
-        .map_err(Fault::unreachable)?;
+    let request = encode_frame(&own_version)?;
+    send.write_all(&request).await.map_err(Fault::unreachable)?;
     send.finish().map_err(Fault::unreachable)?;
     let catalog = read_frame(&mut recv)
         .await?
-        .ok_or_else(|| Fault::new(ResultCode::FrameMalformed, "no answer"))?;
+        .ok_or_else(|| Fault::new(ResultCode::FrameMalformed, "stream ended before an answer"))?;
     let cordons = read_frame(&mut recv).await?;
-    Ok(ToldNews { catalog, cordons })
+    Ok(FetchedUpdate { catalog, cordons })
 }
--- a/src/peers/behind.rs
+++ b/src/peers/behind.rs
@@ -3,41 +3,44 @@
     std::time::Duration,
 };
 
-/// How long a router that the store answers, and that knows something, may be behind another
-/// before it asks for news: the store tells its readers of a change within some tens of
-/// milliseconds of each other. Longer, and a reader whose connection to the store fell silent
-/// sends to replicas that have just started as if they had not.
-const PATIENCE: Duration = Duration::from_millis(150);
+/// How long a router that reads the store waits for a change that a peer already has before
+/// it asks the peer. The store delivers a change to all its readers within some tens of
+/// milliseconds. With a longer wait, a reader whose connection to the store has stalled
+/// sends full load to replicas that have just started.
+const STORE_DELAY_LIMIT: Duration = Duration::from_millis(150);
 
-/// Whether what another router knows and this one does not is still on its way from the
-/// store, or has to be asked for.
+/// Decides when a router whose catalog is older than a peer's requests the peer's updates
+/// instead of waiting for the store to deliver them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Behind {
-    heard: Option<(CatalogVersion, Moment)>, // the first version not reached yet, and when
+    missing: Option<(CatalogVersion, Moment)>, // first version not reached yet, and since when
 }
 
 impl Behind {
-    /// Whether to ask for news now. `theirs` is a version that another has and this router
-    /// has not, if there is one. One that the store tells waits for it.
+    /// Whether to request updates now. `peer_version` is a newer version of some peer, if
+    /// any. `reads_store` says that the store answers this router's own reads, so that the
+    /// change is expected from there first.
     pub fn should_ask(
         &mut self,
         now: Moment,
-        ours: CatalogVersion,
-        theirs: Option<CatalogVersion>,
-        store_tells: bool,
+        own_version: CatalogVersion,
+        peer_version: Option<CatalogVersion>,
+        reads_store: bool,
     ) -> bool {
-        // Under many changes some other is ahead at any time; what counts is how long the
-        // same one is.
-        self.heard = self.heard.filter(|(version, _)| version.is_ahead_of(ours));
-        let Some(theirs) = theirs else {
+        // While changes are frequent some peer is ahead at any time, so the wait is measured
+        // for one version.
+        self.missing = self
+            .missing
+            .filter(|(version, _)| version.is_ahead_of(own_version));
+        let Some(peer_version) = peer_version else {
             return false;
         };
-        let (_, since) = *self.heard.get_or_insert((theirs, now));
-        !store_tells || now.saturating_sub(since) >= PATIENCE
+        let (_, since) = *self.missing.get_or_insert((peer_version, now));
+        !reads_store || now.saturating_sub(since) >= STORE_DELAY_LIMIT
     }
 
-    /// News were asked for: what is not reached then begins anew.
+    /// Restarts the wait after updates were requested.
     pub fn asked(&mut self) {
-        self.heard = None;
+        self.missing = None;
     }
 }
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -1,34 +1,36 @@
-//! Learning what the catalogs of others have in advance.
+//! Brings this router's catalog up to the newest version that its peers announce.
 
 use {
-    super::{Behind, PeerLink, SILENCE, ask_news::ask_news},
+    super::{Behind, PeerLink, SILENCE, ask_news::fetch_update},
     crate::{catalog::CatalogVersion, codes::Fault, policy::Moment},
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The pause after a question, so that changes come together.
-const ASK_PAUSE: Duration = Duration::from_millis(200);
+/// Pause after each request, so that several changes arrive in one answer.
+const REQUEST_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often it looks whether it is behind, when it hears of no newer version.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which versions are compared while no newer version is announced.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl PeerLink {
-    /// Asks a router that is ahead for its news, once the store had its time to
-    /// tell them.
+    /// Requests updates from a router with a newer catalog, until the process exits. A
+    /// router that reads the store gives the store some time to deliver them first.
     pub(super) async fn catch_up(self: Arc<Self>) {
         let mut behind = Behind::default();
         loop {
-            // Hearing nothing is no fault: what it asked for may not have come.
-            let _nothing = tokio::time::timeout(LOOK_EVERY, self.newer_heard.notified()).await;
+            // After a time-out the versions are compared as well: an earlier request may
+            // have failed.
+            let _timed_out =
+                tokio::time::timeout(CHECK_INTERVAL, self.newer_version.notified()).await;
             let now = self.gateway.now();
-            let ours = self.gateway.catalog.version();
-            let ahead = self.ahead_of(now, ours);
-            let theirs = ahead.map(|(_, version)| version);
-            // A store that does not answer here tells nothing: a router that had started in its
-            // silence learnt half a second late that replicas had just started.
+            let own_version = self.gateway.catalog.version();
+            let ahead = self.ahead_of(now, own_version);
+            let peer_version = ahead.map(|(_, version)| version);
+            // Waiting for a store that does not answer would delay the notice that a
+            // replica has just started by half a second.
             let reading = &self.gateway.reading;
-            let store_tells = ours.knows_both() && reading.is_own() && reading.is_answered();
-            let is_due = behind.should_ask(now, ours, theirs, store_tells);
+            let reads_store = own_version.knows_both() && reading.is_own() && reading.is_answered();
+            let is_due = behind.should_ask(now, own_version, peer_version, reads_store);
             let Some((address, _)) = ahead.filter(|_| is_due) else {
                 continue;
             };
@@ -36,31 +38,33 @@
             if let Err(error) = self.fetch(address).await {
                 self.forget_asked();
                 log::info!(
-                    code = error.code.number(), config = ours.config, upstreams_at = ours.upstreams;
-                    "no news from {address}: {error}"
+                    code = error.code.number(), config = own_version.config,
+                    upstreams_at = own_version.upstreams;
+                    "catalog update from {address} failed: {error}"
                 );
             }
-            tokio::time::sleep(ASK_PAUSE).await;
+            tokio::time::sleep(REQUEST_PAUSE).await;
         }
     }
 
-    /// A router that is ahead of this version, and its own; one of the own zone if there is
-    /// one: the last that was asked and answered, or else drawn. One that is silent is not
-    /// asked: it would be for 20 s, 3 s a question, until it is forgotten.
+    /// A router with a newer catalog than `own_version`, and its version. Prefers the own
+    /// zone, then the router of the last answered request, then a random one. Routers that
+    /// have fallen silent are left out: requests to them would only time out, for the 20 s (by
+    /// default) until they are removed from the table.
     fn ahead_of(
         &self,
         now: Moment,
-        ours: CatalogVersion,
+        own_version: CatalogVersion,
     ) -> Option<(SocketAddr, CatalogVersion)> {
         let last = self.last_asked();
-        let draw = |mut known: Vec<(SocketAddr, CatalogVersion)>| {
-            known.retain(|(_, version)| version.is_ahead_of(ours));
-            let drawn = rand::random_range(0..known.len().max(1));
+        let pick = |mut known: Vec<(SocketAddr, CatalogVersion)>| {
+            known.retain(|(_, version)| version.is_ahead_of(own_version));
+            let random = rand::random_range(0..known.len().max(1));
             let again = known.iter().find(|(address, _)| Some(*address) == last);
-            again.or(known.get(drawn)).copied()
+            again.or(known.get(random)).copied()
         };
-        let near = draw(self.gateway.peers.news(now, SILENCE));
-        near.or_else(|| draw(self.zones().news(now, SILENCE)))
+        let in_own_zone = pick(self.gateway.peers.news(now, SILENCE));
+        in_own_zone.or_else(|| pick(self.zones().news(now, SILENCE)))
     }
 
     async fn fetch(
@@ -69,20 +73,20 @@
     ) -> Result<(), Fault> {
         let catalog = &self.gateway.catalog;
         let connection = self.connection_to(address).await?;
-        let ours = catalog.version();
-        let told = ask_news(&connection, ours).await?;
-        let news = told.catalog;
+        let own_version = catalog.version();
+        let fetched = fetch_update(&connection, own_version).await?;
+        let update = fetched.catalog;
         let from = address.to_string();
         log::info!(
-            from = from.as_str(), after = ours.upstreams, at = news.upstreams.at,
-            records = news.upstreams.records.len(), whole = news.upstreams.is_whole;
+            from = from.as_str(), after = own_version.upstreams, at = update.upstreams.at,
+            records = update.upstreams.records.len(), whole = update.upstreams.is_whole;
             "news of the upstreams taken in"
         );
-        if let Some(text) = &news.config {
+        if let Some(text) = &update.config {
             catalog.offer_told_config(text, &from);
         }
-        catalog.offer_upstreams(news.upstreams, &from);
-        if let Some(cordons) = told.cordons {
+        catalog.offer_upstreams(update.upstreams, &from);
+        if let Some(cordons) = fetched.cordons {
             catalog.offer_cordons(cordons, &from);
         }
         Ok(())
--- a/src/peers/news_port.rs
+++ b/src/peers/news_port.rs
@@ -1,4 +1,4 @@
-//! Answering other routers that ask for what this one has in advance.
+//! Serves catalog updates over QUIC to routers whose catalog is older.
 
 use {
     super::CatalogNews,
@@ -11,17 +11,17 @@
     std::sync::Arc,
 };
 
-/// Answers until the endpoint closes.
-pub async fn serve_news(
+/// Accepts connections until the endpoint closes.
+pub async fn serve_updates(
     endpoint: Endpoint,
     catalog: Arc<Catalog>,
 ) {
     while let Some(incoming) = endpoint.accept().await {
-        tokio::spawn(serve_asker(incoming, catalog.clone()));
+        tokio::spawn(serve_connection(incoming, catalog.clone()));
     }
 }
 
-async fn serve_asker(
+async fn serve_connection(
     incoming: Incoming,
     catalog: Arc<Catalog>,
 ) {
@@ -33,41 +33,41 @@
         }
     };
     while let Ok((send, recv)) = connection.accept_bi().await {
-        give_news(&catalog, send, recv).await;
+        answer_request(&catalog, send, recv).await;
     }
 }
 
-async fn give_news(
+async fn answer_request(
     catalog: &Catalog,
     mut send: SendStream,
     mut recv: RecvStream,
 ) {
-    let Ok(Some(theirs)) = read_frame::<CatalogVersion, _>(&mut recv).await else {
+    let Ok(Some(peer_version)) = read_frame::<CatalogVersion, _>(&mut recv).await else {
         return;
     };
-    let ours = catalog.version();
+    let own_version = catalog.version();
     let text = catalog
         .config_text()
-        .filter(|_| ours.config > theirs.config);
-    // First, so that it reflects nothing that the upstreams told with it do not.
+        .filter(|_| own_version.config > peer_version.config);
+    // Taken before the upstreams, so that the cordons are of no later revision than those.
     let cordons = catalog.cordon_news();
-    let news = CatalogNews {
+    let update = CatalogNews {
         config: text.map(|text| text.to_string()),
-        upstreams: catalog.news_after(theirs.upstreams),
+        upstreams: catalog.news_after(peer_version.upstreams),
     };
-    let Ok(frame) = encode_frame(&news) else {
+    let Ok(frame) = encode_frame(&update) else {
         return;
     };
     metrics::counter!(CONTROL_BYTES, "kind" => "news").increment(frame.len() as u64);
-    let sent = send.write_all(&frame).await.is_ok() && give_cordons(&cordons, &mut send).await;
+    let sent = send.write_all(&frame).await.is_ok() && send_cordons(&cordons, &mut send).await;
     if sent && send.finish().is_err() {
-        log::debug!("news not finished");
+        log::debug!("catalog update: the peer closed the stream before its end");
     }
 }
 
-/// Gives what is known of cordons, in a frame of its own: routers of builds that know no
-/// cordons read the first frame alone.
-async fn give_cordons(
+/// Sends the cordons in a frame of their own: routers of builds without support for cordons
+/// read the first frame only.
+async fn send_cordons(
     cordons: &CordonNews,
     send: &mut SendStream,
 ) -> bool {
--- a/src/peers/own_certificate.rs
+++ b/src/peers/own_certificate.rs
@@ -1,5 +1,5 @@
-//! Certificates that each process makes for itself: they encrypt, and prove
-//! nothing.
+//! QUIC configurations with a self-signed certificate: connections are encrypted but not
+//! authenticated.
 
 use {
     crate::codes::{Fault, ResultCode},
@@ -16,23 +16,24 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// The protocol name that both ends of a connection must agree on.
+/// The ALPN protocol name of connections between routers.
 const PROTOCOL: &[u8] = b"archmast-routers/1";
 
-/// The name in every certificate; addresses are what routers are known by.
+/// The server name in every certificate. Routers are identified by address instead.
 pub const SERVER_NAME: &str = "archmast-router";
 
-/// Silence after which a connection counts as lost.
-const IDLE_TIME: Duration = Duration::from_millis(2500);
+/// Idle time-out of a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A guess of the round trip, before it is measured.
-const FIRST_ROUND_TRIP: Duration = Duration::from_millis(20);
+/// Round-trip time assumed until it is measured.
+const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(20);
 
-/// Reports and questions that a peer may have under way.
-const REPORT_STREAMS: u32 = 64;
-const QUESTION_STREAMS: u32 = 8;
+/// Concurrent streams that a peer may open: unidirectional ones, and bidirectional ones for
+/// requests.
+const MAX_UNI_STREAMS: u32 = 64;
+const MAX_REQUEST_STREAMS: u32 = 8;
 
-/// Both sides of QUIC with a certificate made just now: code 93.
+/// Server and client configuration with a newly generated certificate. Fails with code 93.
 pub fn quic_configs() -> Result<(ServerConfig, ClientConfig), Fault> {
     let failed = |error: &dyn std::fmt::Display| Fault::new(ResultCode::StartFailed, error);
     let made = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()])
@@ -67,14 +68,14 @@
 fn transport() -> TransportConfig {
     let mut transport = TransportConfig::default();
     transport
-        .max_idle_timeout(IDLE_TIME.try_into().ok())
-        .initial_rtt(FIRST_ROUND_TRIP)
-        .max_concurrent_uni_streams(VarInt::from_u32(REPORT_STREAMS))
-        .max_concurrent_bidi_streams(VarInt::from_u32(QUESTION_STREAMS));
+        .max_idle_timeout(IDLE_TIMEOUT.try_into().ok())
+        .initial_rtt(INITIAL_ROUND_TRIP)
+        .max_concurrent_uni_streams(VarInt::from_u32(MAX_UNI_STREAMS))
+        .max_concurrent_bidi_streams(VarInt::from_u32(MAX_REQUEST_STREAMS));
     transport
 }
 
-/// Takes any certificate, as long as its owner has the key.
+/// Accepts any certificate whose private key the server holds.
 #[derive(Debug)]
 struct AnyCertificate(Arc<CryptoProvider>);
 
