--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -1,8 +1,8 @@
-//! Taking in what other routers tell.
+//! Receives and applies the datagrams of other routers.
 
 use {
     super::{
-        Figures, NamedRouter, PeerLink, PeerMessage, RouterReport, ZoneSum, peer_link::router_name,
+        Figures, NamedRouter, PeerLink, PeerMessage, RouterReport, ZoneSum, peer_link::router_hash,
     },
     crate::{
         catalog::CatalogVersion,
@@ -13,66 +13,66 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The largest datagram that is read, in bytes.
+/// Bytes read of one datagram; the rest of a longer one is lost.
 const MAX_DATAGRAM: usize = 4096;
 
-/// The pause after a datagram could not be read.
-const READ_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after a failed read of the socket.
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Routers of each other zone that are named to one that asks.
-const NAMES_EACH: usize = 4;
+/// Routers of each other zone in the answer to a discovery request.
+const CONTACTS_PER_ZONE: usize = 4;
 
-/// Names in one datagram: some 11 bytes each.
-const NAMES: usize = 100;
+/// Routers in one datagram of such an answer, at some 11 bytes each.
+const MAX_CONTACTS: usize = 100;
 
-/// Only routers that spoke within this time are named.
-const NAMED_AGE: Duration = Duration::from_secs(3);
+/// Routers that were silent for longer are left out of such an answer.
+const MAX_CONTACT_AGE: Duration = Duration::from_secs(3);
 
 impl PeerLink {
-    /// Listens for as long as the process lives.
+    /// Receives datagrams until the process exits.
     pub(super) async fn listen(self: Arc<Self>) {
         let mut datagram = vec![0; MAX_DATAGRAM];
         loop {
             match self.socket.recv_from(&mut datagram).await {
-                Ok((length, from)) => self.take(&datagram[..length], from).await,
+                Ok((length, from)) => self.handle_datagram(&datagram[..length], from).await,
                 Err(error) => {
-                    log::debug!("no datagram: {error}");
-                    tokio::time::sleep(READ_PAUSE).await;
+                    log::debug!("cannot read datagrams of other routers: {error}");
+                    tokio::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    async fn take(
+    async fn handle_datagram(
         &self,
         datagram: &[u8],
         from: SocketAddr,
     ) {
         match decode_payload(datagram) {
-            Ok(PeerMessage::Report(report)) => self.take_report(from, &report),
-            Ok(PeerMessage::Sum(sum)) => {
-                if self.take_sum(&sum) && from == sum.carrier {
-                    let fellows = self.gateway.peers.in_zone();
-                    self.send_datagram(datagram, "relay", &fellows).await;
+            Ok(PeerMessage::Report(report)) => self.apply_report(from, &report),
+            Ok(PeerMessage::Sum(summary)) => {
+                if self.apply_summary(&summary) && from == summary.carrier {
+                    let zone_routers = self.gateway.peers.in_zone();
+                    self.send_datagram(datagram, "relay", &zone_routers).await;
                 }
             }
-            Ok(PeerMessage::Suspects(told)) => {
-                if self.take_suspects(from, &told) {
-                    let fellows = self.gateway.peers.in_zone();
-                    self.send_datagram(datagram, "relay", &fellows).await;
+            Ok(PeerMessage::Suspects(message)) => {
+                if self.apply_suspects(from, &message) {
+                    let zone_routers = self.gateway.peers.in_zone();
+                    self.send_datagram(datagram, "relay", &zone_routers).await;
                 }
             }
-            Ok(PeerMessage::Leaving(told)) => self.take_leaving(from, &told),
-            Ok(PeerMessage::Evidence(told)) => self.take_evidence(from, &told),
-            Ok(PeerMessage::Kept(told)) => {
-                if self.take_kept(from, &told) {
-                    let fellows = self.gateway.peers.in_zone();
-                    self.send_datagram(datagram, "relay", &fellows).await;
+            Ok(PeerMessage::Leaving(message)) => self.apply_leaving(from, &message),
+            Ok(PeerMessage::Evidence(message)) => self.apply_evidence(from, &message),
+            Ok(PeerMessage::Kept(message)) => {
+                if self.apply_cache_events(from, &message) {
+                    let zone_routers = self.gateway.peers.in_zone();
+                    self.send_datagram(datagram, "relay", &zone_routers).await;
                 }
             }
-            Ok(PeerMessage::Ask(asker)) => self.answer_ask(from, asker).await,
-            Ok(PeerMessage::Names(names)) => {
-                self.gateway.peers.learn(self.gateway.now(), &names);
+            Ok(PeerMessage::Ask(asker)) => self.answer_discovery(from, asker).await,
+            Ok(PeerMessage::Names(contacts)) => {
+                self.gateway.peers.learn(self.gateway.now(), &contacts);
             }
             Err(error) => {
                 let code = error.code.number();
@@ -82,9 +82,9 @@
         }
     }
 
-    /// Takes in what a router of the own zone reports. It is known by the address
-    /// it sends from.
-    fn take_report(
+    /// Applies the report of a router of the own zone, unless the datagram came from another
+    /// address than the one it names.
+    fn apply_report(
         &self,
         from: SocketAddr,
         report: &RouterReport,
@@ -92,60 +92,62 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         let is_own_zone = report.zone == gateway.peers.own().zone;
-        let believed = gateway.board().belief_age();
-        if from != report.address || !is_own_zone || !gateway.peers.hear(now, report, believed) {
+        let max_age = gateway.board().belief_age();
+        if from != report.address || !is_own_zone || !gateway.peers.hear(now, report, max_age) {
             return;
         }
         let teller = Teller {
             scope: TellerScope::Router,
-            name: router_name(&report.address),
+            name: router_hash(&report.address),
             source: report.incarnation,
         };
-        self.hear_version(report.version);
-        self.take_figures(now, teller, &report.figures);
+        self.apply_version(report.version);
+        self.apply_figures(now, teller, &report.figures);
     }
 
-    /// Takes in what another zone has. False if that is known already.
-    fn take_sum(
+    /// Applies the summary of another zone. False if it is of the own zone or was received
+    /// before.
+    fn apply_summary(
         &self,
-        sum: &ZoneSum,
+        summary: &ZoneSum,
     ) -> bool {
         let gateway = &self.gateway;
         let now = gateway.now();
-        if sum.zone == gateway.peers.own().zone || !self.zones().hear(now, sum) {
+        if summary.zone == gateway.peers.own().zone || !self.zones().hear(now, summary) {
             return false;
         }
-        let named = |address: &SocketAddr| NamedRouter {
+        let contact = |address: &SocketAddr| NamedRouter {
             address: *address,
-            zone: sum.zone,
+            zone: summary.zone,
         };
-        gateway.peers.meet(now, named(&sum.carrier));
-        for member in &sum.members {
-            gateway.peers.meet(now, named(member));
+        gateway.peers.meet(now, contact(&summary.carrier));
+        for member in &summary.members {
+            gateway.peers.meet(now, contact(member));
         }
         let teller = Teller {
             scope: TellerScope::Zone,
-            name: sum.zone,
-            source: mix(stable_hash(&sum.carrier), sum.incarnation),
+            name: summary.zone,
+            source: mix(stable_hash(&summary.carrier), summary.incarnation),
         };
-        self.hear_version(sum.version);
-        self.take_figures(now, teller, &sum.figures);
+        self.apply_version(summary.version);
+        self.apply_figures(now, teller, &summary.figures);
         true
     }
 
-    /// Another router, or zone, says how far it has come.
-    fn hear_version(
+    /// Wakes the catch-up task if the catalog of another router or zone is newer; otherwise
+    /// confirms that this router's catalog is current.
+    fn apply_version(
         &self,
-        theirs: CatalogVersion,
+        peer_version: CatalogVersion,
     ) {
-        if theirs.is_ahead_of(self.gateway.catalog.version()) {
-            self.newer_heard.notify_one();
+        if peer_version.is_ahead_of(self.gateway.catalog.version()) {
+            self.newer_version.notify_one();
         } else {
             self.gateway.confirm_known();
         }
     }
 
-    fn take_figures(
+    fn apply_figures(
         &self,
         now: Moment,
         teller: Teller,
@@ -159,7 +161,8 @@
         self.gateway.shares().hear(now, teller, &figures.accounts);
     }
 
-    async fn answer_ask(
+    /// Sends the known routers to a router that looks for others.
+    async fn answer_discovery(
         &self,
         from: SocketAddr,
         asker: NamedRouter,
@@ -170,8 +173,8 @@
         let now = self.gateway.now();
         let peers = &self.gateway.peers;
         peers.meet(now, asker);
-        let names = peers.names(now, NAMED_AGE, asker.zone, NAMES_EACH);
-        for part in names.chunks(NAMES) {
+        let contacts = peers.names(now, MAX_CONTACT_AGE, asker.zone, CONTACTS_PER_ZONE);
+        for part in contacts.chunks(MAX_CONTACTS) {
             self.send(&PeerMessage::Names(part.to_vec()), &[from]).await;
         }
     }
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         EvidenceTurn, PeerMessage, ToldReports, ZoneTable, ask_news::connect,
-        news_port::serve_news, own_certificate::quic_configs, tell_leaving::LeavingTimes,
+        news_port::serve_updates, own_certificate::quic_configs, tell_leaving::LeavingTimes,
         tell_suspects::SuspectTimes,
     },
     crate::{
@@ -24,38 +24,40 @@
     tokio::{net::UdpSocket, sync::Notify},
 };
 
-/// A zone or router that said nothing for this long no longer speaks for its
-/// zone: some ten reports, so that lost datagrams change nothing.
+/// Silence after which a router or zone counts as down for the choice of zone
+/// representatives, store readers and catalog sources. It spans some ten reports, so that
+/// lost datagrams change nothing.
 pub const SILENCE: Duration = Duration::from_millis(800);
 
-/// This router's end of what routers tell each other: reports and sums by
-/// datagrams, and news of the catalog over QUIC when one is behind.
+/// This router's connections to other routers: a UDP socket for reports and summaries, and a
+/// QUIC endpoint for catalog updates.
 pub struct PeerLink {
     pub(super) gateway: Arc<Gateway>,
     pub(super) endpoint: Endpoint,
     pub(super) news: SocketAddr, // where the endpoint listens
     pub(super) socket: UdpSocket,
-    pub(super) incarnation: u64,
-    pub(super) told: Mutex<TellState>, // a leaf lock
-    pub(super) newer_heard: Notify,    // another router has a newer catalog
+    pub(super) incarnation: u64, // start time of the process in Unix milliseconds
+    pub(super) sent: Mutex<SentState>, // no other lock is taken while it is held
+    pub(super) newer_version: Notify, // a peer announced a newer catalog
     sequence: AtomicU64,
-    asked: Mutex<Option<(SocketAddr, Connection)>>, // for news, the last time; a leaf lock
+    /// The source of the last catalog update. No other lock is taken while this is held.
+    asked: Mutex<Option<(SocketAddr, Connection)>>,
 }
 
-/// What was told before, so that only what changed is told.
+/// What was sent before, so that messages carry only what changed or is due again.
 #[derive(Default)]
-pub(super) struct TellState {
-    pub zone: ToldReports,                 // to routers of the own zone
-    pub sums: HashMap<u32, ToldReports>,   // to other zones, while this router speaks to them
-    pub suspects: SuspectTimes,            // in the own zone, also by others
-    pub zone_suspects: SuspectTimes,       // to other zones
-    pub leaving: LeavingTimes,             // in the own zone
-    pub evidence: EvidenceTurn,            // in the own zone
-    pub kept_fellows: HashSet<SocketAddr>, // heard of when it was last told what is kept
+pub(super) struct SentState {
+    pub own_zone: ToldReports,                  // reports to the own zone
+    pub summaries: HashMap<u32, ToldReports>,   // by zone that this router represents its own to
+    pub suspects: SuspectTimes,                 // in the own zone, also by other routers
+    pub zone_suspects: SuspectTimes,            // to other zones
+    pub leaving: LeavingTimes,                  // to the own zone
+    pub evidence: EvidenceTurn,                 // to the own zone
+    pub cache_event_peers: HashSet<SocketAddr>, // live when cache events were last sent
 }
 
 impl PeerLink {
-    /// Binds the addresses for peers: code 93.
+    /// Binds the UDP and QUIC addresses. Fails with code 93.
     pub async fn bind(gateway: Arc<Gateway>) -> Result<Arc<Self>, Fault> {
         let failed = |error: std::io::Error| Fault::new(ResultCode::StartFailed, error);
         let settings = gateway.settings();
@@ -69,38 +71,38 @@
             socket,
             incarnation: Uptime::unix_millis(),
             sequence: AtomicU64::new(0),
-            told: Mutex::default(),
-            newer_heard: Notify::new(),
+            sent: Mutex::default(),
+            newer_version: Notify::new(),
             asked: Mutex::default(),
             gateway,
         }))
     }
 
-    /// Starts to tell, to listen, and to answer and ask for news.
+    /// Spawns the tasks that send, receive, and exchange catalog updates.
     pub fn start(self: Arc<Self>) {
-        tokio::spawn(serve_news(
+        tokio::spawn(serve_updates(
             self.endpoint.clone(),
             self.gateway.catalog.clone(),
         ));
         tokio::spawn(self.clone().listen());
-        tokio::spawn(self.clone().ask_names());
+        tokio::spawn(self.clone().discover());
         tokio::spawn(self.clone().catch_up());
-        tokio::spawn(self.tell());
+        tokio::spawn(self.send_regularly());
     }
 
-    /// The router that was last asked for its news.
+    /// The router that last served a catalog update.
     pub(super) fn last_asked(&self) -> Option<SocketAddr> {
         let asked = self.asked.lock().expect("asked lock");
         asked.as_ref().map(|(address, _)| *address)
     }
 
-    /// The router that was last asked did not answer.
+    /// Drops the connection for catalog updates after its router failed to answer.
     pub(super) fn forget_asked(&self) {
         *self.asked.lock().expect("asked lock") = None;
     }
 
-    /// A connection to a router that is asked for its news; the last one as long as
-    /// it lasts, which spares the handshakes while changes come one after another.
+    /// A connection to a router for a catalog update. The last one is reused while it is
+    /// open, which saves handshakes when changes follow each other closely.
     pub(super) async fn connection_to(
         &self,
         address: SocketAddr,
@@ -117,18 +119,17 @@
         Ok(connection)
     }
 
-    /// The other zones.
     pub(super) fn zones(&self) -> &ZoneTable {
         &self.gateway.zones
     }
 
-    /// The number of the next datagram that replaces earlier ones.
+    /// Sequence number of the next report or summary.
     pub(super) fn next_sequence(&self) -> u64 {
         self.sequence.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Sends one message to some routers. What cannot be sent is lost: the next one
-    /// says the same.
+    /// Sends a message to each address. Failures are only logged: the next message carries
+    /// the same state.
     pub(super) async fn send(
         &self,
         message: &PeerMessage,
@@ -140,12 +141,12 @@
                     .await
             }
             Err(error) => {
-                log::error!(code = error.code.number(); "no datagram: {error}");
+                log::error!(code = error.code.number(); "cannot encode a datagram: {error}");
             }
         }
     }
 
-    /// Sends one datagram to some routers.
+    /// Sends an encoded datagram to each address; `kind` is its label in metrics and logs.
     pub(super) async fn send_datagram(
         &self,
         datagram: &[u8],
@@ -162,7 +163,7 @@
     }
 }
 
-/// A short name of a router for the tables of what was told.
-pub(super) fn router_name(address: &SocketAddr) -> u32 {
+/// A `u32` hash that identifies a router in the tables of reported loads and usage.
+pub(super) fn router_hash(address: &SocketAddr) -> u32 {
     stable_hash(address) as u32
 }
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -1,9 +1,9 @@
-//! Telling other routers what is here.
+//! Sends this router's state to the other routers.
 
 use {
     super::{
         Figures, PeerLink, PeerMessage, RouterReport, ToldReports, ZoneSum,
-        peer_link::{SILENCE, router_name},
+        peer_link::{SILENCE, router_hash},
     },
     crate::{
         ops::PEERS,
@@ -17,37 +17,38 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The shortest time between two reports.
-const LEAST_PAUSE: Duration = Duration::from_millis(10);
+/// Shortest time between two reports.
+const MIN_PAUSE: Duration = Duration::from_millis(10);
 
-/// Datagrams a second that one router sends at most for its regular reports:
-/// where its zone has many routers, each is told less often.
-const DATAGRAMS_PER_SECOND: f64 = 200.0;
+/// Limit on the regular reports of one router to all others together. In larger zones each
+/// router is sent to less often.
+const MAX_DATAGRAMS_PER_SECOND: f64 = 200.0;
 
-/// Datagrams a second that it sends at most while its reports are urgent.
-const URGENT_DATAGRAMS_PER_SECOND: f64 = 400.0;
+/// The same limit for reports that are sent early, on request or after a catalog change.
+const MAX_URGENT_DATAGRAMS_PER_SECOND: f64 = 400.0;
 
-/// What did not change is told again after this part of the age at which others
-/// stop believing it.
-const REFRESH_SHARE: f32 = 0.5;
+/// Unchanged figures are sent again after this fraction of the age at which they expire.
+const REFRESH_FRACTION: f32 = 0.5;
 
-/// Routers of its zone that a sum names, in turn.
-const MEMBERS: usize = 4;
+/// Routers of its zone that a summary names, round robin.
+const MAX_MEMBERS: usize = 4;
 
-/// Routers of another zone that a sum is sent to while none of them speaks.
-const CONTACTS: usize = 3;
+/// Routers of another zone that a summary is sent to while that zone's representative is
+/// unknown.
+const MAX_CONTACTS: usize = 3;
 
 impl PeerLink {
-    /// Sends reports at their pace, and soon after the catalog changes.
-    pub(super) async fn tell(self: Arc<Self>) {
+    /// Sends reports at the report interval, and earlier on request or when the catalog
+    /// changes.
+    pub(super) async fn send_regularly(self: Arc<Self>) {
         let mut changes = self.gateway.catalog.subscribe();
         loop {
             let now = self.gateway.now();
             let settings = self.gateway.settings();
             let peers = &self.gateway.peers;
             for address in peers.forget_silent(now, settings.peer_forget) {
-                log::info!(peer = address.to_string().as_str(); "router forgotten");
-                self.gateway.shares().forget(router_name(&address));
+                log::info!(peer = address.to_string().as_str(); "silent router removed");
+                self.gateway.shares().forget(router_hash(&address));
             }
             metrics::gauge!(PEERS).set(peers.alive(now, settings.peer_forget) as f64);
             let addresses = peers.in_zone();
@@ -55,26 +56,27 @@
             self.send_suspects(now, &addresses).await;
             self.send_leaving(now, &addresses).await;
             self.send_evidence(now, &addresses).await;
-            self.send_kept(now, &addresses).await;
-            let sums = self.send_sums(now).await;
-            let datagrams = (addresses.len() + sums) as f64;
-            let least = Duration::from_secs_f64(datagrams / URGENT_DATAGRAMS_PER_SECOND);
-            tokio::time::sleep(LEAST_PAUSE.max(least)).await;
-            let paced = Duration::from_secs_f64(addresses.len() as f64 / DATAGRAMS_PER_SECOND);
-            let pace = settings.peer_interval.max(paced);
-            self.set_pace(pace);
+            self.send_cache_events(now, &addresses).await;
+            let summaries = self.send_summaries(now).await;
+            let datagrams = (addresses.len() + summaries) as f64;
+            let min_pause = Duration::from_secs_f64(datagrams / MAX_URGENT_DATAGRAMS_PER_SECOND);
+            tokio::time::sleep(MIN_PAUSE.max(min_pause)).await;
+            let paced = Duration::from_secs_f64(addresses.len() as f64 / MAX_DATAGRAMS_PER_SECOND);
+            let interval = settings.peer_interval.max(paced);
+            self.update_report_interval(interval);
             tokio::select! {
-                () = tokio::time::sleep(pace) => {}
+                () = tokio::time::sleep(interval) => {}
                 () = self.gateway.report_wanted.notified() => {}
                 _ = changes.changed() => {}
             }
         }
     }
 
-    /// Notes how far apart reports are, and how many routers choose by them.
-    fn set_pace(
+    /// Passes the report interval and the number of routers on to placement and sharing,
+    /// which derive from them the age at which reports expire.
+    fn update_report_interval(
         &self,
-        pace: Duration,
+        interval: Duration,
     ) {
         let now = self.gateway.now();
         let forget = self.gateway.settings().peer_forget;
@@ -84,23 +86,24 @@
         };
         let routers = self.zone_routers(now);
         let mut board = self.gateway.board();
-        board.set_reports(pace, fleet);
+        board.set_reports(interval, fleet);
         board.set_zone_routers(routers);
         let belief_age = board.belief_age();
         drop(board);
         self.gateway.shares().set_peer_age(belief_age);
     }
 
-    /// The routers of the own zone, for who sends to replicas that have just started.
+    /// The routers of the own zone, among which one is chosen to send to each replica that
+    /// has just started.
     fn zone_routers(
         &self,
         now: Moment,
     ) -> ZoneRouters {
         let peers = &self.gateway.peers;
-        let heard = peers.heard(now, SILENCE);
-        let fellows = heard.iter().map(stable_hash).collect();
+        let live = peers.heard(now, SILENCE);
+        let live_hashes = live.iter().map(stable_hash).collect();
         let known = peers.alive(now, self.gateway.settings().peer_forget);
-        ZoneRouters::new(now, stable_hash(&peers.own().address), fellows, known)
+        ZoneRouters::new(now, stable_hash(&peers.own().address), live_hashes, known)
     }
 
     async fn send_reports(
@@ -129,9 +132,10 @@
         }
     }
 
-    /// Sends the zone's sum, made once, to each zone to which this router speaks. Gives
-    /// the number of these.
-    async fn send_sums(
+    /// Sends the zone's summary to each zone to which this router represents its own, and
+    /// returns the number of those zones. A router that shuts down sends none while others
+    /// of its zone are live.
+    async fn send_summaries(
         &self,
         now: Moment,
     ) -> usize {
@@ -139,33 +143,33 @@
         let notes = gateway.board().take_zone_notes();
         let suspects = gateway.suspects().take_zone_news(now);
         let zones = gateway.peers.other_zones();
-        let leaves = gateway.is_stopping() && gateway.peers.alive(now, SILENCE) > 0;
-        let spoken: Vec<u32> = zones
+        let yields = gateway.is_stopping() && gateway.peers.alive(now, SILENCE) > 0;
+        let represented: Vec<u32> = zones
             .into_iter()
-            .filter(|zone| !leaves && gateway.peers.speaks_to(now, SILENCE, *zone))
+            .filter(|zone| !yields && gateway.peers.speaks_to(now, SILENCE, *zone))
             .collect();
-        let mut told = std::mem::take(&mut self.told.lock().expect("told lock").sums);
-        told.retain(|zone, _| spoken.contains(zone));
-        if !spoken.is_empty() {
+        let mut sent = std::mem::take(&mut self.sent.lock().expect("sent lock").summaries);
+        sent.retain(|zone, _| represented.contains(zone));
+        if !represented.is_empty() {
             let all = self.zone_figures(now, notes);
-            let mut times = std::mem::take(&mut self.told.lock().expect("told lock").zone_suspects);
-            let suspects = self.with_lasting(now, suspects, &mut times);
-            self.told.lock().expect("told lock").zone_suspects = times;
-            for zone in &spoken {
-                let told = told.entry(*zone).or_default();
-                let figures = self.due(now, told, all.clone());
-                self.send_sum(now, *zone, figures).await;
+            let mut times = std::mem::take(&mut self.sent.lock().expect("sent lock").zone_suspects);
+            let suspects = self.with_refresh(now, suspects, &mut times);
+            self.sent.lock().expect("sent lock").zone_suspects = times;
+            for zone in &represented {
+                let sent = sent.entry(*zone).or_default();
+                let figures = self.due(now, sent, all.clone());
+                self.send_summary(now, *zone, figures).await;
                 if !suspects.is_empty() {
                     let contacts = self.contacts(now, *zone);
                     self.send_notes(suspects.clone(), &contacts).await;
                 }
             }
         }
-        self.told.lock().expect("told lock").sums = told;
-        spoken.len()
+        self.sent.lock().expect("sent lock").summaries = sent;
+        represented.len()
     }
 
-    async fn send_sum(
+    async fn send_summary(
         &self,
         now: Moment,
         zone: u32,
@@ -174,27 +178,27 @@
         let gateway = &self.gateway;
         let own = gateway.peers.own();
         let contacts = self.contacts(now, zone);
-        let fellows = gateway.peers.heard(now, SILENCE);
+        let live = gateway.peers.heard(now, SILENCE);
         for figures in figures.cut() {
             let sequence = self.next_sequence();
-            let turn = sequence as usize % fellows.len().max(1);
-            let sum = ZoneSum {
+            let begin = sequence as usize % live.len().max(1);
+            let summary = ZoneSum {
                 zone: own.zone,
                 carrier: own.address,
                 news: self.news,
                 incarnation: self.incarnation,
                 sequence,
-                routers: fellows.len() as u32 + 1,
+                routers: live.len() as u32 + 1,
                 version: gateway.version_in_use(),
                 figures,
-                members: in_turn(&fellows, turn, MEMBERS),
+                members: cyclic_slice(&live, begin, MAX_MEMBERS),
             };
-            self.send(&PeerMessage::Sum(sum), &contacts).await;
+            self.send(&PeerMessage::Sum(summary), &contacts).await;
         }
     }
 
-    /// Where a sum goes: to the router that speaks for the zone, or to some that
-    /// are known while none does.
+    /// Where messages for another zone go: to its representative, or to a few random known
+    /// routers of it while the representative is unknown.
     pub(super) fn contacts(
         &self,
         now: Moment,
@@ -204,11 +208,11 @@
             return vec![carrier];
         }
         let known = self.gateway.peers.in_any_zone(zone);
-        let turn = rand::random_range(0..known.len().max(1));
-        in_turn(&known, turn, CONTACTS)
+        let begin = rand::random_range(0..known.len().max(1));
+        cyclic_slice(&known, begin, MAX_CONTACTS)
     }
 
-    /// What this router has to tell to those of its zone.
+    /// This router's own figures that are due to be sent to its zone.
     fn own_figures(
         &self,
         now: Moment,
@@ -220,17 +224,17 @@
         let engines = board.engine_reports();
         drop(board);
         let usage = gateway.shares().own(now).clone();
-        let mut told = self.told.lock().expect("told lock");
+        let mut sent = self.sent.lock().expect("sent lock");
         let all = Figures {
             replicas,
             accounts: usage.into_iter().collect(),
             notes,
             engines,
         };
-        self.due(now, &mut told.zone, all)
+        self.due(now, &mut sent.own_zone, all)
     }
 
-    /// What the zone has to tell to others.
+    /// All figures of the own zone, for other zones.
     fn zone_figures(
         &self,
         now: Moment,
@@ -250,35 +254,35 @@
         }
     }
 
-    /// The part of some figures that is to be told now.
+    /// The figures that changed since they were sent, or are due to be sent again.
     fn due(
         &self,
         now: Moment,
-        told: &mut ToldReports,
+        sent: &mut ToldReports,
         all: Figures,
     ) -> Figures {
         let settings = self.gateway.settings();
-        let refresh = settings.peer_age.mul_f32(REFRESH_SHARE);
-        let engines = if told.engines_due(now, settings.peer_age) {
+        let refresh = settings.peer_age.mul_f32(REFRESH_FRACTION);
+        let engines = if sent.engines_due(now, settings.peer_age) {
             all.engines
         } else {
             Vec::new()
         };
         Figures {
-            replicas: told.replicas(now, refresh, all.replicas),
-            accounts: told.accounts(now, refresh, settings.share_window, &all.accounts),
-            notes: told.notes(now, settings.peer_age, all.notes),
+            replicas: sent.replicas(now, refresh, all.replicas),
+            accounts: sent.accounts(now, refresh, settings.share_window, &all.accounts),
+            notes: sent.notes(now, settings.peer_age, all.notes),
             engines,
         }
     }
 }
 
-/// Up to `count` routers of a list from the one whose turn it is, round and round.
-fn in_turn(
+/// Up to `count` different routers from the index `begin`, wrapping around at the end.
+fn cyclic_slice(
     routers: &[SocketAddr],
-    turn: usize,
+    begin: usize,
     count: usize,
 ) -> Vec<SocketAddr> {
-    let round = routers.iter().cycle().skip(turn);
-    round.take(count.min(routers.len())).copied().collect()
+    let cycle = routers.iter().cycle().skip(begin);
+    cycle.take(count.min(routers.len())).copied().collect()
 }
--- a/src/peers/tell_evidence.rs
+++ b/src/peers/tell_evidence.rs
@@ -1,13 +1,14 @@
-//! Telling and hearing of how replicas work, in the own zone.
+//! Exchanges observations of replicas' performance within the own zone.
 
 use {
-    super::{EvidenceTold, PeerLink, PeerMessage, peer_link::router_name},
+    super::{EvidenceTold, PeerLink, PeerMessage, peer_link::router_hash},
     crate::policy::{Moment, placement::ReplicaEvidence},
     std::net::SocketAddr,
 };
 
 impl PeerLink {
-    /// Tells the routers of the own zone what this one has seen, in one datagram.
+    /// Sends this router's observations to the routers of its zone, in one datagram, when
+    /// that is due.
     pub(super) async fn send_evidence(
         &self,
         now: Moment,
@@ -18,12 +19,12 @@
             return;
         }
         let own = self.gateway.peers.own();
-        let told = EvidenceTold {
+        let message = EvidenceTold {
             zone: own.zone,
             teller: own.address,
             replicas,
         };
-        self.send(&PeerMessage::Evidence(told), addresses).await;
+        self.send(&PeerMessage::Evidence(message), addresses).await;
     }
 
     fn due_evidence(
@@ -31,28 +32,31 @@
         now: Moment,
         routers: usize,
     ) -> Vec<ReplicaEvidence> {
-        let mut told = self.told.lock().expect("told lock");
-        if !told.evidence.is_due(now, routers) {
+        let mut sent = self.sent.lock().expect("sent lock");
+        if !sent.evidence.is_due(now, routers) {
             return Vec::new();
         }
-        drop(told);
-        let seen = self.gateway.board().evidence(now);
-        told = self.told.lock().expect("told lock");
-        told.evidence.take(now, seen)
+        drop(sent);
+        let evidence = self.gateway.board().evidence(now);
+        sent = self.sent.lock().expect("sent lock");
+        sent.evidence.take(now, evidence)
     }
 
-    /// Takes in what a router of the own zone has seen.
-    pub(super) fn take_evidence(
+    /// Applies the observations of a router of the own zone. Messages from another address
+    /// than their author's are ignored.
+    pub(super) fn apply_evidence(
         &self,
         from: SocketAddr,
-        told: &EvidenceTold,
+        message: &EvidenceTold,
     ) {
         let gateway = &self.gateway;
-        if from != told.teller || told.zone != gateway.peers.own().zone {
+        if from != message.teller || message.zone != gateway.peers.own().zone {
             return;
         }
         let now = gateway.now();
-        let teller = router_name(&told.teller);
-        gateway.board().hear_evidence(now, teller, &told.replicas);
+        let sender = router_hash(&message.teller);
+        gateway
+            .board()
+            .hear_evidence(now, sender, &message.replicas);
     }
 }
--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -1,4 +1,5 @@
-//! Telling and hearing of what replicas say that they keep, in the own zone.
+//! Exchanges the prompt-cache events of replicas: those that a router reads from a replica are
+//! forwarded to the other routers.
 
 use {
     super::{KeptTold, PeerLink, PeerMessage, peer_link::SILENCE},
@@ -6,124 +7,127 @@
     std::net::SocketAddr,
 };
 
-/// Events in one datagram: up to 19 bytes each.
-const EVENTS: usize = 60;
+/// Events in one datagram, at up to 19 bytes each.
+const MAX_EVENTS: usize = 60;
 
-/// What goes before the events of a replica, counted as so many of them.
-const HEAD: usize = 2;
+/// Size of the fields before the events of a replica, counted in events.
+const HEAD_EVENTS: usize = 2;
 
 impl PeerLink {
-    /// Tells the routers of the own zone what replicas said to this one, and those that speak
-    /// for other zones which shared parts were given up.
-    pub(super) async fn send_kept(
+    /// Sends new cache events to the routers of the own zone, and evictions of shared prompt
+    /// parts to the other zones. After a new router has appeared in the own zone, the full
+    /// cache contents of the replicas whose events this router reads are sent again.
+    pub(super) async fn send_cache_events(
         &self,
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let heard = self.gateway.peers.heard(now, SILENCE).into_iter().collect();
+        let live = self.gateway.peers.heard(now, SILENCE).into_iter().collect();
         let has_new = {
-            let known = &mut self.told.lock().expect("told lock").kept_fellows;
-            let before = std::mem::replace(known, heard);
-            known.iter().any(|fellow| !before.contains(fellow))
+            let known = &mut self.sent.lock().expect("sent lock").cache_event_peers;
+            let before = std::mem::replace(known, live);
+            known.iter().any(|router| !before.contains(router))
         };
         if has_new {
             let zone = &self.gateway.settings().process.zone;
             self.gateway.board().tell_kept_again(now, zone);
         }
-        let (news, zone_news) = {
+        let (events, shared_evictions) = {
             let mut board = self.gateway.board();
             (board.take_kept_news(), board.take_zone_kept_news())
         };
-        self.send_kept_news(news, addresses).await;
-        if !zone_news.is_empty() {
+        self.send_event_batches(events, addresses).await;
+        if !shared_evictions.is_empty() {
             for zone in self.gateway.peers.other_zones() {
                 let contacts = self.contacts(now, zone);
-                self.send_kept_news(zone_news.clone(), &contacts).await;
+                self.send_event_batches(shared_evictions.clone(), &contacts)
+                    .await;
             }
         }
     }
 
-    async fn send_kept_news(
+    async fn send_event_batches(
         &self,
-        news: Vec<(u32, KeptNews)>,
+        batches: Vec<(u32, KeptNews)>,
         addresses: &[SocketAddr],
     ) {
         if addresses.is_empty() {
             return;
         }
         let own = self.gateway.peers.own();
-        for replicas in datagrams(news) {
-            let told = KeptTold {
+        for replicas in datagrams(batches) {
+            let message = KeptTold {
                 zone: own.zone,
                 teller: own.address,
                 replicas,
             };
-            self.send(&PeerMessage::Kept(told), addresses).await;
+            self.send(&PeerMessage::Kept(message), addresses).await;
         }
     }
 
-    /// Takes in what replicas said to another router. Whether fellows are to be told: it comes
-    /// from another zone, from the router that follows them.
-    pub(super) fn take_kept(
+    /// Applies cache events that another router has read. Returns whether the message is to be
+    /// relayed within the own zone: it came directly from its author in another zone.
+    pub(super) fn apply_cache_events(
         &self,
         from: SocketAddr,
-        told: &KeptTold,
+        message: &KeptTold,
     ) -> bool {
         let gateway = &self.gateway;
-        let is_own_zone = told.zone == gateway.peers.own().zone;
-        if is_own_zone && from != told.teller {
+        let is_own_zone = message.zone == gateway.peers.own().zone;
+        if is_own_zone && from != message.teller {
             return false;
         }
         let now = gateway.now();
         let mut board = gateway.board();
-        for (start, news) in &told.replicas {
-            board.hear_kept(now, *start, news);
+        for (start, events) in &message.replicas {
+            board.hear_kept(now, *start, events);
         }
-        !is_own_zone && from == told.teller
+        !is_own_zone && from == message.teller
     }
 }
 
-/// Cuts news so that each list fits one datagram.
-fn datagrams(news: Vec<(u32, KeptNews)>) -> Vec<Vec<(u32, KeptNews)>> {
+/// Distributes the events of replicas over lists that each fit one datagram.
+fn datagrams(batches: Vec<(u32, KeptNews)>) -> Vec<Vec<(u32, KeptNews)>> {
     let mut datagrams = Vec::new();
     let mut current = Vec::new();
     let mut size = 0;
-    let whole = news.into_iter().flat_map(|(start, news)| {
-        let parts = cut(news).into_iter();
+    let parts = batches.into_iter().flat_map(|(start, batch)| {
+        let parts = split(batch).into_iter();
         parts.map(move |part| (start, part))
     });
-    for (start, news) in whole {
-        let cost = HEAD + news.events.len();
-        if size + cost > EVENTS && !current.is_empty() {
+    for (start, batch) in parts {
+        let cost = HEAD_EVENTS + batch.events.len();
+        if size + cost > MAX_EVENTS && !current.is_empty() {
             datagrams.push(std::mem::take(&mut current));
             size = 0;
         }
         size += cost;
-        current.push((start, news));
+        current.push((start, batch));
     }
     datagrams.extend((!current.is_empty()).then_some(current));
     datagrams
 }
 
-/// News as some that follow each other without a gap between them.
-fn cut(news: KeptNews) -> Vec<KeptNews> {
-    let most = EVENTS - HEAD;
-    if news.events.len() <= most {
-        return vec![news];
+/// Splits the events of one replica into batches that each fit one datagram and follow each
+/// other without a gap.
+fn split(batch: KeptNews) -> Vec<KeptNews> {
+    let max_events = MAX_EVENTS - HEAD_EVENTS;
+    if batch.events.len() <= max_events {
+        return vec![batch];
     }
-    let mut from = news.from;
-    let mut has_gap = news.has_gap;
-    let mut rest = news.events.as_slice();
+    let mut from = batch.from;
+    let mut has_gap = batch.has_gap;
+    let mut rest = batch.events.as_slice();
     let mut parts = Vec::new();
     while !rest.is_empty() {
-        let (events, later) = rest.split_at(most.min(rest.len()));
-        let next = later.first().map_or(news.next, |event| event.number);
+        let (events, later) = rest.split_at(max_events.min(rest.len()));
+        let next = later.first().map_or(batch.next, |event| event.number);
         parts.push(KeptNews {
-            epoch: news.epoch,
+            epoch: batch.epoch,
             from,
             next,
             has_gap: std::mem::take(&mut has_gap),
-            is_again: news.is_again,
+            is_again: batch.is_again,
             events: events.to_vec(),
         });
         from = next;
--- a/src/peers/tell_leaving.rs
+++ b/src/peers/tell_leaving.rs
@@ -1,5 +1,6 @@
-//! Telling and hearing of replicas that said that they leave, in the own zone: its routers
-//! hand connections on to each other, and so pass answers on that they do not read.
+//! Exchanges announcements of replicas that shut down, within the own zone. Routers of a zone
+//! hand connections over to each other and relay answers unparsed, so that a router may not
+//! see the announcement in an answer that passes through it.
 
 use {
     super::{LeavingTold, PeerLink, PeerMessage},
@@ -7,17 +8,18 @@
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
 
-/// Starts of replicas in one datagram: up to five bytes each.
-const STARTS: usize = 200;
+/// Replicas in one datagram, at up to five bytes each.
+const MAX_REPLICAS: usize = 200;
 
-/// What lasts is told again after this long: a datagram may be lost, a fellow may start.
-const TOLD_AGAIN: Duration = Duration::from_millis(500);
+/// Interval at which an announcement is sent again while it is valid: a datagram may be
+/// lost, and a router may have started since.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// When each start of a replica was last told to leave.
+/// When the announcement of each replica was last sent, by `UpstreamEntry::start_name`.
 pub(super) type LeavingTimes = HashMap<u32, Moment>;
 
 impl PeerLink {
-    /// Tells the routers of the own zone who said to this one that it leaves.
+    /// Sends the announcements that this router received to the routers of its zone.
     pub(super) async fn send_leaving(
         &self,
         now: Moment,
@@ -25,44 +27,45 @@
     ) {
         let leaving = self.gateway.board().heard_leaving();
         let due: Vec<u32> = {
-            let times = &mut self.told.lock().expect("told lock").leaving;
+            let times = &mut self.sent.lock().expect("sent lock").leaving;
             times.retain(|start, _| leaving.contains(start));
             let is_due = |start: &u32| {
-                let told = times.get(start);
-                told.is_none_or(|at| now.saturating_sub(*at) >= TOLD_AGAIN)
+                let sent = times.get(start);
+                sent.is_none_or(|at| now.saturating_sub(*at) >= RESEND_INTERVAL)
             };
             let due: Vec<u32> = leaving.into_iter().filter(is_due).collect();
             times.extend(due.iter().map(|start| (*start, now)));
             due
         };
         let own = self.gateway.peers.own();
-        for starts in due.chunks(STARTS) {
-            let told = LeavingTold {
+        for starts in due.chunks(MAX_REPLICAS) {
+            let message = LeavingTold {
                 zone: own.zone,
                 teller: own.address,
                 starts: starts.to_vec(),
             };
-            self.send(&PeerMessage::Leaving(told), addresses).await;
+            self.send(&PeerMessage::Leaving(message), addresses).await;
         }
     }
 
-    /// Takes in what a router of the own zone heard.
-    pub(super) fn take_leaving(
+    /// Applies the announcements that a router of the own zone received. Messages from
+    /// another address than their author's are ignored.
+    pub(super) fn apply_leaving(
         &self,
         from: SocketAddr,
-        told: &LeavingTold,
+        message: &LeavingTold,
     ) {
         let gateway = &self.gateway;
-        if from != told.teller || told.zone != gateway.peers.own().zone {
+        if from != message.teller || message.zone != gateway.peers.own().zone {
             return;
         }
         let unix_ms = Uptime::unix_millis();
-        let news = gateway.board().hear_of_leaving(unix_ms, &told.starts);
-        for replica in news {
+        let newly_leaving = gateway.board().hear_of_leaving(unix_ms, &message.starts);
+        for replica in newly_leaving {
             log::info!(
                 replica = &*replica.id,
                 born = replica.born,
-                teller = told.teller.to_string().as_str();
+                teller = message.teller.to_string().as_str();
                 "a fellow heard that a replica leaves"
             );
         }
--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -1,4 +1,4 @@
-//! Telling and hearing of requests under which replicas ended.
+//! Exchanges requests that are suspected of crashing replicas.
 
 use {
     super::{PeerLink, PeerMessage, SuspectsTold},
@@ -12,52 +12,54 @@
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
 
-/// Requests in one datagram, so that it stays within some 1,200 bytes: up to 120 each.
-const NOTES: usize = 8;
+/// Requests in one datagram. At up to 120 bytes each it stays below some 1,200 bytes.
+const MAX_NOTES: usize = 8;
 
-/// A request that is held back is told again after this long without a word of it, so that
-/// a router that starts knows it before callers have long found it.
-const TOLD_AGAIN: Duration = Duration::from_secs(1);
+/// A request that is or was held back is sent again when no router of the zone has sent it for
+/// this long, so that a router that has just started learns of it soon.
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Requests that are told again at once.
-const MOST_AGAIN: usize = 32;
+/// Requests that are sent again in one round.
+const MAX_RESENT: usize = 32;
 
-/// When each request was last told, or heard of from a fellow.
+/// When each request was last sent, or received from a router of the own zone.
 pub(super) type SuspectTimes = HashMap<RequestDigest, Moment>;
 
 impl PeerLink {
-    /// Tells the routers of the own zone what was learnt here, and in turn what lasts.
+    /// Sends new suspicions to the routers of the own zone, and older ones that are due to be
+    /// sent again.
     pub(super) async fn send_suspects(
         &self,
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let news = self.gateway.suspects().take_news(now);
-        let mut times = std::mem::take(&mut self.told.lock().expect("told lock").suspects);
-        let notes = self.with_lasting(now, news, &mut times);
-        self.told.lock().expect("told lock").suspects.extend(times);
+        let new_notes = self.gateway.suspects().take_news(now);
+        let mut times = std::mem::take(&mut self.sent.lock().expect("sent lock").suspects);
+        let notes = self.with_refresh(now, new_notes, &mut times);
+        self.sent.lock().expect("sent lock").suspects.extend(times);
         self.send_notes(notes, addresses).await;
     }
 
-    /// What is told of suspects: some news, and of those that last what was not told lately.
-    pub(super) fn with_lasting(
+    /// Adds to new notes those on requests that are or were held back and are due to be sent
+    /// again. `times` says when each was last sent, and is updated.
+    pub(super) fn with_refresh(
         &self,
         now: Moment,
-        news: Vec<SuspectNote>,
+        new_notes: Vec<SuspectNote>,
         times: &mut SuspectTimes,
     ) -> Vec<SuspectNote> {
         let suspects = self.gateway.suspects();
         let lasting = suspects.lasting();
         times.retain(|request, _| lasting.contains(request));
-        let mut notes = news;
+        let mut notes = new_notes;
         for note in &notes {
             times.insert(note.request, now);
         }
         let is_due = |request: &&RequestDigest| {
-            let told = times.get(*request);
-            told.is_none_or(|at| now.saturating_sub(*at) >= TOLD_AGAIN)
+            let sent = times.get(*request);
+            sent.is_none_or(|at| now.saturating_sub(*at) >= RESEND_INTERVAL)
         };
-        let due = lasting.iter().filter(is_due).take(MOST_AGAIN);
+        let due = lasting.iter().filter(is_due).take(MAX_RESENT);
         let due: Vec<RequestDigest> = due.copied().collect();
         for request in &due {
             times.insert(*request, now);
@@ -72,39 +74,39 @@
         addresses: &[SocketAddr],
     ) {
         let own = self.gateway.peers.own();
-        for notes in notes.chunks(NOTES) {
-            let told = SuspectsTold {
+        for notes in notes.chunks(MAX_NOTES) {
+            let message = SuspectsTold {
                 zone: own.zone,
                 teller: own.address,
                 notes: notes.to_vec(),
             };
-            self.send(&PeerMessage::Suspects(told), addresses).await;
+            self.send(&PeerMessage::Suspects(message), addresses).await;
         }
     }
 
-    /// Takes in what another router knows. Whether fellows are to be told: it comes from
-    /// another zone, from the router that speaks for it.
-    pub(super) fn take_suspects(
+    /// Applies the suspicions of another router. Returns whether the message is to be relayed
+    /// within the own zone: it came directly from its author in another zone.
+    pub(super) fn apply_suspects(
         &self,
         from: SocketAddr,
-        told: &SuspectsTold,
+        message: &SuspectsTold,
     ) -> bool {
         let now = self.gateway.now();
-        let is_own_zone = told.zone == self.gateway.peers.own().zone;
+        let is_own_zone = message.zone == self.gateway.peers.own().zone;
         let scope = match is_own_zone {
             true => TellerScope::Router,
             false => TellerScope::Zone,
         };
-        let held = self.gateway.suspects().hear(now, scope, &told.notes);
+        let held = self.gateway.suspects().hear(now, scope, &message.notes);
         for (request, hold) in held {
-            log_held_back(now, request, &hold, "", &told.teller.to_string());
+            log_held_back(now, request, &hold, "", &message.teller.to_string());
         }
         if is_own_zone {
-            let mut state = self.told.lock().expect("told lock");
-            for note in &told.notes {
-                state.suspects.insert(note.request, now);
+            let mut sent = self.sent.lock().expect("sent lock");
+            for note in &message.notes {
+                sent.suspects.insert(note.request, now);
             }
         }
-        !is_own_zone && from == told.teller
+        !is_own_zone && from == message.teller
     }
 }
