--- a/src/peers/evidence_told.rs
+++ b/src/peers/evidence_message.rs
@@ -7,7 +7,7 @@
 /// Datagram to the routers of the own zone with what one router has observed of the pace and
 /// the pauses of replicas. Replaces what the same router sent of a replica before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EvidenceTold {
+pub struct EvidenceMessage {
     pub zone: u32,          // hash of the zone's name
     pub teller: SocketAddr, // the router that made the observations
     pub replicas: Vec<ReplicaEvidence>,
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -19,7 +19,7 @@
 mod behind;
 mod catalog_news;
 mod catch_up;
-mod evidence_told;
+mod evidence_message;
 mod evidence_turn;
 mod figures;
 mod kept_told;
@@ -47,7 +47,7 @@
 pub use {
     behind::Behind,
     catalog_news::CatalogNews,
-    evidence_told::EvidenceTold,
+    evidence_message::EvidenceMessage,
     evidence_turn::EvidenceTurn,
     figures::Figures,
     kept_told::KeptTold,
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EvidenceTold, KeptTold, LeavingTold, NamedRouter, RouterReport, SuspectsTold, ZoneSum,
+        EvidenceMessage, KeptTold, LeavingTold, NamedRouter, RouterReport, SuspectsTold, ZoneSum,
     },
     serde::{Deserialize, Serialize},
 };
@@ -22,7 +22,7 @@
     /// Replicas that announced their shutdown, to the own zone.
     Leaving(LeavingTold),
     /// Observed performance of replicas, to the own zone.
-    Evidence(EvidenceTold),
+    Evidence(EvidenceMessage),
     /// Prompt-cache events of replicas, to the own zone; evictions of shared parts, to others.
     Kept(KeptTold),
 }
--- a/src/peers/tell_evidence.rs
+++ b/src/peers/tell_evidence.rs
@@ -1,7 +1,7 @@
 //! Exchanges observations of replicas' performance within the own zone.
 
 use {
-    super::{EvidenceTold, PeerLink, PeerMessage, peer_link::router_hash},
+    super::{EvidenceMessage, PeerLink, PeerMessage, peer_link::router_hash},
     crate::policy::{Moment, placement::ReplicaEvidence},
     std::net::SocketAddr,
 };
@@ -19,7 +19,7 @@
             return;
         }
         let own = self.gateway.peers.own();
-        let message = EvidenceTold {
+        let message = EvidenceMessage {
             zone: own.zone,
             teller: own.address,
             replicas,
@@ -47,7 +47,7 @@
     pub(super) fn apply_evidence(
         &self,
         from: SocketAddr,
-        message: &EvidenceTold,
+        message: &EvidenceMessage,
     ) {
         let gateway = &self.gateway;
         if from != message.teller || message.zone != gateway.peers.own().zone {
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -4,7 +4,7 @@
 use {
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
-        peers::{EvidenceTold, EvidenceTurn, PeerMessage},
+        peers::{EvidenceMessage, EvidenceTurn, PeerMessage},
         policy::{
             placement::{
                 Choice, EngineReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
@@ -507,7 +507,7 @@
         }
         datagrams += if rounds == 0 { 0 } else { 99 };
         rounds += 1;
-        let message = PeerMessage::Evidence(EvidenceTold {
+        let message = PeerMessage::Evidence(EvidenceMessage {
             zone: u32::MAX,
             teller: SocketAddr::from(([10, 0, 0, 1], 9999)),
             replicas,
