--- a/src/peers/kept_told.rs
+++ b/src/peers/cache_events_message.rs
@@ -8,7 +8,7 @@
 /// routers of its zone get all events that changed its view of the caches; other zones get
 /// only the evictions of prompt parts that several prompts share.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct KeptTold {
+pub struct CacheEventsMessage {
     pub zone: u32,                      // hash of the zone's name
     pub teller: SocketAddr,             // the router that read the events
     pub replicas: Vec<(u32, KeptNews)>, // by `UpstreamEntry::start_name`
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -17,12 +17,12 @@
 mod ask_names;
 mod ask_news;
 mod behind;
+mod cache_events_message;
 mod catalog_news;
 mod catch_up;
 mod evidence_message;
 mod evidence_turn;
 mod figures;
-mod kept_told;
 mod leaving_told;
 mod listen;
 mod named_router;
@@ -46,11 +46,11 @@
 
 pub use {
     behind::Behind,
+    cache_events_message::CacheEventsMessage,
     catalog_news::CatalogNews,
     evidence_message::EvidenceMessage,
     evidence_turn::EvidenceTurn,
     figures::Figures,
-    kept_told::KeptTold,
     leaving_told::LeavingTold,
     named_router::NamedRouter,
     peer_link::{PeerLink, SILENCE},
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        EvidenceMessage, KeptTold, LeavingTold, NamedRouter, RouterReport, SuspectsTold, ZoneSum,
+        CacheEventsMessage, EvidenceMessage, LeavingTold, NamedRouter, RouterReport, SuspectsTold,
+        ZoneSum,
     },
     serde::{Deserialize, Serialize},
 };
@@ -24,7 +25,7 @@
     /// Observed performance of replicas, to the own zone.
     Evidence(EvidenceMessage),
     /// Prompt-cache events of replicas, to the own zone; evictions of shared parts, to others.
-    Kept(KeptTold),
+    Kept(CacheEventsMessage),
 }
 
 impl PeerMessage {
--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -2,7 +2,7 @@
 //! forwarded to the other routers.
 
 use {
-    super::{KeptTold, PeerLink, PeerMessage, peer_link::SILENCE},
+    super::{CacheEventsMessage, PeerLink, PeerMessage, peer_link::SILENCE},
     crate::policy::{Moment, placement::KeptNews},
     std::net::SocketAddr,
 };
@@ -56,7 +56,7 @@
         }
         let own = self.gateway.peers.own();
         for replicas in datagrams(batches) {
-            let message = KeptTold {
+            let message = CacheEventsMessage {
                 zone: own.zone,
                 teller: own.address,
                 replicas,
@@ -70,7 +70,7 @@
     pub(super) fn apply_cache_events(
         &self,
         from: SocketAddr,
-        message: &KeptTold,
+        message: &CacheEventsMessage,
     ) -> bool {
         let gateway = &self.gateway;
         let is_own_zone = message.zone == gateway.peers.own().zone;
