--- a/src/peers/leaving_told.rs
+++ b/src/peers/leaving_message.rs
@@ -6,7 +6,7 @@
 /// Datagram to the routers of the own zone with the replicas that announced to one router
 /// that they are shutting down.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeavingTold {
+pub struct LeavingMessage {
     pub zone: u32,          // hash of the zone's name
     pub teller: SocketAddr, // the router that got the announcements
     pub starts: Vec<u32>,   // replicas, by `UpstreamEntry::start_name`
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -23,7 +23,7 @@
 mod evidence_message;
 mod evidence_turn;
 mod figures;
-mod leaving_told;
+mod leaving_message;
 mod listen;
 mod named_router;
 mod news_port;
@@ -51,7 +51,7 @@
     evidence_message::EvidenceMessage,
     evidence_turn::EvidenceTurn,
     figures::Figures,
-    leaving_told::LeavingTold,
+    leaving_message::LeavingMessage,
     named_router::NamedRouter,
     peer_link::{PeerLink, SILENCE},
     peer_message::PeerMessage,
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        CacheEventsMessage, EvidenceMessage, LeavingTold, NamedRouter, RouterReport, SuspectsTold,
-        ZoneSum,
+        CacheEventsMessage, EvidenceMessage, LeavingMessage, NamedRouter, RouterReport,
+        SuspectsTold, ZoneSum,
     },
     serde::{Deserialize, Serialize},
 };
@@ -21,7 +21,7 @@
     /// Requests that may have crashed replicas, to the own zone and to others.
     Suspects(SuspectsTold),
     /// Replicas that announced their shutdown, to the own zone.
-    Leaving(LeavingTold),
+    Leaving(LeavingMessage),
     /// Observed performance of replicas, to the own zone.
     Evidence(EvidenceMessage),
     /// Prompt-cache events of replicas, to the own zone; evictions of shared parts, to others.
--- a/src/peers/tell_leaving.rs
+++ b/src/peers/tell_leaving.rs
@@ -3,7 +3,7 @@
 //! see the announcement in an answer that passes through it.
 
 use {
-    super::{LeavingTold, PeerLink, PeerMessage},
+    super::{LeavingMessage, PeerLink, PeerMessage},
     crate::{ops::Uptime, policy::Moment},
     std::{collections::HashMap, net::SocketAddr, time::Duration},
 };
@@ -39,7 +39,7 @@
         };
         let own = self.gateway.peers.own();
         for starts in due.chunks(MAX_REPLICAS) {
-            let message = LeavingTold {
+            let message = LeavingMessage {
                 zone: own.zone,
                 teller: own.address,
                 starts: starts.to_vec(),
@@ -53,7 +53,7 @@
     pub(super) fn apply_leaving(
         &self,
         from: SocketAddr,
-        message: &LeavingTold,
+        message: &LeavingMessage,
     ) {
         let gateway = &self.gateway;
         if from != message.teller || message.zone != gateway.peers.own().zone {
