--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -33,7 +33,7 @@
 mod peer_message;
 mod peer_table;
 mod router_report;
-mod suspects_told;
+mod suspects_message;
 mod tell;
 mod tell_evidence;
 mod tell_kept;
@@ -57,7 +57,7 @@
     peer_message::PeerMessage,
     peer_table::PeerTable,
     router_report::RouterReport,
-    suspects_told::SuspectsTold,
+    suspects_message::SuspectsMessage,
     told_reports::ToldReports,
     zone_sum::ZoneSum,
     zone_table::ZoneTable,
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         CacheEventsMessage, EvidenceMessage, LeavingMessage, NamedRouter, RouterReport,
-        SuspectsTold, ZoneSum,
+        SuspectsMessage, ZoneSum,
     },
     serde::{Deserialize, Serialize},
 };
@@ -19,7 +19,7 @@
     /// other zone.
     Names(Vec<NamedRouter>),
     /// Requests that may have crashed replicas, to the own zone and to others.
-    Suspects(SuspectsTold),
+    Suspects(SuspectsMessage),
     /// Replicas that announced their shutdown, to the own zone.
     Leaving(LeavingMessage),
     /// Observed performance of replicas, to the own zone.
--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -1,7 +1,7 @@
 //! Exchanges requests that are suspected of crashing replicas.
 
 use {
-    super::{PeerLink, PeerMessage, SuspectsTold},
+    super::{PeerLink, PeerMessage, SuspectsMessage},
     crate::{
         direct::log_held_back,
         policy::{
@@ -75,7 +75,7 @@
     ) {
         let own = self.gateway.peers.own();
         for notes in notes.chunks(MAX_NOTES) {
-            let message = SuspectsTold {
+            let message = SuspectsMessage {
                 zone: own.zone,
                 teller: own.address,
                 notes: notes.to_vec(),
@@ -89,7 +89,7 @@
     pub(super) fn apply_suspects(
         &self,
         from: SocketAddr,
-        message: &SuspectsTold,
+        message: &SuspectsMessage,
     ) -> bool {
         let now = self.gateway.now();
         let is_own_zone = message.zone == self.gateway.peers.own().zone;
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -10,7 +10,7 @@
         catalog::{CatalogVersion, Cordon, CordonNews, UpstreamNews, UpstreamRecord},
         codes::ResultCode,
         peers::{
-            CatalogNews, Figures, NamedRouter, PeerMessage, RouterReport, SuspectsTold, ZoneSum,
+            CatalogNews, Figures, NamedRouter, PeerMessage, RouterReport, SuspectsMessage, ZoneSum,
         },
         policy::{
             placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
@@ -117,7 +117,7 @@
         is_early: true,
         is_excused: false,
     };
-    PeerMessage::Suspects(SuspectsTold {
+    PeerMessage::Suspects(SuspectsMessage {
         zone: 5,
         teller: address(1),
         notes: vec![SuspectNote {
