--- a/src/peers/evidence_turn.rs
+++ b/src/peers/evidence_schedule.rs
@@ -20,12 +20,12 @@
 
 /// Decides when evidence is sent to the own zone, and of which replicas.
 #[derive(Debug, Default)]
-pub struct EvidenceTurn {
+pub struct EvidenceSchedule {
     last_sent: Option<Moment>,
     next: usize, // position of the round robin
 }
 
-impl EvidenceTurn {
+impl EvidenceSchedule {
     /// Whether evidence is due, for a zone with this many other routers.
     pub fn is_due(
         &self,
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -21,7 +21,7 @@
 mod catalog_news;
 mod catch_up;
 mod evidence_message;
-mod evidence_turn;
+mod evidence_schedule;
 mod figures;
 mod leaving_message;
 mod listen;
@@ -49,7 +49,7 @@
     cache_events_message::CacheEventsMessage,
     catalog_news::CatalogNews,
     evidence_message::EvidenceMessage,
-    evidence_turn::EvidenceTurn,
+    evidence_schedule::EvidenceSchedule,
     figures::Figures,
     leaving_message::LeavingMessage,
     named_router::NamedRouter,
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EvidenceTurn, PeerMessage, ToldReports, ZoneTable, ask_news::connect,
+        EvidenceSchedule, PeerMessage, ToldReports, ZoneTable, ask_news::connect,
         news_port::serve_updates, own_certificate::quic_configs, tell_leaving::LeavingTimes,
         tell_suspects::SuspectTimes,
     },
@@ -52,7 +52,7 @@
     pub suspects: SuspectTimes,                 // in the own zone, also by other routers
     pub zone_suspects: SuspectTimes,            // to other zones
     pub leaving: LeavingTimes,                  // to the own zone
-    pub evidence: EvidenceTurn,                 // to the own zone
+    pub evidence: EvidenceSchedule,             // to the own zone
     pub cache_event_peers: HashSet<SocketAddr>, // live when cache events were last sent
 }
 
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -4,7 +4,7 @@
 use {
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
-        peers::{EvidenceMessage, EvidenceTurn, PeerMessage},
+        peers::{EvidenceMessage, EvidenceSchedule, PeerMessage},
         policy::{
             placement::{
                 Choice, EngineReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
@@ -493,7 +493,7 @@
             ..told("a", if number == 700 { 5.0 } else { 1.01 }, 5.0)
         })
         .collect();
-    let mut turn = EvidenceTurn::default();
+    let mut turn = EvidenceSchedule::default();
     let mut named: HashMap<u32, u32> = HashMap::new();
     let (mut datagrams, mut rounds) = (0, 0);
     for step in 0..12_000 {
