--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -2,7 +2,8 @@
 
 use {
     super::{
-        Figures, NamedRouter, PeerLink, PeerMessage, RouterReport, ZoneSum, peer_link::router_hash,
+        NamedRouter, PeerLink, PeerMessage, ReportBody, RouterReport, ZoneSum,
+        peer_link::router_hash,
     },
     crate::{
         catalog::CatalogVersion,
@@ -151,7 +152,7 @@
         &self,
         now: Moment,
         teller: Teller,
-        figures: &Figures,
+        figures: &ReportBody,
     ) {
         let mut board = self.gateway.board();
         board.hear(now, teller, &figures.replicas);
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -22,7 +22,6 @@
 mod catch_up;
 mod evidence_message;
 mod evidence_schedule;
-mod figures;
 mod leaving_message;
 mod listen;
 mod named_router;
@@ -32,6 +31,7 @@
 mod peer_link;
 mod peer_message;
 mod peer_table;
+mod report_body;
 mod router_report;
 mod suspects_message;
 mod tell;
@@ -50,12 +50,12 @@
     catalog_news::CatalogNews,
     evidence_message::EvidenceMessage,
     evidence_schedule::EvidenceSchedule,
-    figures::Figures,
     leaving_message::LeavingMessage,
     named_router::NamedRouter,
     peer_link::{PeerLink, SILENCE},
     peer_message::PeerMessage,
     peer_table::PeerTable,
+    report_body::ReportBody,
     router_report::RouterReport,
     suspects_message::SuspectsMessage,
     told_reports::ToldReports,
--- a/src/peers/figures.rs
+++ b/src/peers/report_body.rs
@@ -16,14 +16,14 @@
 /// service that accounts got. An entry for a replica, an account or an engine replaces the
 /// earlier one; cache notes accumulate.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct ReportBody {
     pub replicas: Vec<ReplicaReport>,
     pub accounts: Vec<(u32, AccountUsage)>,
     pub notes: Vec<CacheNote>,
     pub engines: Vec<EngineReport>,
 }
 
-impl Figures {
+impl ReportBody {
     /// Splits the figures into parts that each fit one datagram; at least one, also if there
     /// is nothing to report.
     pub fn cut(self) -> Vec<Self> {
--- a/src/peers/router_report.rs
+++ b/src/peers/router_report.rs
@@ -1,5 +1,5 @@
 use {
-    super::Figures,
+    super::ReportBody,
     crate::catalog::CatalogVersion,
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -20,5 +20,5 @@
     pub millicores: u16,  // processor capacity, in thousandths of a core
     pub store_lost: bool, // its recent reads of the store failed
     pub version: CatalogVersion,
-    pub figures: Figures,
+    pub figures: ReportBody,
 }
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Figures, PeerLink, PeerMessage, RouterReport, ToldReports, ZoneSum,
+        PeerLink, PeerMessage, ReportBody, RouterReport, ToldReports, ZoneSum,
         peer_link::{SILENCE, router_hash},
     },
     crate::{
@@ -173,7 +173,7 @@
         &self,
         now: Moment,
         zone: u32,
-        figures: Figures,
+        figures: ReportBody,
     ) {
         let gateway = &self.gateway;
         let own = gateway.peers.own();
@@ -216,7 +216,7 @@
     fn own_figures(
         &self,
         now: Moment,
-    ) -> Figures {
+    ) -> ReportBody {
         let gateway = &self.gateway;
         let mut board = gateway.board();
         let notes = board.take_notes();
@@ -225,7 +225,7 @@
         drop(board);
         let usage = gateway.shares().own(now).clone();
         let mut sent = self.sent.lock().expect("sent lock");
-        let all = Figures {
+        let all = ReportBody {
             replicas,
             accounts: usage.into_iter().collect(),
             notes,
@@ -239,14 +239,14 @@
         &self,
         now: Moment,
         notes: Vec<CacheNote>,
-    ) -> Figures {
+    ) -> ReportBody {
         let gateway = &self.gateway;
         let board = gateway.board();
         let replicas = board.zone_reports(now);
         let engines = board.engine_reports();
         drop(board);
         let usage = gateway.shares().zone_usage(now);
-        Figures {
+        ReportBody {
             replicas,
             accounts: usage.into_iter().collect(),
             notes,
@@ -259,8 +259,8 @@
         &self,
         now: Moment,
         sent: &mut ToldReports,
-        all: Figures,
-    ) -> Figures {
+        all: ReportBody,
+    ) -> ReportBody {
         let settings = self.gateway.settings();
         let refresh = settings.peer_age.mul_f32(REFRESH_FRACTION);
         let engines = if sent.engines_due(now, settings.peer_age) {
@@ -268,7 +268,7 @@
         } else {
             Vec::new()
         };
-        Figures {
+        ReportBody {
             replicas: sent.replicas(now, refresh, all.replicas),
             accounts: sent.accounts(now, refresh, settings.share_window, &all.accounts),
             notes: sent.notes(now, settings.peer_age, all.notes),
--- a/src/peers/zone_sum.rs
+++ b/src/peers/zone_sum.rs
@@ -1,5 +1,5 @@
 use {
-    super::Figures,
+    super::ReportBody,
     crate::catalog::CatalogVersion,
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -16,6 +16,6 @@
     pub sequence: u64,
     pub routers: u32, // live ones in the zone
     pub version: CatalogVersion,
-    pub figures: Figures,
+    pub figures: ReportBody,
     pub members: Vec<SocketAddr>, // some live routers of the zone
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -6,7 +6,7 @@
 use {
     archmast::{
         catalog::{CatalogVersion, UpstreamEntry, UpstreamState},
-        peers::{Figures, PeerMessage, RouterReport, ToldReports},
+        peers::{PeerMessage, ReportBody, RouterReport, ToldReports},
         policy::{
             Teller, TellerScope,
             placement::{
@@ -229,9 +229,9 @@
 /// datagrams.
 fn encoded(board: &ReplicaBoard) -> Vec<Vec<u8>> {
     let replicas = board.zone_reports(NOW).into_iter().step_by(ZONES).collect();
-    let figures = Figures {
+    let figures = ReportBody {
         replicas: ToldReports::default().replicas(NOW, AGE, replicas),
-        ..Figures::default()
+        ..ReportBody::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let reports = figures.cut().into_iter().map(|figures| {
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -10,7 +10,8 @@
         catalog::{CatalogVersion, Cordon, CordonNews, UpstreamNews, UpstreamRecord},
         codes::ResultCode,
         peers::{
-            CatalogNews, Figures, NamedRouter, PeerMessage, RouterReport, SuspectsMessage, ZoneSum,
+            CatalogNews, NamedRouter, PeerMessage, ReportBody, RouterReport, SuspectsMessage,
+            ZoneSum,
         },
         policy::{
             placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
@@ -34,8 +35,8 @@
     }
 }
 
-fn figures() -> Figures {
-    Figures {
+fn figures() -> ReportBody {
+    ReportBody {
         replicas: vec![ReplicaReport {
             replica: 0xfeed_beef,
             load: Load {
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -7,7 +7,7 @@
 use {
     archmast::{
         catalog::CatalogVersion,
-        peers::{Figures, NamedRouter, PeerTable, RouterReport},
+        peers::{NamedRouter, PeerTable, ReportBody, RouterReport},
     },
     std::{net::SocketAddr, time::Duration},
 };
@@ -39,7 +39,7 @@
             millicores: 500,
             store_lost: false,
             version: CatalogVersion { config, upstreams },
-            figures: Figures::default(),
+            figures: ReportBody::default(),
         };
         assert!(table.hear(NOW, &report, AGE));
     }
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -3,7 +3,9 @@
 use {
     archmast::{
         catalog::CatalogVersion,
-        peers::{Figures, NamedRouter, PeerTable, RouterReport, ToldReports, ZoneSum, ZoneTable},
+        peers::{
+            NamedRouter, PeerTable, ReportBody, RouterReport, ToldReports, ZoneSum, ZoneTable,
+        },
         policy::{
             placement::{CacheNote, Load, ReplicaReport},
             shares::AccountUsage,
@@ -119,7 +121,7 @@
         millicores: 500,
         store_lost: false,
         version: CatalogVersion::default(),
-        figures: Figures::default(),
+        figures: ReportBody::default(),
     }
 }
 
@@ -317,7 +319,7 @@
         sequence,
         routers,
         version: CatalogVersion::default(),
-        figures: Figures::default(),
+        figures: ReportBody::default(),
         members: Vec::new(),
     }
 }
