--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -33,13 +33,13 @@
 mod peer_table;
 mod report_body;
 mod router_report;
+mod sent_reports;
 mod suspects_message;
 mod tell;
 mod tell_evidence;
 mod tell_kept;
 mod tell_leaving;
 mod tell_suspects;
-mod told_reports;
 mod zone_duties;
 mod zone_sum;
 mod zone_table;
@@ -57,8 +57,8 @@
     peer_table::PeerTable,
     report_body::ReportBody,
     router_report::RouterReport,
+    sent_reports::SentReports,
     suspects_message::SuspectsMessage,
-    told_reports::ToldReports,
     zone_sum::ZoneSum,
     zone_table::ZoneTable,
 };
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        EvidenceSchedule, PeerMessage, ToldReports, ZoneTable, ask_news::connect,
+        EvidenceSchedule, PeerMessage, SentReports, ZoneTable, ask_news::connect,
         news_port::serve_updates, own_certificate::quic_configs, tell_leaving::LeavingTimes,
         tell_suspects::SuspectTimes,
     },
@@ -47,8 +47,8 @@
 /// What was sent before, so that messages carry only what changed or is due again.
 #[derive(Default)]
 pub(super) struct SentState {
-    pub own_zone: ToldReports,                  // reports to the own zone
-    pub summaries: HashMap<u32, ToldReports>,   // by zone that this router represents its own to
+    pub own_zone: SentReports,                  // reports to the own zone
+    pub summaries: HashMap<u32, SentReports>,   // by zone that this router represents its own to
     pub suspects: SuspectTimes,                 // in the own zone, also by other routers
     pub zone_suspects: SuspectTimes,            // to other zones
     pub leaving: LeavingTimes,                  // to the own zone
--- a/src/peers/told_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -20,14 +20,14 @@
 /// What was last sent to a group of peers. Reports carry only what changed since; everything
 /// else is sent again at intervals, which makes up for lost datagrams.
 #[derive(Debug, Default)]
-pub struct ToldReports {
+pub struct SentReports {
     replicas: HashMap<u32, (Moment, ReplicaReport)>, // when and what, by replica
     accounts: HashMap<u32, (Moment, AccountUsage)>,  // when and what, by account
     notes: HashMap<CacheNote, Moment>,               // when each was sent
     engines: Option<Moment>,                         // when they were sent
 }
 
-impl ToldReports {
+impl SentReports {
     /// The replica reports to send: those that changed, and those last sent at least
     /// `refresh` ago.
     pub fn replicas(
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        PeerLink, PeerMessage, ReportBody, RouterReport, ToldReports, ZoneSum,
+        PeerLink, PeerMessage, ReportBody, RouterReport, SentReports, ZoneSum,
         peer_link::{SILENCE, router_hash},
     },
     crate::{
@@ -258,7 +258,7 @@
     fn due(
         &self,
         now: Moment,
-        sent: &mut ToldReports,
+        sent: &mut SentReports,
         all: ReportBody,
     ) -> ReportBody {
         let settings = self.gateway.settings();
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -6,7 +6,7 @@
 use {
     archmast::{
         catalog::{CatalogVersion, UpstreamEntry, UpstreamState},
-        peers::{PeerMessage, ReportBody, RouterReport, ToldReports},
+        peers::{PeerMessage, ReportBody, RouterReport, SentReports},
         policy::{
             Teller, TellerScope,
             placement::{
@@ -230,7 +230,7 @@
 fn encoded(board: &ReplicaBoard) -> Vec<Vec<u8>> {
     let replicas = board.zone_reports(NOW).into_iter().step_by(ZONES).collect();
     let figures = ReportBody {
-        replicas: ToldReports::default().replicas(NOW, AGE, replicas),
+        replicas: SentReports::default().replicas(NOW, AGE, replicas),
         ..ReportBody::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::CatalogVersion,
         peers::{
-            NamedRouter, PeerTable, ReportBody, RouterReport, ToldReports, ZoneSum, ZoneTable,
+            NamedRouter, PeerTable, ReportBody, RouterReport, SentReports, ZoneSum, ZoneTable,
         },
         policy::{
             placement::{CacheNote, Load, ReplicaReport},
@@ -40,7 +40,7 @@
 
 #[test]
 fn only_replicas_that_changed_are_told_at_once() {
-    let mut told = ToldReports::default();
+    let mut told = SentReports::default();
     let all = vec![replica(1, 1), replica(2, 1)];
     assert_eq!(told.replicas(ms(0), REFRESH, all.clone()), all);
     assert_eq!(told.replicas(ms(100), REFRESH, all), []);
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_account_whose_usage_only_fades_is_told_in_its_turn_only() {
-    let mut told = ToldReports::default();
+    let mut told = SentReports::default();
     let usage = AccountUsage {
         asked: 90_000.0,
         got: 30_000.0,
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_note_is_told_once_in_a_while() {
-    let mut told = ToldReports::default();
+    let mut told = SentReports::default();
     let note = CacheNote {
         replica: 1,
         part: 9,
