--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        NamedRouter, PeerLink, PeerMessage, ReportBody, RouterReport, ZoneSum,
+        NamedRouter, PeerLink, PeerMessage, ReportBody, RouterReport, ZoneSummary,
         peer_link::router_hash,
     },
     crate::{
@@ -110,7 +110,7 @@
     /// before.
     fn apply_summary(
         &self,
-        summary: &ZoneSum,
+        summary: &ZoneSummary,
     ) -> bool {
         let gateway = &self.gateway;
         let now = gateway.now();
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -41,7 +41,7 @@
 mod tell_leaving;
 mod tell_suspects;
 mod zone_duties;
-mod zone_sum;
+mod zone_summary;
 mod zone_table;
 
 pub use {
@@ -59,6 +59,6 @@
     router_report::RouterReport,
     sent_reports::SentReports,
     suspects_message::SuspectsMessage,
-    zone_sum::ZoneSum,
+    zone_summary::ZoneSummary,
     zone_table::ZoneTable,
 };
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         CacheEventsMessage, EvidenceMessage, LeavingMessage, NamedRouter, RouterReport,
-        SuspectsMessage, ZoneSum,
+        SuspectsMessage, ZoneSummary,
     },
     serde::{Deserialize, Serialize},
 };
@@ -12,7 +12,7 @@
     /// State of one router, to the routers of its own zone.
     Report(RouterReport),
     /// State of a zone, to the representative of another zone, which relays it in its zone.
-    Sum(ZoneSum),
+    Sum(ZoneSummary),
     /// Discovery request: the sender names itself and asks for other routers.
     Ask(NamedRouter),
     /// Answer to a discovery request: the live routers of the asker's zone, and some of each
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        PeerLink, PeerMessage, ReportBody, RouterReport, SentReports, ZoneSum,
+        PeerLink, PeerMessage, ReportBody, RouterReport, SentReports, ZoneSummary,
         peer_link::{SILENCE, router_hash},
     },
     crate::{
@@ -182,7 +182,7 @@
         for figures in figures.cut() {
             let sequence = self.next_sequence();
             let begin = sequence as usize % live.len().max(1);
-            let summary = ZoneSum {
+            let summary = ZoneSummary {
                 zone: own.zone,
                 carrier: own.address,
                 news: self.news,
--- a/src/peers/zone_sum.rs
+++ b/src/peers/zone_summary.rs
@@ -8,7 +8,7 @@
 /// Datagram from one availability zone to another with the totals of its routers. A later one
 /// replaces it, also if another router of the zone made that.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ZoneSum {
+pub struct ZoneSummary {
     pub zone: u32,           // hash of the zone's name
     pub carrier: SocketAddr, // its author; also receives the summaries for its zone
     pub news: SocketAddr,    // QUIC address that serves the author's catalog
--- a/src/peers/zone_table.rs
+++ b/src/peers/zone_table.rs
@@ -1,5 +1,5 @@
 use {
-    super::ZoneSum,
+    super::ZoneSummary,
     crate::{catalog::CatalogVersion, policy::Moment},
     std::{
         collections::BTreeMap,
@@ -44,7 +44,7 @@
     pub fn hear(
         &self,
         now: Moment,
-        sum: &ZoneSum,
+        sum: &ZoneSummary,
     ) -> bool {
         let mut zones = self.zones();
         let known = zones.get(&sum.zone);
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -11,7 +11,7 @@
         codes::ResultCode,
         peers::{
             CatalogNews, NamedRouter, PeerMessage, ReportBody, RouterReport, SuspectsMessage,
-            ZoneSum,
+            ZoneSummary,
         },
         policy::{
             placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
@@ -89,7 +89,7 @@
 }
 
 fn sum() -> PeerMessage {
-    PeerMessage::Sum(ZoneSum {
+    PeerMessage::Sum(ZoneSummary {
         zone: 5,
         carrier: address(1),
         news: address(2),
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::CatalogVersion,
         peers::{
-            NamedRouter, PeerTable, ReportBody, RouterReport, SentReports, ZoneSum, ZoneTable,
+            NamedRouter, PeerTable, ReportBody, RouterReport, SentReports, ZoneSummary, ZoneTable,
         },
         policy::{
             placement::{CacheNote, Load, ReplicaReport},
@@ -310,8 +310,8 @@
     carrier: u16,
     sequence: u64,
     routers: u32,
-) -> ZoneSum {
-    ZoneSum {
+) -> ZoneSummary {
+    ZoneSummary {
         zone: 7,
         carrier: address(carrier),
         news: address(carrier),
