--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -7,7 +7,7 @@
         catalog::{Catalog, CatalogVersion},
         conf::DirectSettings,
         ops::{AuditTrail, PAUSES, Uptime},
-        peers::{NamedRouter, PeerTable, ZoneTable},
+        peers::{PeerTable, RouterContact, ZoneTable},
         policy::{
             Incarnation, Moment, Standstill,
             placement::ReplicaBoard,
@@ -71,7 +71,7 @@
             settings.retry_ratio,
             settings.retry_extra,
         );
-        let own = NamedRouter {
+        let own = RouterContact {
             address: settings.peers,
             zone: short_name(&settings.process.zone),
         };
--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        NamedRouter, PeerLink, PeerMessage, ReportBody, RouterReport, ZoneSummary,
+        PeerLink, PeerMessage, ReportBody, RouterContact, RouterReport, ZoneSummary,
         peer_link::router_hash,
     },
     crate::{
@@ -117,7 +117,7 @@
         if summary.zone == gateway.peers.own().zone || !self.zones().hear(now, summary) {
             return false;
         }
-        let contact = |address: &SocketAddr| NamedRouter {
+        let contact = |address: &SocketAddr| RouterContact {
             address: *address,
             zone: summary.zone,
         };
@@ -166,7 +166,7 @@
     async fn answer_discovery(
         &self,
         from: SocketAddr,
-        asker: NamedRouter,
+        asker: RouterContact,
     ) {
         if from != asker.address {
             return;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -24,7 +24,6 @@
 mod evidence_schedule;
 mod leaving_message;
 mod listen;
-mod named_router;
 mod news_port;
 mod own_certificate;
 mod peer_entry;
@@ -32,6 +31,7 @@
 mod peer_message;
 mod peer_table;
 mod report_body;
+mod router_contact;
 mod router_report;
 mod sent_reports;
 mod suspects_message;
@@ -51,11 +51,11 @@
     evidence_message::EvidenceMessage,
     evidence_schedule::EvidenceSchedule,
     leaving_message::LeavingMessage,
-    named_router::NamedRouter,
     peer_link::{PeerLink, SILENCE},
     peer_message::PeerMessage,
     peer_table::PeerTable,
     report_body::ReportBody,
+    router_contact::RouterContact,
     router_report::RouterReport,
     sent_reports::SentReports,
     suspects_message::SuspectsMessage,
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        CacheEventsMessage, EvidenceMessage, LeavingMessage, NamedRouter, RouterReport,
+        CacheEventsMessage, EvidenceMessage, LeavingMessage, RouterContact, RouterReport,
         SuspectsMessage, ZoneSummary,
     },
     serde::{Deserialize, Serialize},
@@ -14,10 +14,10 @@
     /// State of a zone, to the representative of another zone, which relays it in its zone.
     Sum(ZoneSummary),
     /// Discovery request: the sender names itself and asks for other routers.
-    Ask(NamedRouter),
+    Ask(RouterContact),
     /// Answer to a discovery request: the live routers of the asker's zone, and some of each
     /// other zone.
-    Names(Vec<NamedRouter>),
+    Names(Vec<RouterContact>),
     /// Requests that may have crashed replicas, to the own zone and to others.
     Suspects(SuspectsMessage),
     /// Replicas that announced their shutdown, to the own zone.
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -1,5 +1,5 @@
 use {
-    super::{NamedRouter, RouterReport, peer_entry::PeerEntry},
+    super::{RouterContact, RouterReport, peer_entry::PeerEntry},
     crate::{
         catalog::CatalogVersion,
         policy::{Moment, Neighbour},
@@ -15,14 +15,14 @@
 /// The other routers that this one knows, by address. Those of its own availability zone are
 /// known by their reports, some of other zones only by address and zone.
 pub struct PeerTable {
-    own: NamedRouter,
+    own: RouterContact,
     peers: Mutex<BTreeMap<SocketAddr, PeerEntry>>, // no other lock is taken while it is held
 }
 
 impl PeerTable {
     /// A table that contains the seeds, without this router itself. Seeds may be stale.
     pub fn new(
-        own: NamedRouter,
+        own: RouterContact,
         seeds: &[SocketAddr],
     ) -> Self {
         let table = Self {
@@ -34,7 +34,7 @@
     }
 
     /// Address and zone of this router.
-    pub fn own(&self) -> NamedRouter {
+    pub fn own(&self) -> RouterContact {
         self.own
     }
 
@@ -80,7 +80,7 @@
     pub fn meet(
         &self,
         now: Moment,
-        router: NamedRouter,
+        router: RouterContact,
     ) {
         if router.address != self.own.address {
             let mut peers = self.peers();
@@ -94,7 +94,7 @@
     pub fn learn(
         &self,
         now: Moment,
-        routers: &[NamedRouter],
+        routers: &[RouterContact],
     ) {
         let mut peers = self.peers();
         for router in routers {
@@ -171,7 +171,7 @@
         age: Duration,
         zone: u32,
         each: usize,
-    ) -> Vec<NamedRouter> {
+    ) -> Vec<RouterContact> {
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
         let mut contacts = vec![self.own];
         for (address, entry) in self.peers().iter() {
@@ -184,7 +184,7 @@
             let count = counts.entry(peer_zone).or_default();
             if peer_zone == zone || *count < each {
                 *count += 1;
-                contacts.push(NamedRouter {
+                contacts.push(RouterContact {
                     address: *address,
                     zone: peer_zone,
                 });
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -10,7 +10,7 @@
         catalog::{CatalogVersion, Cordon, CordonNews, UpstreamNews, UpstreamRecord},
         codes::ResultCode,
         peers::{
-            CatalogNews, NamedRouter, PeerMessage, ReportBody, RouterReport, SuspectsMessage,
+            CatalogNews, PeerMessage, ReportBody, RouterContact, RouterReport, SuspectsMessage,
             ZoneSummary,
         },
         policy::{
@@ -102,8 +102,8 @@
     })
 }
 
-fn router() -> NamedRouter {
-    NamedRouter {
+fn router() -> RouterContact {
+    RouterContact {
         address: address(6),
         zone: 8,
     }
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -7,7 +7,7 @@
 use {
     archmast::{
         catalog::CatalogVersion,
-        peers::{NamedRouter, PeerTable, ReportBody, RouterReport},
+        peers::{PeerTable, ReportBody, RouterContact, RouterReport},
     },
     std::{net::SocketAddr, time::Duration},
 };
@@ -21,7 +21,7 @@
 
 #[test]
 fn routers_that_know_no_configuration_or_no_replicas_get_no_connections() {
-    let own = NamedRouter {
+    let own = RouterContact {
         address: address(1),
         zone: 1,
     };
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::CatalogVersion,
         peers::{
-            NamedRouter, PeerTable, ReportBody, RouterReport, SentReports, ZoneSummary, ZoneTable,
+            PeerTable, ReportBody, RouterContact, RouterReport, SentReports, ZoneSummary, ZoneTable,
         },
         policy::{
             placement::{CacheNote, Load, ReplicaReport},
@@ -101,8 +101,8 @@
 fn router(
     port: u16,
     zone: u32,
-) -> NamedRouter {
-    NamedRouter {
+) -> RouterContact {
+    RouterContact {
         address: address(port),
         zone,
     }
