--- a/src/peers/ask_news.rs
+++ b/src/peers/ask_news.rs
@@ -1,7 +1,7 @@
 //! Fetches from another router the parts of its catalog that are newer than this router's.
 
 use {
-    super::{CatalogNews, own_certificate::SERVER_NAME},
+    super::{CatalogUpdate, own_certificate::SERVER_NAME},
     crate::{
         catalog::{CatalogVersion, CordonNews},
         codes::{Fault, ResultCode},
@@ -18,7 +18,7 @@
 
 /// The answer of another router.
 pub struct FetchedUpdate {
-    pub catalog: CatalogNews,
+    pub catalog: CatalogUpdate,
     pub cordons: Option<CordonNews>, // none from builds without support for cordons
 }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -18,7 +18,7 @@
 mod ask_news;
 mod behind;
 mod cache_events_message;
-mod catalog_news;
+mod catalog_update;
 mod catch_up;
 mod evidence_message;
 mod evidence_schedule;
@@ -47,7 +47,7 @@
 pub use {
     behind::Behind,
     cache_events_message::CacheEventsMessage,
-    catalog_news::CatalogNews,
+    catalog_update::CatalogUpdate,
     evidence_message::EvidenceMessage,
     evidence_schedule::EvidenceSchedule,
     leaving_message::LeavingMessage,
--- a/src/peers/news_port.rs
+++ b/src/peers/news_port.rs
@@ -1,7 +1,7 @@
 //! Serves catalog updates over QUIC to routers whose catalog is older.
 
 use {
-    super::CatalogNews,
+    super::CatalogUpdate,
     crate::{
         catalog::{Catalog, CatalogVersion, CordonNews},
         ops::CONTROL_BYTES,
@@ -51,7 +51,7 @@
         .filter(|_| own_version.config > peer_version.config);
     // Taken before the upstreams, so that the cordons are of no later revision than those.
     let cordons = catalog.cordon_news();
-    let update = CatalogNews {
+    let update = CatalogUpdate {
         config: text.map(|text| text.to_string()),
         upstreams: catalog.news_after(peer_version.upstreams),
     };
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -10,7 +10,7 @@
         catalog::{CatalogVersion, Cordon, CordonNews, UpstreamNews, UpstreamRecord},
         codes::ResultCode,
         peers::{
-            CatalogNews, PeerMessage, ReportBody, RouterContact, RouterReport, SuspectsMessage,
+            CatalogUpdate, PeerMessage, ReportBody, RouterContact, RouterReport, SuspectsMessage,
             ZoneSummary,
         },
         policy::{
@@ -129,8 +129,8 @@
     })
 }
 
-fn news() -> CatalogNews {
-    CatalogNews {
+fn news() -> CatalogUpdate {
+    CatalogUpdate {
         config: Some("{\"version\":7}".to_owned()),
         upstreams: UpstreamNews {
             records: vec![
