--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -1,7 +1,7 @@
 //! Brings this router's catalog up to the newest version that its peers announce.
 
 use {
-    super::{Behind, PeerLink, SILENCE, ask_news::fetch_update},
+    super::{CatchUpTimer, PeerLink, SILENCE, ask_news::fetch_update},
     crate::{catalog::CatalogVersion, codes::Fault, policy::Moment},
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
@@ -16,7 +16,7 @@
     /// Requests updates from a router with a newer catalog, until the process exits. A
     /// router that reads the store gives the store some time to deliver them first.
     pub(super) async fn catch_up(self: Arc<Self>) {
-        let mut behind = Behind::default();
+        let mut behind = CatchUpTimer::default();
         loop {
             // After a time-out the versions are compared as well: an earlier request may
             // have failed.
--- a/src/peers/behind.rs
+++ b/src/peers/catch_up_timer.rs
@@ -12,11 +12,11 @@
 /// Decides when a router whose catalog is older than a peer's requests the peer's updates
 /// instead of waiting for the store to deliver them.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Behind {
+pub struct CatchUpTimer {
     missing: Option<(CatalogVersion, Moment)>, // first version not reached yet, and since when
 }
 
-impl Behind {
+impl CatchUpTimer {
     /// Whether to request updates now. `peer_version` is a newer version of some peer, if
     /// any. `reads_store` says that the store answers this router's own reads, so that the
     /// change is expected from there first.
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -16,10 +16,10 @@
 
 mod ask_names;
 mod ask_news;
-mod behind;
 mod cache_events_message;
 mod catalog_update;
 mod catch_up;
+mod catch_up_timer;
 mod evidence_message;
 mod evidence_schedule;
 mod leaving_message;
@@ -45,9 +45,9 @@
 mod zone_table;
 
 pub use {
-    behind::Behind,
     cache_events_message::CacheEventsMessage,
     catalog_update::CatalogUpdate,
+    catch_up_timer::CatchUpTimer,
     evidence_message::EvidenceMessage,
     evidence_schedule::EvidenceSchedule,
     leaving_message::LeavingMessage,
