--- a/src/direct/store_duty.rs
+++ b/src/direct/store_duty.rs
@@ -1,6 +1,6 @@
 use {
     super::gateway::Gateway,
-    crate::{catalog::ReadDuty, peers::SILENCE, policy::Moment},
+    crate::{catalog::ReadDuty, peers::PEER_SILENCE_LIMIT, policy::Moment},
     std::{
         sync::{Arc, Mutex},
         time::Duration,
@@ -66,7 +66,9 @@
             let mut cordons = self.cordons.lock().expect("cordon reading lock");
             cordons.is_needed(now, knows_cordons)
         };
-        let mine = knows_nothing || for_cordons || gateway.peers.reads_store(now, SILENCE, lost);
+        let mine = knows_nothing
+            || for_cordons
+            || gateway.peers.reads_store(now, PEER_SILENCE_LIMIT, lost);
         if gateway.reading.set_own(now, mine) {
             log::info!(
                 reads = mine, lost = lost, upstreams_at = version.upstreams;
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -1,7 +1,7 @@
 //! Brings this router's catalog up to the newest version that its peers announce.
 
 use {
-    super::{CatchUpTimer, PeerLink, SILENCE, ask_news::fetch_update},
+    super::{CatchUpTimer, PEER_SILENCE_LIMIT, PeerLink, ask_news::fetch_update},
     crate::{catalog::CatalogVersion, codes::Fault, policy::Moment},
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
@@ -63,8 +63,8 @@
             let again = known.iter().find(|(address, _)| Some(*address) == last);
             again.or(known.get(random)).copied()
         };
-        let in_own_zone = pick(self.gateway.peers.news(now, SILENCE));
-        in_own_zone.or_else(|| pick(self.zones().news(now, SILENCE)))
+        let in_own_zone = pick(self.gateway.peers.news(now, PEER_SILENCE_LIMIT));
+        in_own_zone.or_else(|| pick(self.zones().news(now, PEER_SILENCE_LIMIT)))
     }
 
     async fn fetch(
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -51,7 +51,7 @@
     evidence_message::EvidenceMessage,
     evidence_schedule::EvidenceSchedule,
     leaving_message::LeavingMessage,
-    peer_link::{PeerLink, SILENCE},
+    peer_link::{PEER_SILENCE_LIMIT, PeerLink},
     peer_message::PeerMessage,
     peer_table::PeerTable,
     report_body::ReportBody,
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -27,7 +27,7 @@
 /// Silence after which a router or zone counts as down for the choice of zone
 /// representatives, store readers and catalog sources. It spans some ten reports, so that
 /// lost datagrams change nothing.
-pub const SILENCE: Duration = Duration::from_millis(800);
+pub const PEER_SILENCE_LIMIT: Duration = Duration::from_millis(800);
 
 /// This router's connections to other routers: a UDP socket for reports and summaries, and a
 /// QUIC endpoint for catalog updates.
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         PeerLink, PeerMessage, ReportBody, RouterReport, SentReports, ZoneSummary,
-        peer_link::{SILENCE, router_hash},
+        peer_link::{PEER_SILENCE_LIMIT, router_hash},
     },
     crate::{
         ops::PEERS,
@@ -100,7 +100,7 @@
         now: Moment,
     ) -> ZoneRouters {
         let peers = &self.gateway.peers;
-        let live = peers.heard(now, SILENCE);
+        let live = peers.heard(now, PEER_SILENCE_LIMIT);
         let live_hashes = live.iter().map(stable_hash).collect();
         let known = peers.alive(now, self.gateway.settings().peer_forget);
         ZoneRouters::new(now, stable_hash(&peers.own().address), live_hashes, known)
@@ -143,10 +143,10 @@
         let notes = gateway.board().take_zone_notes();
         let suspects = gateway.suspects().take_zone_news(now);
         let zones = gateway.peers.other_zones();
-        let yields = gateway.is_stopping() && gateway.peers.alive(now, SILENCE) > 0;
+        let yields = gateway.is_stopping() && gateway.peers.alive(now, PEER_SILENCE_LIMIT) > 0;
         let represented: Vec<u32> = zones
             .into_iter()
-            .filter(|zone| !yields && gateway.peers.speaks_to(now, SILENCE, *zone))
+            .filter(|zone| !yields && gateway.peers.speaks_to(now, PEER_SILENCE_LIMIT, *zone))
             .collect();
         let mut sent = std::mem::take(&mut self.sent.lock().expect("sent lock").summaries);
         sent.retain(|zone, _| represented.contains(zone));
@@ -178,7 +178,7 @@
         let gateway = &self.gateway;
         let own = gateway.peers.own();
         let contacts = self.contacts(now, zone);
-        let live = gateway.peers.heard(now, SILENCE);
+        let live = gateway.peers.heard(now, PEER_SILENCE_LIMIT);
         for figures in figures.cut() {
             let sequence = self.next_sequence();
             let begin = sequence as usize % live.len().max(1);
@@ -204,7 +204,7 @@
         now: Moment,
         zone: u32,
     ) -> Vec<SocketAddr> {
-        if let Some(carrier) = self.zones().carrier(now, zone, SILENCE) {
+        if let Some(carrier) = self.zones().carrier(now, zone, PEER_SILENCE_LIMIT) {
             return vec![carrier];
         }
         let known = self.gateway.peers.in_any_zone(zone);
--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -2,7 +2,7 @@
 //! forwarded to the other routers.
 
 use {
-    super::{CacheEventsMessage, PeerLink, PeerMessage, peer_link::SILENCE},
+    super::{CacheEventsMessage, PeerLink, PeerMessage, peer_link::PEER_SILENCE_LIMIT},
     crate::policy::{Moment, placement::KeptNews},
     std::net::SocketAddr,
 };
@@ -22,7 +22,12 @@
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let live = self.gateway.peers.heard(now, SILENCE).into_iter().collect();
+        let live = self
+            .gateway
+            .peers
+            .heard(now, PEER_SILENCE_LIMIT)
+            .into_iter()
+            .collect();
         let has_new = {
             let known = &mut self.sent.lock().expect("sent lock").cache_event_peers;
             let before = std::mem::replace(known, live);
