--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         AcceptedConfig, CatalogChange, ConfigOrigin, CordonChange, CordonList, CordonNews, Item,
-        ParseUpstream, UpstreamEntry, UpstreamNews, UpstreamOrigin, upstream_list::UpstreamList,
+        ParseUpstream, UpstreamEntry, UpstreamOrigin, UpstreamUpdate, upstream_list::UpstreamList,
     },
     crate::{
         codes::Fault,
@@ -174,7 +174,7 @@
     pub fn news_after(
         &self,
         revision: u64,
-    ) -> UpstreamNews {
+    ) -> UpstreamUpdate {
         let state = self.state.lock().expect("catalog lock");
         state.upstreams.news_after(revision)
     }
@@ -223,7 +223,7 @@
     /// Applies changes or a snapshot of the list of upstreams.
     pub fn offer_upstreams(
         &self,
-        update: UpstreamNews,
+        update: UpstreamUpdate,
         from: &str,
     ) {
         let (is_changed, revision) = {
@@ -295,7 +295,7 @@
                 Item::Config { text } => self.offer_told_config(&text, from),
             }
         }
-        let update = UpstreamNews {
+        let update = UpstreamUpdate {
             records,
             at: change.at,
             is_whole,
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -16,10 +16,10 @@
 mod read_duty;
 mod upstream_entry;
 mod upstream_list;
-mod upstream_news;
 mod upstream_origin;
 mod upstream_record;
 mod upstream_state;
+mod upstream_update;
 mod watch_time;
 
 pub use {
@@ -36,9 +36,9 @@
     read_duty::{AlwaysReads, ReadDuty},
     upstream_entry::UpstreamEntry,
     upstream_list::ParseUpstream,
-    upstream_news::UpstreamNews,
     upstream_origin::UpstreamOrigin,
     upstream_record::UpstreamRecord,
     upstream_state::UpstreamState,
+    upstream_update::UpstreamUpdate,
     watch_time::WatchTime,
 };
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        UpstreamEntry, UpstreamNews, UpstreamOrigin, UpstreamRecord, UpstreamState,
+        UpstreamEntry, UpstreamOrigin, UpstreamRecord, UpstreamState, UpstreamUpdate,
         lapse_grace::{LapseGrace, remove_most_entries},
     },
     crate::codes::{Fault, ResultCode},
@@ -92,14 +92,14 @@
     pub fn news_after(
         &self,
         revision: u64,
-    ) -> UpstreamNews {
+    ) -> UpstreamUpdate {
         let is_whole = revision < self.since;
         let records = self.records.values().map(|sourced| &sourced.record);
         let sent = records.filter(|record| match is_whole {
             true => record.text.is_some(),
             false => record.revision > revision,
         });
-        UpstreamNews {
+        UpstreamUpdate {
             records: sent.cloned().collect(),
             at: self.at,
             is_whole,
@@ -110,10 +110,10 @@
     /// changed.
     pub fn apply(
         &mut self,
-        update: UpstreamNews,
+        update: UpstreamUpdate,
         from: &str,
     ) -> bool {
-        let UpstreamNews {
+        let UpstreamUpdate {
             mut records,
             at,
             is_whole,
--- a/src/catalog/upstream_news.rs
+++ b/src/catalog/upstream_update.rs
@@ -5,7 +5,7 @@
 
 /// Changes of the list of upstreams, or a snapshot of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UpstreamNews {
+pub struct UpstreamUpdate {
     pub records: Vec<UpstreamRecord>,
     pub at: u64,        // store revision reflected after they are applied
     pub is_whole: bool, // a snapshot: older upstreams that are missing from it are removed
--- a/src/peers/catalog_update.rs
+++ b/src/peers/catalog_update.rs
@@ -1,5 +1,5 @@
 use {
-    crate::catalog::UpstreamNews,
+    crate::catalog::UpstreamUpdate,
     serde::{Deserialize, Serialize},
 };
 
@@ -8,5 +8,5 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogUpdate {
     pub config: Option<String>, // full text, if newer than the peer's
-    pub upstreams: UpstreamNews,
+    pub upstreams: UpstreamUpdate,
 }
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -5,7 +5,7 @@
     archmast::{
         catalog::{
             AlwaysReads, Catalog, CatalogChange, CatalogSource, CordonNews, FollowPace, Item,
-            ReadDuty, UpstreamNews, UpstreamRecord, UpstreamState, follow_source,
+            ReadDuty, UpstreamRecord, UpstreamState, UpstreamUpdate, follow_source,
         },
         codes::{Fault, ResultCode},
         platform::{parse_config, parse_replica},
@@ -57,7 +57,7 @@
     at: u64,
     from: &str,
 ) {
-    let news = UpstreamNews {
+    let news = UpstreamUpdate {
         records,
         at,
         is_whole: false,
--- a/tests/catalog_news.rs
+++ b/tests/catalog_news.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast::{
-        catalog::{Catalog, CatalogChange, Item, UpstreamNews, UpstreamRecord},
+        catalog::{Catalog, CatalogChange, Item, UpstreamRecord, UpstreamUpdate},
         platform::{parse_config, parse_replica},
     },
     proptest::prelude::*,
@@ -133,7 +133,7 @@
 enum Answer {
     Whole(CatalogChange),  // of the store
     Change(CatalogChange), // of the store
-    News(UpstreamNews),    // of another router
+    News(UpstreamUpdate),  // of another router
 }
 
 impl Router {
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -7,7 +7,7 @@
 
 use {
     archmast::{
-        catalog::{CatalogVersion, Cordon, CordonNews, UpstreamNews, UpstreamRecord},
+        catalog::{CatalogVersion, Cordon, CordonNews, UpstreamRecord, UpstreamUpdate},
         codes::ResultCode,
         peers::{
             CatalogUpdate, PeerMessage, ReportBody, RouterContact, RouterReport, SuspectsMessage,
@@ -132,7 +132,7 @@
 fn news() -> CatalogUpdate {
     CatalogUpdate {
         config: Some("{\"version\":7}".to_owned()),
-        upstreams: UpstreamNews {
+        upstreams: UpstreamUpdate {
             records: vec![
                 UpstreamRecord {
                     id: "i-a".to_owned(),
