--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -1,7 +1,8 @@
 use {
     super::{
-        AcceptedConfig, CatalogChange, ConfigOrigin, CordonChange, CordonList, CordonNews, Item,
-        ParseUpstream, UpstreamEntry, UpstreamOrigin, UpstreamUpdate, upstream_list::UpstreamList,
+        AcceptedConfig, CatalogChange, ConfigOrigin, CordonChange, CordonList, CordonSnapshot,
+        Item, ParseUpstream, UpstreamEntry, UpstreamOrigin, UpstreamUpdate,
+        upstream_list::UpstreamList,
     },
     crate::{
         codes::Fault,
@@ -148,7 +149,7 @@
     }
 
     /// A snapshot of all cordons, for a peer.
-    pub fn cordon_news(&self) -> CordonNews {
+    pub fn cordon_news(&self) -> CordonSnapshot {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.snapshot()
     }
@@ -158,7 +159,7 @@
     /// uncordoned, and must not get full load then.
     pub fn offer_cordons(
         &self,
-        snapshot: CordonNews,
+        snapshot: CordonSnapshot,
         from: &str,
     ) {
         let is_changed = {
@@ -318,7 +319,7 @@
                 CordonChange::Lifted(_) => None,
             });
             let cordons = set.collect();
-            return self.offer_cordons(CordonNews { cordons, at }, from);
+            return self.offer_cordons(CordonSnapshot { cordons, at }, from);
         }
         let is_changed = {
             let mut state = self.state.lock().expect("catalog lock");
--- a/src/catalog/cordon_list.rs
+++ b/src/catalog/cordon_list.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Cordon, CordonNews},
+    super::{Cordon, CordonSnapshot},
     crate::codes::ResultCode,
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -27,12 +27,12 @@
     }
 
     /// The whole list, for a peer.
-    pub fn snapshot(&self) -> CordonNews {
+    pub fn snapshot(&self) -> CordonSnapshot {
         let cordons = self.zones.iter().map(|(zone, revision)| Cordon {
             zone: zone.clone(),
             revision: *revision,
         });
-        CordonNews {
+        CordonSnapshot {
             cordons: cordons.collect(),
             at: self.at,
         }
@@ -43,7 +43,7 @@
     /// lifted since. Returns whether the set of cordoned zones changed.
     pub fn apply_snapshot(
         &mut self,
-        snapshot: CordonNews,
+        snapshot: CordonSnapshot,
         from: &str,
     ) -> bool {
         if snapshot.at <= self.at {
--- a/src/catalog/cordon_news.rs
+++ b/src/catalog/cordon_snapshot.rs
@@ -5,7 +5,7 @@
 
 /// All cordons as of a store revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CordonNews {
+pub struct CordonSnapshot {
     pub cordons: Vec<Cordon>,
     pub at: u64, // store revision; 0 if the sender has not read any cordons
 }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -9,7 +9,7 @@
 mod config_origin;
 mod cordon;
 mod cordon_list;
-mod cordon_news;
+mod cordon_snapshot;
 mod follow;
 mod follow_pace;
 mod lapse_grace;
@@ -30,7 +30,7 @@
     config_origin::ConfigOrigin,
     cordon::Cordon,
     cordon_list::{CordonChange, CordonList},
-    cordon_news::CordonNews,
+    cordon_snapshot::CordonSnapshot,
     follow::follow_source,
     follow_pace::FollowPace,
     read_duty::{AlwaysReads, ReadDuty},
--- a/src/peers/ask_news.rs
+++ b/src/peers/ask_news.rs
@@ -3,7 +3,7 @@
 use {
     super::{CatalogUpdate, own_certificate::SERVER_NAME},
     crate::{
-        catalog::{CatalogVersion, CordonNews},
+        catalog::{CatalogVersion, CordonSnapshot},
         codes::{Fault, ResultCode},
         wire::{encode_frame, read_frame},
     },
@@ -19,7 +19,7 @@
 /// The answer of another router.
 pub struct FetchedUpdate {
     pub catalog: CatalogUpdate,
-    pub cordons: Option<CordonNews>, // none from builds without support for cordons
+    pub cordons: Option<CordonSnapshot>, // none from builds without support for cordons
 }
 
 /// Connects to the QUIC endpoint of another router. Fails with code 74.
--- a/src/peers/news_port.rs
+++ b/src/peers/news_port.rs
@@ -3,7 +3,7 @@
 use {
     super::CatalogUpdate,
     crate::{
-        catalog::{Catalog, CatalogVersion, CordonNews},
+        catalog::{Catalog, CatalogVersion, CordonSnapshot},
         ops::CONTROL_BYTES,
         wire::{encode_frame, read_frame},
     },
@@ -68,7 +68,7 @@
 /// Sends the cordons in a frame of their own: routers of builds without support for cordons
 /// read the first frame only.
 async fn send_cordons(
-    cordons: &CordonNews,
+    cordons: &CordonSnapshot,
     send: &mut SendStream,
 ) -> bool {
     let Ok(frame) = encode_frame(cordons) else {
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -4,7 +4,7 @@
 use {
     archmast::{
         catalog::{
-            AlwaysReads, Catalog, CatalogChange, CatalogSource, CordonNews, FollowPace, Item,
+            AlwaysReads, Catalog, CatalogChange, CatalogSource, CordonSnapshot, FollowPace, Item,
             ReadDuty, UpstreamRecord, UpstreamState, UpstreamUpdate, follow_source,
         },
         codes::{Fault, ResultCode},
@@ -310,7 +310,7 @@
     let following = tokio::spawn(follow_source(catalog.clone(), source, duty.clone(), pace));
     assert_eq!(catalog.offer_config(&config(7), "peer"), Ok(true));
     offer(&catalog, Vec::new(), 40, "peer");
-    let cordons = CordonNews {
+    let cordons = CordonSnapshot {
         cordons: Vec::new(),
         at: 40,
     };
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -7,7 +7,7 @@
 
 use {
     archmast::{
-        catalog::{CatalogVersion, Cordon, CordonNews, UpstreamRecord, UpstreamUpdate},
+        catalog::{CatalogVersion, Cordon, CordonSnapshot, UpstreamRecord, UpstreamUpdate},
         codes::ResultCode,
         peers::{
             CatalogUpdate, PeerMessage, ReportBody, RouterContact, RouterReport, SuspectsMessage,
@@ -195,7 +195,7 @@
 
 #[tokio::test]
 async fn what_follows_the_news_is_read_by_builds_that_know_it_and_by_no_other() {
-    let cordons = CordonNews {
+    let cordons = CordonSnapshot {
         cordons: vec![Cordon {
             zone: "z-1".to_owned(),
             revision: 299,
@@ -210,7 +210,7 @@
     // The landed build sends nothing after its news.
     let mut alone = include_bytes!("messages/landed/news").as_slice();
     assert_eq!(read_frame(&mut alone).await, Ok(Some(news())));
-    assert_eq!(read_frame::<CordonNews, _>(&mut alone).await, Ok(None));
+    assert_eq!(read_frame::<CordonSnapshot, _>(&mut alone).await, Ok(None));
 }
 
 #[test]
