--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -13,7 +13,7 @@
 mod follow;
 mod follow_pace;
 mod lapse_grace;
-mod read_duty;
+mod reader_role;
 mod upstream_entry;
 mod upstream_list;
 mod upstream_origin;
@@ -33,7 +33,7 @@
     cordon_snapshot::CordonSnapshot,
     follow::follow_source,
     follow_pace::FollowPace,
-    read_duty::{AlwaysReads, ReadDuty},
+    reader_role::{AlwaysReader, ReaderRole},
     upstream_entry::UpstreamEntry,
     upstream_list::ParseUpstream,
     upstream_origin::UpstreamOrigin,
--- a/src/catalog/read_duty.rs
+++ b/src/catalog/reader_role.rs
@@ -1,6 +1,6 @@
 /// Decides whether this process reads the store itself or receives the catalog from others
 /// that do.
-pub trait ReadDuty: Send + Sync + 'static {
+pub trait ReaderRole: Send + Sync + 'static {
     /// Whether this process is to read the store now.
     fn is_mine(&self) -> bool;
 
@@ -13,9 +13,9 @@
 
 /// The role of a process that always reads the store itself.
 #[derive(Debug, Clone, Copy)]
-pub struct AlwaysReads;
+pub struct AlwaysReader;
 
-impl ReadDuty for AlwaysReads {
+impl ReaderRole for AlwaysReader {
     fn is_mine(&self) -> bool {
         true
     }
--- a/src/direct/store_duty.rs
+++ b/src/direct/store_duty.rs
@@ -1,6 +1,6 @@
 use {
     super::gateway::Gateway,
-    crate::{catalog::ReadDuty, peers::PEER_SILENCE_LIMIT, policy::Moment},
+    crate::{catalog::ReaderRole, peers::PEER_SILENCE_LIMIT, policy::Moment},
     std::{
         sync::{Arc, Mutex},
         time::Duration,
@@ -54,7 +54,7 @@
     }
 }
 
-impl ReadDuty for StoreDuty {
+impl ReaderRole for StoreDuty {
     fn is_mine(&self) -> bool {
         let gateway = &self.gateway;
         let version = gateway.catalog.version();
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -4,8 +4,8 @@
 use {
     archmast::{
         catalog::{
-            AlwaysReads, Catalog, CatalogChange, CatalogSource, CordonSnapshot, FollowPace, Item,
-            ReadDuty, UpstreamRecord, UpstreamState, UpstreamUpdate, follow_source,
+            AlwaysReader, Catalog, CatalogChange, CatalogSource, CordonSnapshot, FollowPace, Item,
+            ReaderRole, UpstreamRecord, UpstreamState, UpstreamUpdate, follow_source,
         },
         codes::{Fault, ResultCode},
         platform::{parse_config, parse_replica},
@@ -260,7 +260,7 @@
     let following = tokio::spawn(follow_source(
         catalog.clone(),
         store.clone(),
-        Arc::new(AlwaysReads),
+        Arc::new(AlwaysReader),
         pace,
     ));
     let reached = changes.wait_for(|version| version.config == 5).await;
@@ -280,7 +280,7 @@
 #[derive(Default)]
 struct Switch(AtomicBool);
 
-impl ReadDuty for Switch {
+impl ReaderRole for Switch {
     fn is_mine(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
@@ -340,7 +340,7 @@
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
     };
-    let (source, duty) = (store.clone(), Arc::new(AlwaysReads));
+    let (source, duty) = (store.clone(), Arc::new(AlwaysReader));
     let following = tokio::spawn(follow_source(catalog.clone(), source, duty, pace));
     let asked = || store.asked.lock().expect("lock").clone();
     while asked().is_empty() {
--- a/tests/silent_store.rs
+++ b/tests/silent_store.rs
@@ -15,7 +15,7 @@
 use {
     archmast::{
         catalog::{
-            AlwaysReads, Catalog, CatalogChange, CatalogSource, FollowPace, Item, UpstreamRecord,
+            AlwaysReader, Catalog, CatalogChange, CatalogSource, FollowPace, Item, UpstreamRecord,
             follow_source,
         },
         codes::{Fault, ResultCode},
@@ -208,7 +208,7 @@
     tokio::spawn(follow_source(
         catalog.clone(),
         store.clone(),
-        Arc::new(AlwaysReads),
+        Arc::new(AlwaysReader),
         shipped_pace(),
     ));
     catalog
