--- a/src/catalog/follow.rs
+++ b/src/catalog/follow.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Catalog, CatalogChange, CatalogSource, FollowPace, ReaderRole},
+    super::{Catalog, CatalogChange, CatalogSource, ReaderRole, WatchPacing},
     crate::codes::{Fault, ResultCode},
     futures::{StreamExt, stream::FuturesUnordered},
     std::{
@@ -23,7 +23,7 @@
     catalog: Arc<Catalog>,
     source: Arc<S>,
     duty: Arc<D>,
-    pace: FollowPace,
+    pace: WatchPacing,
 ) {
     tokio::spawn(drop_lapsed(Arc::downgrade(&catalog)));
     let mut reached = None;
@@ -96,7 +96,7 @@
 async fn call_store<S: CatalogSource>(
     catalog: &Catalog,
     source: &S,
-    pace: FollowPace,
+    pace: WatchPacing,
     failed_before: bool,
     reached: Option<u64>,
 ) -> Result<Option<u64>, Fault> {
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -11,7 +11,6 @@
 mod cordon_list;
 mod cordon_snapshot;
 mod follow;
-mod follow_pace;
 mod lapse_grace;
 mod reader_role;
 mod upstream_entry;
@@ -20,6 +19,7 @@
 mod upstream_record;
 mod upstream_state;
 mod upstream_update;
+mod watch_pacing;
 mod watch_time;
 
 pub use {
@@ -32,7 +32,6 @@
     cordon_list::{CordonChange, CordonList},
     cordon_snapshot::CordonSnapshot,
     follow::follow_source,
-    follow_pace::FollowPace,
     reader_role::{AlwaysReader, ReaderRole},
     upstream_entry::UpstreamEntry,
     upstream_list::ParseUpstream,
@@ -40,5 +39,6 @@
     upstream_record::UpstreamRecord,
     upstream_state::UpstreamState,
     upstream_update::UpstreamUpdate,
+    watch_pacing::WatchPacing,
     watch_time::WatchTime,
 };
--- a/src/catalog/follow_pace.rs
+++ b/src/catalog/watch_pacing.rs
@@ -14,13 +14,13 @@
 /// Timing of calls to the store. A lost watch cannot be told from one that waits for changes,
 /// so no watch may take longer than a published configuration has to come into force.
 #[derive(Debug, Clone, Copy)]
-pub struct FollowPace {
+pub struct WatchPacing {
     pub apply: Duration, // deadline for a published configuration to be in force
     pub pause: Duration, // between two watches, so that changes are batched
     pub retry_pause: Duration, // upper bound of the time between the starts of retries
 }
 
-impl FollowPace {
+impl WatchPacing {
     /// Timing of the next watch. After a failure the watch returns at once instead of waiting
     /// for a change. A waiting watch sent while the store is unreachable would go unanswered
     /// until its time-out, and after a silence of 9 s would leave routers with the old
--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -1,7 +1,7 @@
 use {
     super::{ConfError, IniDocument, OperatorSettings, ProcessSettings, SettingsFile},
     crate::{
-        catalog::FollowPace,
+        catalog::WatchPacing,
         codes::ResultCode,
         policy::{
             memory::MemoryBudget, placement::PlacementSettings, slow_start::StartBounds,
@@ -37,7 +37,7 @@
     pub peer_age: Duration,                // older reports count for nothing
     pub peer_forget: Duration,             // silence after which a router is forgotten
     pub catalog: SocketAddr,               // the store's address
-    pub catalog_pace: FollowPace,          // how often the store is asked
+    pub catalog_pace: WatchPacing,         // how often the store is asked
     pub placement: PlacementSettings,
     pub follow_kept: bool,         // what replicas say that they keep
     pub start_bounds: StartBounds, // of replicas that have just started
@@ -176,7 +176,7 @@
     digests.collect()
 }
 
-fn catalog_pace(file: &SettingsFile) -> Result<FollowPace, ConfError> {
+fn catalog_pace(file: &SettingsFile) -> Result<WatchPacing, ConfError> {
     let section = file.section("catalog")?;
     let (ms, second) = (Duration::from_millis(1), Duration::from_secs(1));
     let apply = section.duration("apply", 500 * ms..=60 * second)?;
@@ -184,7 +184,7 @@
         Some(_) => section.duration("cordon_apply", 500 * ms..=3600 * second)?,
         None => apply,
     };
-    let pace = FollowPace {
+    let pace = WatchPacing {
         apply: apply.min(cordon_apply),
         pause: section.duration("pause", Duration::ZERO..=10 * second)?,
         retry_pause: section.duration("retry_pause", 10 * ms..=60 * second)?,
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -1,6 +1,6 @@
 use {
     super::{ConfError, SettingsFile},
-    crate::{catalog::FollowPace, codes::ResultCode, link::DialTarget},
+    crate::{catalog::WatchPacing, codes::ResultCode, link::DialTarget},
     std::{net::SocketAddr, time::Duration},
 };
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
     pub address: SocketAddr,
-    pub pace: FollowPace,         // how often it is asked
+    pub pace: WatchPacing,        // how often it is asked
     pub bootstrap_wait: Duration, // how long peers are asked at start
     pub seeds: Vec<DialTarget>,   // peers known without the platform
 }
@@ -26,7 +26,7 @@
             })?;
             seeds.push(seed);
         }
-        let pace = FollowPace {
+        let pace = WatchPacing {
             apply: section.duration("apply", second..=60 * second)?,
             pause: Duration::ZERO,
             retry_pause: section.duration("retry_pause", second / 100..=60 * second)?,
--- a/src/node/watches.rs
+++ b/src/node/watches.rs
@@ -1,7 +1,7 @@
 use {
     super::Node,
     crate::{
-        catalog::FollowPace,
+        catalog::WatchPacing,
         codes::{Fault, ResultCode},
         conf::PlatformSettings,
         directory::{FLEET_KEY, HOSTS_KEY, PlatformClient, Watched},
@@ -115,7 +115,7 @@
 async fn pause(
     outcome: Result<(), Fault>,
     key: &str,
-    pace: &FollowPace,
+    pace: &WatchPacing,
     begun: Instant,
 ) -> bool {
     let Err(error) = outcome else {
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -4,8 +4,8 @@
 use {
     archmast::{
         catalog::{
-            AlwaysReader, Catalog, CatalogChange, CatalogSource, CordonSnapshot, FollowPace, Item,
-            ReaderRole, UpstreamRecord, UpstreamState, UpstreamUpdate, follow_source,
+            AlwaysReader, Catalog, CatalogChange, CatalogSource, CordonSnapshot, Item, ReaderRole,
+            UpstreamRecord, UpstreamState, UpstreamUpdate, WatchPacing, follow_source,
         },
         codes::{Fault, ResultCode},
         platform::{parse_config, parse_replica},
@@ -252,7 +252,7 @@
     });
     let catalog = catalog();
     let mut changes = catalog.subscribe();
-    let pace = FollowPace {
+    let pace = WatchPacing {
         apply: Duration::from_secs(60),
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
@@ -301,7 +301,7 @@
     });
     let catalog = catalog();
     let duty = Arc::new(Switch::default());
-    let pace = FollowPace {
+    let pace = WatchPacing {
         apply: Duration::from_secs(60),
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
@@ -335,7 +335,7 @@
     let catalog = catalog();
     assert_eq!(catalog.offer_config(&config(7), "peer"), Ok(true));
     offer(&catalog, Vec::new(), 40, "peer");
-    let pace = FollowPace {
+    let pace = WatchPacing {
         apply: Duration::from_secs(60),
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
--- a/tests/silent_store.rs
+++ b/tests/silent_store.rs
@@ -15,7 +15,7 @@
 use {
     archmast::{
         catalog::{
-            AlwaysReader, Catalog, CatalogChange, CatalogSource, FollowPace, Item, UpstreamRecord,
+            AlwaysReader, Catalog, CatalogChange, CatalogSource, Item, UpstreamRecord, WatchPacing,
             follow_source,
         },
         codes::{Fault, ResultCode},
@@ -192,7 +192,7 @@
 }
 
 /// The pace of the settings that are shipped.
-fn shipped_pace() -> FollowPace {
+fn shipped_pace() -> WatchPacing {
     let addresses = "[process]\nhost = r\nzone = z\n[callers]\nlisten = 10.0.0.1:1\n\
                      [ready]\nlisten = 10.0.0.1:2\n[operator]\nlisten = 10.0.0.1:3\n\
                      [peers]\nlisten = 10.0.0.1:4\nnews = 10.0.0.1:5\nseeds = 10.0.0.1:4\n\
