--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -20,7 +20,7 @@
 mod upstream_state;
 mod upstream_update;
 mod watch_pacing;
-mod watch_time;
+mod watch_timing;
 
 pub use {
     accepted_config::AcceptedConfig,
@@ -40,5 +40,5 @@
     upstream_state::UpstreamState,
     upstream_update::UpstreamUpdate,
     watch_pacing::WatchPacing,
-    watch_time::WatchTime,
+    watch_timing::WatchTiming,
 };
--- a/src/catalog/watch_pacing.rs
+++ b/src/catalog/watch_pacing.rs
@@ -1,4 +1,4 @@
-use {super::WatchTime, std::time::Duration};
+use {super::WatchTiming, std::time::Duration};
 
 /// Fraction of `apply` that a watch may exceed its wait by before it counts as lost. The store
 /// answers in milliseconds; the rest covers a host short of processor time.
@@ -28,9 +28,9 @@
     pub fn next_watch(
         &self,
         failed_before: bool,
-    ) -> WatchTime {
+    ) -> WatchTiming {
         let wait = self.watch_wait().filter(|_| !failed_before);
-        WatchTime {
+        WatchTiming {
             wait: wait.unwrap_or_default(),
             limit: wait.map_or(self.read_time(), |wait| wait + self.slack()),
         }
--- a/src/directory/platform_client.rs
+++ b/src/directory/platform_client.rs
@@ -1,7 +1,7 @@
 use {
     super::{REVISION_HEADER, Watched},
     crate::{
-        catalog::WatchTime,
+        catalog::WatchTiming,
         codes::{Fault, ResultCode},
         fleet::Revision,
         ops::PLATFORM_CALLS,
@@ -43,7 +43,7 @@
         &self,
         key: &str,
         after: Revision,
-        time: WatchTime,
+        time: WatchTiming,
     ) -> Result<Option<Watched>, Fault> {
         let url = format!(
             "{}/watch/{key}?after={after}&wait_ms={}",
@@ -68,7 +68,7 @@
         &self,
         key: &str,
     ) -> Result<Option<Watched>, Fault> {
-        let at_once = WatchTime {
+        let at_once = WatchTiming {
             wait: Duration::ZERO,
             limit: CALL_TIME,
         };
