--- a/src/catalog/follow.rs
+++ b/src/catalog/follow_store.rs
@@ -19,7 +19,7 @@
 /// watches for changes, and lists again when the store has discarded its history. While
 /// `duty` says that other processes read the store, their updates arrive by other means; when
 /// this process takes over, it continues from the revision that those have reached.
-pub async fn follow_source<S: CatalogSource, D: ReaderRole>(
+pub async fn follow_store<S: CatalogSource, D: ReaderRole>(
     catalog: Arc<Catalog>,
     source: Arc<S>,
     duty: Arc<D>,
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -10,7 +10,7 @@
 mod cordon;
 mod cordon_list;
 mod cordon_snapshot;
-mod follow;
+mod follow_store;
 mod lapse_grace;
 mod reader_role;
 mod upstream_entry;
@@ -31,7 +31,7 @@
     cordon::Cordon,
     cordon_list::{CordonChange, CordonList},
     cordon_snapshot::CordonSnapshot,
-    follow::follow_source,
+    follow_store::follow_store,
     reader_role::{AlwaysReader, ReaderRole},
     upstream_entry::UpstreamEntry,
     upstream_list::ParseUpstream,
--- a/src/direct/serve.rs
+++ b/src/direct/serve.rs
@@ -5,7 +5,7 @@
         settings_watch::watch_settings, store_duty::StoreDuty,
     },
     crate::{
-        catalog::{Catalog, follow_source},
+        catalog::{Catalog, follow_store},
         codes::ResultCode,
         conf::DirectSettings,
         node::{BLOCKING_THREADS, StartError, run_process, stop_signal},
@@ -67,7 +67,7 @@
         .change_context_lazy(failed)?;
     let connections = CallerConnections::new(gateway.clone());
     let duty = Arc::new(StoreDuty::new(gateway.clone()));
-    tokio::spawn(follow_source(catalog, store, duty, pace));
+    tokio::spawn(follow_store(catalog, store, duty, pace));
     tokio::spawn(gateway.clone().follow_catalog());
     tokio::spawn(gateway.clone().tidy());
     tokio::spawn(survey_caches(gateway.clone()));
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -5,7 +5,7 @@
     archmast::{
         catalog::{
             AlwaysReader, Catalog, CatalogChange, CatalogSource, CordonSnapshot, Item, ReaderRole,
-            UpstreamRecord, UpstreamState, UpstreamUpdate, WatchPacing, follow_source,
+            UpstreamRecord, UpstreamState, UpstreamUpdate, WatchPacing, follow_store,
         },
         codes::{Fault, ResultCode},
         platform::{parse_config, parse_replica},
@@ -257,7 +257,7 @@
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
     };
-    let following = tokio::spawn(follow_source(
+    let following = tokio::spawn(follow_store(
         catalog.clone(),
         store.clone(),
         Arc::new(AlwaysReader),
@@ -307,7 +307,7 @@
         retry_pause: Duration::from_millis(1),
     };
     let source = store.clone();
-    let following = tokio::spawn(follow_source(catalog.clone(), source, duty.clone(), pace));
+    let following = tokio::spawn(follow_store(catalog.clone(), source, duty.clone(), pace));
     assert_eq!(catalog.offer_config(&config(7), "peer"), Ok(true));
     offer(&catalog, Vec::new(), 40, "peer");
     let cordons = CordonSnapshot {
@@ -341,7 +341,7 @@
         retry_pause: Duration::from_millis(1),
     };
     let (source, duty) = (store.clone(), Arc::new(AlwaysReader));
-    let following = tokio::spawn(follow_source(catalog.clone(), source, duty, pace));
+    let following = tokio::spawn(follow_store(catalog.clone(), source, duty, pace));
     let asked = || store.asked.lock().expect("lock").clone();
     while asked().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
--- a/tests/silent_store.rs
+++ b/tests/silent_store.rs
@@ -16,7 +16,7 @@
     archmast::{
         catalog::{
             AlwaysReader, Catalog, CatalogChange, CatalogSource, Item, UpstreamRecord, WatchPacing,
-            follow_source,
+            follow_store,
         },
         codes::{Fault, ResultCode},
         conf::{DirectSettings, IniDocument},
@@ -205,7 +205,7 @@
 /// A catalog that follows the store by the shipped settings.
 fn follow(store: &Arc<SilencedStore>) -> Arc<Catalog> {
     let catalog = Arc::new(Catalog::new(parse_config, parse_replica));
-    tokio::spawn(follow_source(
+    tokio::spawn(follow_store(
         catalog.clone(),
         store.clone(),
         Arc::new(AlwaysReader),
