--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -3,7 +3,7 @@
         codes::{Fault, ResultCode},
         routing::{
             AccountEntry, AllowedRegions, EngineFacts, RequestLimits, Route, RouteKind,
-            RoutingTable, Service, ServiceShare,
+            RoutingTable, Service, WeightedService,
         },
     },
     serde::Deserialize,
@@ -135,13 +135,13 @@
             return Err(Fault::new(ResultCode::PlatformReply, detail));
         }
     };
-    let split = route.traffic_split.into_iter().map(|part| ServiceShare {
+    let split = route.traffic_split.into_iter().map(|part| WeightedService {
         service: part.service.into(),
         weight: part.weight,
     });
-    let mut shares: Vec<ServiceShare> = split.collect();
+    let mut shares: Vec<WeightedService> = split.collect();
     if let (true, Some(service)) = (shares.is_empty(), route.service) {
-        shares.push(ServiceShare {
+        shares.push(WeightedService {
             service: service.into(),
             weight: 1.0,
         });
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -12,10 +12,10 @@
 mod route_kind;
 mod routing_table;
 mod service;
-mod service_share;
+mod weighted_service;
 
 pub use {
     account_entry::AccountEntry, allowed_regions::AllowedRegions, engine_facts::EngineFacts,
     request_limits::RequestLimits, route::Route, route_kind::RouteKind,
-    routing_table::RoutingTable, service::Service, service_share::ServiceShare,
+    routing_table::RoutingTable, service::Service, weighted_service::WeightedService,
 };
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AllowedRegions, RouteKind, ServiceShare},
+    super::{AllowedRegions, RouteKind, WeightedService},
     std::{sync::Arc, time::Duration},
 };
 
@@ -14,7 +14,7 @@
     pub aim: Duration,                   // target latency of the answer or first stream event
     pub pause_aim: Option<Duration>,     // target for the longest gap between stream events
     pub priority: u32,                   // 0 is the most urgent
-    pub shares: Vec<ServiceShare>,       // traffic split over services; at least one
+    pub shares: Vec<WeightedService>,    // traffic split over services; at least one
     pub max_attempts: u32,               // replicas that one request may be sent to
     pub public: bool,                    // needs no API key
     pub regions: Option<AllowedRegions>, // none: no restriction
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::routing::{
-        AccountEntry, RequestLimits, Route, RouteKind, RoutingTable, Service, ServiceShare,
+        AccountEntry, RequestLimits, Route, RouteKind, RoutingTable, Service, WeightedService,
     },
     std::time::Duration,
 };
@@ -24,7 +24,7 @@
         priority: 1,
         shares: shares
             .iter()
-            .map(|(service, weight)| ServiceShare {
+            .map(|(service, weight)| WeightedService {
                 service: (*service).into(),
                 weight: *weight,
             })
