--- a/src/direct/call.rs
+++ b/src/direct/call.rs
@@ -2,7 +2,7 @@
     super::held_bytes::HeldBytes,
     crate::{
         policy::{Moment, placement::PromptShape, suspects::RequestDigest},
-        routing::{AllowedRegions, EngineFacts, Route},
+        routing::{AllowedRegions, EngineSpec, Route},
     },
     bytes::Bytes,
     hyper::{HeaderMap, Method, Uri},
@@ -20,7 +20,7 @@
     pub _held: HeldBytes, // counted until the call is over: its body may be sent again
     pub route: Arc<Route>,
     pub service: Arc<str>,
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineSpec>,
     pub service_aim: Duration,  // the shortest among the service's routes
     pub max_connections: usize, // to one replica, from all routers
     pub account: Option<Arc<str>>,
--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -2,7 +2,7 @@
     crate::{
         codes::{Fault, ResultCode},
         routing::{
-            AccountEntry, AllowedRegions, EngineFacts, RequestLimits, Route, RouteKind,
+            AccountEntry, AllowedRegions, EngineSpec, RequestLimits, Route, RouteKind,
             RoutingTable, Service, WeightedService,
         },
     },
@@ -164,7 +164,7 @@
 
 fn service(service: ServiceJson) -> Result<Service, Fault> {
     let engine = service.engine.and_then(|engine| {
-        engine.kv_capacity_tokens.map(|tokens| EngineFacts {
+        engine.kv_capacity_tokens.map(|tokens| EngineSpec {
             memory_tokens: tokens as u64,
             token_bytes: engine.kv_bytes,
             link_mbps: engine.link_mbps,
--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -14,7 +14,7 @@
                 },
             },
         },
-        routing::EngineFacts,
+        routing::EngineSpec,
     },
     std::time::Duration,
 };
@@ -95,7 +95,7 @@
         now: Moment,
         request: &PlacementRequest,
         prompt: &PromptShape,
-        engine: EngineFacts,
+        engine: EngineSpec,
         usable: &[&ReplicaView],
     ) -> Choice {
         let settings = &self.settings;
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -5,7 +5,7 @@
             placement::{Load, PlacementSettings},
             shares::Standing,
         },
-        routing::EngineFacts,
+        routing::EngineSpec,
     },
 };
 
@@ -28,7 +28,7 @@
     pub fn new(
         settings: &PlacementSettings,
         request: &PlacementRequest,
-        engine: EngineFacts,
+        engine: EngineSpec,
         most_are_idle: bool,
     ) -> Self {
         let share = match request.standing {
--- a/src/policy/direct/placement/choosing/offer.rs
+++ b/src/policy/direct/placement/choosing/offer.rs
@@ -4,7 +4,7 @@
             mix,
             placement::{PromptShape, ReplicaView},
         },
-        routing::EngineFacts,
+        routing::EngineSpec,
     },
     std::collections::HashMap,
 };
@@ -92,7 +92,7 @@
 /// What a prompt costs at a replica, with what another may hand it.
 pub fn offer<'v>(
     index: usize,
-    engine: EngineFacts,
+    engine: EngineSpec,
     usable: &[&'v ReplicaView],
     sources: &Sources<'_>,
 ) -> Offer<'v> {
@@ -123,7 +123,7 @@
 /// How long fetching some tokens takes, in milliseconds; none where engines
 /// cannot.
 fn fetch_time(
-    engine: EngineFacts,
+    engine: EngineSpec,
     tokens: u32,
 ) -> Option<f64> {
     let told = engine.moves && engine.token_bytes > 0.0 && engine.link_mbps > 0.0;
--- a/src/policy/direct/placement/choosing/placement_request.rs
+++ b/src/policy/direct/placement/choosing/placement_request.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         policy::{placement::PromptShape, shares::Standing},
-        routing::{AllowedRegions, EngineFacts},
+        routing::{AllowedRegions, EngineSpec},
     },
     std::{sync::Arc, time::Duration},
 };
@@ -11,7 +11,7 @@
 pub struct PlacementRequest<'r> {
     pub service: &'r str,
     pub zone: &'r str, // of this router
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineSpec>,
     pub prompt: Option<&'r PromptShape>,
     pub aim: Duration,                       // shortest among the service's routes
     pub pause_aim: Option<Duration>,         // of its route: longest pause between events
--- a/src/policy/direct/placement/prompts/sent_prompt.rs
+++ b/src/policy/direct/placement/prompts/sent_prompt.rs
@@ -1,10 +1,10 @@
-use {super::PromptShape, crate::routing::EngineFacts, std::time::Duration};
+use {super::PromptShape, crate::routing::EngineSpec, std::time::Duration};
 
 /// A prompt on its way to a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct SentPrompt<'p> {
     pub shape: &'p PromptShape,
-    pub engine: EngineFacts,
+    pub engine: EngineSpec,
     pub aim: Duration,               // of its route
     pub pause_aim: Option<Duration>, // longest pause between its events that is in time
     pub reading: u32,                // tokens that the replica has to read
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -6,7 +6,7 @@
 
 mod account_entry;
 mod allowed_regions;
-mod engine_facts;
+mod engine_spec;
 mod request_limits;
 mod route;
 mod route_kind;
@@ -15,7 +15,7 @@
 mod weighted_service;
 
 pub use {
-    account_entry::AccountEntry, allowed_regions::AllowedRegions, engine_facts::EngineFacts,
+    account_entry::AccountEntry, allowed_regions::AllowedRegions, engine_spec::EngineSpec,
     request_limits::RequestLimits, route::Route, route_kind::RouteKind,
     routing_table::RoutingTable, service::Service, weighted_service::WeightedService,
 };
--- a/src/routing/service.rs
+++ b/src/routing/service.rs
@@ -1,5 +1,5 @@
 use {
-    super::EngineFacts,
+    super::EngineSpec,
     std::{sync::Arc, time::Duration},
 };
 
@@ -8,7 +8,7 @@
 pub struct Service {
     pub name: Arc<str>,
     pub max_connections: usize, // to one replica, shared by all callers
-    pub engine: Option<EngineFacts>, // for model services
+    pub engine: Option<EngineSpec>, // for model services
     pub slow_per_s: f64, // requests per second that a replica takes in slow start; 0: no limit
     pub slow_start: Duration, // how long a replica is slow after its start
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -16,7 +16,7 @@
             shares::{AccountUsage, ShareBook, Standing},
             short_name,
         },
-        routing::EngineFacts,
+        routing::EngineSpec,
         wire::{decode_payload, encode_payload},
     },
     std::{
@@ -40,7 +40,7 @@
 const WINDOW: Duration = Duration::from_secs(3);
 const AGE: Duration = Duration::from_secs(1);
 
-const ENGINE: EngineFacts = EngineFacts {
+const ENGINE: EngineSpec = EngineSpec {
     memory_tokens: 232_000,
     token_bytes: 300_000.0,
     link_mbps: 1_000_000.0,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -14,7 +14,7 @@
             shares::Standing,
             short_name,
         },
-        routing::EngineFacts,
+        routing::EngineSpec,
         wire::encode_payload,
     },
     std::{
@@ -27,7 +27,7 @@
 
 const BEGIN: Duration = Duration::from_secs(100);
 const AIM: Duration = Duration::from_millis(800);
-const ENGINE: EngineFacts = EngineFacts {
+const ENGINE: EngineSpec = EngineSpec {
     memory_tokens: 1_000_000,
     token_bytes: 0.0,
     link_mbps: 0.0,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -9,7 +9,7 @@
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
         policy::{Teller, TellerScope, shares::Standing, short_name},
-        routing::{AllowedRegions, EngineFacts},
+        routing::{AllowedRegions, EngineSpec},
     },
     std::{
         collections::{BTreeMap, HashMap},
@@ -25,7 +25,7 @@
     source: 1,
 };
 const AIM: Duration = Duration::from_millis(600);
-const ENGINE: EngineFacts = EngineFacts {
+const ENGINE: EngineSpec = EngineSpec {
     memory_tokens: 100_000,
     token_bytes: 0.0,
     link_mbps: 0.0,
@@ -33,7 +33,7 @@
 };
 
 /// An engine that hands prompts over to another.
-const ABLE: EngineFacts = EngineFacts {
+const ABLE: EngineSpec = EngineSpec {
     token_bytes: 300_000.0,
     link_mbps: 1_000_000.0,
     moves: true,
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -14,14 +14,14 @@
             },
             shares::Standing,
         },
-        routing::EngineFacts,
+        routing::EngineSpec,
     },
     std::{sync::Arc, time::Duration},
 };
 
 const NOW: Duration = Duration::from_secs(100);
 const MEMORY: u64 = 100_000;
-const ENGINE: EngineFacts = EngineFacts {
+const ENGINE: EngineSpec = EngineSpec {
     memory_tokens: MEMORY,
     token_bytes: 0.0,
     link_mbps: 0.0,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -17,12 +17,12 @@
             },
             shares::Standing,
         },
-        routing::EngineFacts,
+        routing::EngineSpec,
     },
     std::{collections::VecDeque, sync::Arc, time::Duration},
 };
 
-const ENGINE: EngineFacts = EngineFacts {
+const ENGINE: EngineSpec = EngineSpec {
     memory_tokens: 600_000,
     token_bytes: 0.0,
     link_mbps: 0.0,
