--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -1,7 +1,7 @@
 //! Brings this router's catalog up to the newest version that its peers announce.
 
 use {
-    super::{CatchUpTimer, PEER_SILENCE_LIMIT, PeerLink, ask_news::fetch_update},
+    super::{CatchUpTimer, PEER_SILENCE_LIMIT, PeerLink, fetch_update::fetch_update},
     crate::{catalog::CatalogVersion, codes::Fault, policy::Moment},
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
--- a/src/peers/ask_news.rs
+++ b/src/peers/fetch_update.rs
@@ -1,7 +1,7 @@
 //! Fetches from another router the parts of its catalog that are newer than this router's.
 
 use {
-    super::{CatalogUpdate, own_certificate::SERVER_NAME},
+    super::{CatalogUpdate, self_signed_certificate::SERVER_NAME},
     crate::{
         catalog::{CatalogVersion, CordonSnapshot},
         codes::{Fault, ResultCode},
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -14,33 +14,33 @@
 //! Datagrams are not encrypted. Hosts hold no keys, so a peer is identified by its address
 //! alone: an attacker inside the network who can send from a peer's address is not kept out.
 
-mod ask_names;
-mod ask_news;
+mod cache_events_gossip;
 mod cache_events_message;
 mod catalog_update;
 mod catch_up;
 mod catch_up_timer;
+mod discovery;
+mod evidence_gossip;
 mod evidence_message;
 mod evidence_schedule;
+mod fetch_update;
+mod leaving_gossip;
 mod leaving_message;
-mod listen;
-mod news_port;
-mod own_certificate;
 mod peer_entry;
 mod peer_link;
 mod peer_message;
 mod peer_table;
+mod receive;
 mod report_body;
 mod router_contact;
 mod router_report;
+mod self_signed_certificate;
+mod send_reports;
 mod sent_reports;
+mod suspects_gossip;
 mod suspects_message;
-mod tell;
-mod tell_evidence;
-mod tell_kept;
-mod tell_leaving;
-mod tell_suspects;
-mod zone_duties;
+mod update_server;
+mod zone_roles;
 mod zone_summary;
 mod zone_table;
 
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        EvidenceSchedule, PeerMessage, SentReports, ZoneTable, ask_news::connect,
-        news_port::serve_updates, own_certificate::quic_configs, tell_leaving::LeavingTimes,
-        tell_suspects::SuspectTimes,
+        EvidenceSchedule, PeerMessage, SentReports, ZoneTable, fetch_update::connect,
+        leaving_gossip::LeavingTimes, self_signed_certificate::quic_configs,
+        suspects_gossip::SuspectTimes, update_server::serve_updates,
     },
     crate::{
         codes::{Fault, ResultCode},
@@ -84,7 +84,7 @@
             self.endpoint.clone(),
             self.gateway.catalog.clone(),
         ));
-        tokio::spawn(self.clone().listen());
+        tokio::spawn(self.clone().receive());
         tokio::spawn(self.clone().discover());
         tokio::spawn(self.clone().catch_up());
         tokio::spawn(self.send_regularly());
--- a/src/peers/listen.rs
+++ b/src/peers/receive.rs
@@ -31,7 +31,7 @@
 
 impl PeerLink {
     /// Receives datagrams until the process exits.
-    pub(super) async fn listen(self: Arc<Self>) {
+    pub(super) async fn receive(self: Arc<Self>) {
         let mut datagram = vec![0; MAX_DATAGRAM];
         loop {
             match self.socket.recv_from(&mut datagram).await {
