--- a/src/catalog/upstream_entry.rs
+++ b/src/catalog/upstream_entry.rs
@@ -21,7 +21,7 @@
 impl UpstreamEntry {
     /// A hash of the id and the start time, which identifies this incarnation of the replica
     /// in messages between routers. Messages about an earlier incarnation do not match it.
-    pub fn start_name(&self) -> u32 {
+    pub fn start_hash(&self) -> u32 {
         match self.born {
             None => short_name(&self.id),
             Some(born) => stable_hash(&(&*self.id, born)) as u32,
--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -73,7 +73,7 @@
         |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.wants_requests(now, entry);
     // Of other zones' replicas it is told only what they gave up.
     let is_told = |entry: &UpstreamEntry| *entry.zone == **zone && board.is_followed(now, entry);
-    due.retain(|entry| is_open(entry) && !is_told(entry) && asked.insert(entry.start_name()));
+    due.retain(|entry| is_open(entry) && !is_told(entry) && asked.insert(entry.start_hash()));
     drop(board);
     due.sort_by_key(|entry| *entry.zone != **zone);
     due
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -113,7 +113,7 @@
         if was_to_end {
             return None;
         }
-        let replica = run.entry.start_name();
+        let replica = run.entry.start_hash();
         let end = RunEnd::seen(
             rand::random(),
             replica,
--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -48,7 +48,7 @@
         if gateway.settings().follow_kept {
             let due = prompt_replicas(&gateway).into_iter();
             for entry in due.filter(|entry| is_due(&gateway, entry)) {
-                if let Entry::Vacant(place) = followed.entry(entry.start_name()) {
+                if let Entry::Vacant(place) = followed.entry(entry.start_hash()) {
                     place.insert(tokio::spawn(follow(gateway.clone(), entry)));
                 }
             }
--- a/src/peers/cache_events_message.rs
+++ b/src/peers/cache_events_message.rs
@@ -11,5 +11,5 @@
 pub struct CacheEventsMessage {
     pub zone: u32,                      // hash of the zone's name
     pub teller: SocketAddr,             // the router that read the events
-    pub replicas: Vec<(u32, KeptNews)>, // by `UpstreamEntry::start_name`
+    pub replicas: Vec<(u32, KeptNews)>, // by `UpstreamEntry::start_hash`
 }
--- a/src/peers/leaving_message.rs
+++ b/src/peers/leaving_message.rs
@@ -9,5 +9,5 @@
 pub struct LeavingMessage {
     pub zone: u32,          // hash of the zone's name
     pub teller: SocketAddr, // the router that got the announcements
-    pub starts: Vec<u32>,   // replicas, by `UpstreamEntry::start_name`
+    pub starts: Vec<u32>,   // replicas, by `UpstreamEntry::start_hash`
 }
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -83,7 +83,7 @@
         entry: &UpstreamEntry,
         news: &KeptNews,
     ) -> Option<KeptChange> {
-        let start = entry.start_name();
+        let start = entry.start_hash();
         let cache = &mut self.same_start(entry)?.cache;
         let change = cache.hear(now, news);
         let told = cache.to_tell(now, &change.news);
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -42,7 +42,7 @@
     pub fn new(entry: Arc<UpstreamEntry>) -> Self {
         Self {
             hash: stable_hash(&&*entry.id),
-            start: entry.start_name(),
+            start: entry.start_hash(),
             entry,
             own: Load::default(),
             health: ReplicaHealth::default(),
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -273,7 +273,7 @@
         log_ratio: samples * ratio.ln(),
     };
     ReplicaEvidence {
-        start: entry(replica, 1).start_name(),
+        start: entry(replica, 1).start_hash(),
         pace: PaceEvidence {
             lasting: sum,
             recent: PaceSum::default(),
@@ -536,7 +536,7 @@
         let mut board = board(&["a", "b"]);
         let sum = PaceSum { weight, log_ratio };
         let told = ReplicaEvidence {
-            start: entry("a", 1).start_name(),
+            start: entry("a", 1).start_hash(),
             pace: PaceEvidence {
                 lasting: sum,
                 recent: sum,
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -255,7 +255,7 @@
 #[test]
 fn who_takes_over_goes_on_from_the_number_it_was_told_and_other_zones_hear_of_shared_parts() {
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
-    let start = replica().start_name();
+    let start = replica().start_hash();
     let note = |part, shared| CacheNote {
         replica: start,
         part,
@@ -320,7 +320,7 @@
 #[test]
 fn a_router_that_starts_is_told_which_shared_parts_are_kept_whatever_it_hears_first() {
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
-    let start = replica().start_name();
+    let start = replica().start_hash();
     let parts = (1..=300).map(|part| CacheNote {
         replica: start,
         part,
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -148,7 +148,7 @@
 fn routers_that_hear_late_tell_of_the_earlier_start_only() {
     let age = Duration::from_secs(1);
     let report = |start: &UpstreamEntry| ReplicaReport {
-        replica: start.start_name(),
+        replica: start.start_hash(),
         load: Load {
             running: 3,
             ..Load::default()
@@ -157,7 +157,7 @@
         rests: true,
     };
     let note = |start: &UpstreamEntry, part| CacheNote {
-        replica: start.start_name(),
+        replica: start.start_hash(),
         part,
         shared: true,
     };
@@ -183,7 +183,7 @@
         board
             .reports(NOW)
             .iter()
-            .all(|it| it.replica != earlier.start_name())
+            .all(|it| it.replica != earlier.start_hash())
     );
 }
 
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -492,7 +492,7 @@
 fn what_fellows_told_ends_with_them_and_with_the_start() {
     let (mut board, shape, home) = idle_board();
     let told = ReplicaEvidence {
-        start: entry(home, None).start_name(),
+        start: entry(home, None).start_hash(),
         pace: PaceEvidence::default(),
         pauses: pauses(20.0, 15.0),
     };
