--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -113,7 +113,7 @@
     let Some(engine) = service.and_then(|service| service.engine) else {
         return;
     };
-    let memory = engine.memory_tokens;
+    let memory = engine.kv_capacity_tokens;
     gateway.board().learn_kept(entry, parts, memory);
 }
 
--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -165,7 +165,7 @@
 fn service(service: ServiceJson) -> Result<Service, Fault> {
     let engine = service.engine.and_then(|engine| {
         engine.kv_capacity_tokens.map(|tokens| EngineSpec {
-            memory_tokens: tokens as u64,
+            kv_capacity_tokens: tokens as u64,
             token_bytes: engine.kv_bytes,
             link_mbps: engine.link_mbps,
             moves: engine.moves,
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -34,7 +34,7 @@
             }
             load.reading = prompt.reading;
             load.memory = prompt.reading + prompt.shape.output_tokens;
-            let room = prompt.engine.memory_tokens;
+            let room = prompt.engine.kv_capacity_tokens;
             let memory = there.memory + load.memory;
             view.cache.set_room(room.saturating_sub(u64::from(memory)));
             view.placed += u64::from(load.memory);
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -42,7 +42,7 @@
         };
         Self {
             bound_share: settings.aim_share * share,
-            most_memory: engine.memory_tokens as f64 * settings.memory_share,
+            most_memory: engine.kv_capacity_tokens as f64 * settings.memory_share,
             own_weight: settings.own_weight,
             most_late,
             may_use_idle: most_are_idle || !is_over(request.standing),
--- a/src/routing/engine_spec.rs
+++ b/src/routing/engine_spec.rs
@@ -1,8 +1,8 @@
 /// Properties of the model engines of a service, from the configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineSpec {
-    pub memory_tokens: u64, // KV cache of one engine, for running requests and cached prompts
-    pub token_bytes: f64,   // size of one token's KV cache entry; 0 if unknown
-    pub link_mbps: f64,     // of the links for KV cache transfers between engines; 0 if unknown
-    pub moves: bool,        // whether engines may fetch KV cache entries from each other
+    pub kv_capacity_tokens: u64, // KV cache of one engine, for running requests and cached prompts
+    pub token_bytes: f64,        // size of one token's KV cache entry; 0 if unknown
+    pub link_mbps: f64, // of the links for KV cache transfers between engines; 0 if unknown
+    pub moves: bool,    // whether engines may fetch KV cache entries from each other
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -41,7 +41,7 @@
 const AGE: Duration = Duration::from_secs(1);
 
 const ENGINE: EngineSpec = EngineSpec {
-    memory_tokens: 232_000,
+    kv_capacity_tokens: 232_000,
     token_bytes: 300_000.0,
     link_mbps: 1_000_000.0,
     moves: true,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -28,7 +28,7 @@
 const BEGIN: Duration = Duration::from_secs(100);
 const AIM: Duration = Duration::from_millis(800);
 const ENGINE: EngineSpec = EngineSpec {
-    memory_tokens: 1_000_000,
+    kv_capacity_tokens: 1_000_000,
     token_bytes: 0.0,
     link_mbps: 0.0,
     moves: false,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -26,7 +26,7 @@
 };
 const AIM: Duration = Duration::from_millis(600);
 const ENGINE: EngineSpec = EngineSpec {
-    memory_tokens: 100_000,
+    kv_capacity_tokens: 100_000,
     token_bytes: 0.0,
     link_mbps: 0.0,
     moves: false,
@@ -710,7 +710,7 @@
         .map(|part| KeptPart { part, tokens: 4000 })
         .collect();
     let view = board.replica_mut("b").expect("listed");
-    view.cache.learn(&parts, ENGINE.memory_tokens);
+    view.cache.learn(&parts, ENGINE.kv_capacity_tokens);
     view.cache.learn(
         &[KeptPart {
             part: 30,
@@ -724,7 +724,7 @@
     }
     let view = board.replica_mut("b").expect("listed");
     assert!(!view.cache.holds(30), "given up by its own word");
-    view.cache.place(ENGINE.memory_tokens);
+    view.cache.place(ENGINE.kv_capacity_tokens);
     assert!(!view.cache.holds(1));
 }
 
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -37,7 +37,10 @@
     assert_eq!(once.timeout, Duration::from_micros(800_500));
     assert!(once.public);
     let engine = table.service("s").and_then(|service| service.engine);
-    assert_eq!(engine.map(|engine| engine.memory_tokens), Some(232_000));
+    assert_eq!(
+        engine.map(|engine| engine.kv_capacity_tokens),
+        Some(232_000)
+    );
     assert!(
         table
             .service("t")
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -22,7 +22,7 @@
 const NOW: Duration = Duration::from_secs(100);
 const MEMORY: u64 = 100_000;
 const ENGINE: EngineSpec = EngineSpec {
-    memory_tokens: MEMORY,
+    kv_capacity_tokens: MEMORY,
     token_bytes: 0.0,
     link_mbps: 0.0,
     moves: false,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -23,7 +23,7 @@
 };
 
 const ENGINE: EngineSpec = EngineSpec {
-    memory_tokens: 600_000,
+    kv_capacity_tokens: 600_000,
     token_bytes: 0.0,
     link_mbps: 0.0,
     moves: false,
