--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -166,7 +166,7 @@
     let engine = service.engine.and_then(|engine| {
         engine.kv_capacity_tokens.map(|tokens| EngineSpec {
             kv_capacity_tokens: tokens as u64,
-            token_bytes: engine.kv_bytes,
+            kv_bytes_per_token: engine.kv_bytes,
             link_mbps: engine.link_mbps,
             moves: engine.moves,
         })
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -42,7 +42,7 @@
 
 const ENGINE: EngineSpec = EngineSpec {
     kv_capacity_tokens: 232_000,
-    token_bytes: 300_000.0,
+    kv_bytes_per_token: 300_000.0,
     link_mbps: 1_000_000.0,
     moves: true,
 };
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -29,7 +29,7 @@
 const AIM: Duration = Duration::from_millis(800);
 const ENGINE: EngineSpec = EngineSpec {
     kv_capacity_tokens: 1_000_000,
-    token_bytes: 0.0,
+    kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
     moves: false,
 };
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -27,14 +27,14 @@
 const AIM: Duration = Duration::from_millis(600);
 const ENGINE: EngineSpec = EngineSpec {
     kv_capacity_tokens: 100_000,
-    token_bytes: 0.0,
+    kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
     moves: false,
 };
 
 /// An engine that hands prompts over to another.
 const ABLE: EngineSpec = EngineSpec {
-    token_bytes: 300_000.0,
+    kv_bytes_per_token: 300_000.0,
     link_mbps: 1_000_000.0,
     moves: true,
     ..ENGINE
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -23,7 +23,7 @@
 const MEMORY: u64 = 100_000;
 const ENGINE: EngineSpec = EngineSpec {
     kv_capacity_tokens: MEMORY,
-    token_bytes: 0.0,
+    kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
     moves: false,
 };
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -24,7 +24,7 @@
 
 const ENGINE: EngineSpec = EngineSpec {
     kv_capacity_tokens: 600_000,
-    token_bytes: 0.0,
+    kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
     moves: false,
 };
