--- a/src/catalog/upstream_entry.rs
+++ b/src/catalog/upstream_entry.rs
@@ -15,7 +15,7 @@
     pub zone: Arc<str>,
     pub slots: u32, // requests that it processes concurrently
     pub state: UpstreamState,
-    pub slow_for: Duration, // remaining slow start when it wrote the entry
+    pub slow_start_remaining: Duration, // remaining slow start when it wrote the entry
 }
 
 impl UpstreamEntry {
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -217,7 +217,7 @@
         // it and is a change.
         let is_slow = entry
             .as_ref()
-            .is_some_and(|entry| !entry.slow_for.is_zero());
+            .is_some_and(|entry| !entry.slow_start_remaining.is_zero());
         let same = before.map(|entry| &**entry) == entry.as_deref() && !is_slow;
         let was_ready = before.is_some_and(|entry| entry.state == UpstreamState::Ready);
         let is_gone = record.text.is_none();
--- a/src/platform/replica_json.rs
+++ b/src/platform/replica_json.rs
@@ -62,7 +62,7 @@
         zone: entry.zone.into(),
         slots: entry.slots,
         state,
-        slow_for: Duration::try_from_secs_f64(entry.cold_remaining_ms / 1000.0)
+        slow_start_remaining: Duration::try_from_secs_f64(entry.cold_remaining_ms / 1000.0)
             .unwrap_or_default()
             .min(MAX_SLOW_START),
     })
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -148,7 +148,7 @@
             zone: format!("zone-{}", number % ZONES).into(),
             slots: 64,
             state: UpstreamState::Ready,
-            slow_for: Duration::ZERO,
+            slow_start_remaining: Duration::ZERO,
         })
     });
     board.set_entries(Duration::ZERO, entries.collect());
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -61,7 +61,7 @@
         zone: "z".into(),
         slots: 64,
         state: UpstreamState::Ready,
-        slow_for: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     })
 }
 
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -191,7 +191,7 @@
         zone: "z".into(),
         slots: 8,
         state: UpstreamState::Ready,
-        slow_for: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     })
 }
 
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -30,7 +30,7 @@
         zone: "z".into(),
         slots: 8,
         state: UpstreamState::Ready,
-        slow_for: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     })
 }
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -64,7 +64,7 @@
         zone: zone.into(),
         slots: 8,
         state,
-        slow_for: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     })
 }
 
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -45,7 +45,7 @@
         zone: "z".into(),
         slots: 8,
         state: UpstreamState::Ready,
-        slow_for: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     })
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -45,7 +45,7 @@
 fn entry(
     id: &str,
     zone: &str,
-    slow_for: Duration,
+    slow_start_remaining: Duration,
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: id.into(),
@@ -55,7 +55,7 @@
         zone: zone.into(),
         slots: 1000,
         state: UpstreamState::Ready,
-        slow_for,
+        slow_start_remaining,
     })
 }
 
