--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -175,7 +175,7 @@
         name: service.name.into(),
         max_connections: service.max_connections.unwrap_or(DEFAULT_MAX_CONNECTIONS),
         engine,
-        slow_per_s: service.cold_per_s,
+        slow_start_per_s: service.cold_per_s,
         slow_start: millis(service.cold_start_s * 1000.0)?,
     })
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -50,7 +50,7 @@
         name: "first".into(),
         max_connections: 7,
         engine: None,
-        slow_per_s: 0.0,
+        slow_start_per_s: 0.0,
         slow_start: Duration::ZERO,
     };
     let account = AccountEntry {
