--- a/src/peers/peer_entry.rs
+++ b/src/peers/peer_entry.rs
@@ -18,7 +18,7 @@
     pub leaving: bool,
     pub busy: u8, // percent of the time that its processor had work
     pub millicores: u16,
-    pub store_lost: bool,            // its recent reads of the store failed
+    pub is_store_unavailable: bool, // its recent reads of the store failed
     pub callers: Option<SocketAddr>, // address for caller connections
     pub version: CatalogVersion,
 }
@@ -76,7 +76,7 @@
             leaving: report.leaving,
             busy: report.busy,
             millicores: report.millicores,
-            store_lost: report.store_lost,
+            is_store_unavailable: report.is_store_unavailable,
             callers: Some(report.callers),
             version: report.version,
             ..*self
--- a/src/peers/zone_roles.rs
+++ b/src/peers/zone_roles.rs
@@ -41,7 +41,7 @@
         let own = weight(&self.own().address);
         let peers = self.peers();
         let live = peers.iter().filter(|(_, entry)| entry.is_live(now, age));
-        let able = live.filter(|(_, entry)| own_lost || !entry.store_lost);
+        let able = live.filter(|(_, entry)| own_lost || !entry.is_store_unavailable);
         let before = able.filter(|(address, _)| weight(address) > own);
         before.count() < STORE_READERS
     }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -245,7 +245,7 @@
             leaving: false,
             busy: 10,
             millicores: 90,
-            store_lost: false,
+            is_store_unavailable: false,
             version: CatalogVersion::default(),
             figures,
         })
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -82,7 +82,7 @@
         leaving: true,
         busy: 40,
         millicores: 90,
-        store_lost: true,
+        is_store_unavailable: true,
         version: version(),
         figures: figures(),
     })
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -37,7 +37,7 @@
             leaving: false,
             busy: 0,
             millicores: 500,
-            store_lost: false,
+            is_store_unavailable: false,
             version: CatalogVersion { config, upstreams },
             figures: ReportBody::default(),
         };
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -119,7 +119,7 @@
         leaving: false,
         busy: 0,
         millicores: 500,
-        store_lost: false,
+        is_store_unavailable: false,
         version: CatalogVersion::default(),
         figures: ReportBody::default(),
     }
@@ -237,7 +237,7 @@
             for port in &ports {
                 let report = RouterReport {
                     sequence,
-                    store_lost: lost.contains(&address(*port)),
+                    is_store_unavailable: lost.contains(&address(*port)),
                     ..report(*port)
                 };
                 table.hear(now, &report, BELIEVED);
