--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -172,12 +172,12 @@
     }
 
     /// The records of upstreams that a peer lacks whose list reflects this store revision.
-    pub fn news_after(
+    pub fn upstream_update_after(
         &self,
         revision: u64,
     ) -> UpstreamUpdate {
         let state = self.state.lock().expect("catalog lock");
-        state.upstreams.news_after(revision)
+        state.upstreams.upstream_update_after(revision)
     }
 
     /// Applies a configuration if its version is higher than that of the one in force, and
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -89,7 +89,7 @@
     /// The changes after a store revision, or a snapshot if removals after it may be missing
     /// from the records. A peer that got only changes then would adopt the revision and go on
     /// using removed upstreams.
-    pub fn news_after(
+    pub fn upstream_update_after(
         &self,
         revision: u64,
     ) -> UpstreamUpdate {
--- a/src/peers/update_server.rs
+++ b/src/peers/update_server.rs
@@ -53,7 +53,7 @@
     let cordons = catalog.cordon_news();
     let update = CatalogUpdate {
         config: text.map(|text| text.to_string()),
-        upstreams: catalog.news_after(peer_version.upstreams),
+        upstreams: catalog.upstream_update_after(peer_version.upstreams),
     };
     let Ok(frame) = encode_frame(&update) else {
         return;
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -151,7 +151,7 @@
         record("c", 7, Some(entry("draining", 2))),
     ];
     offer(&catalog, known, 7, "store");
-    let told = catalog.news_after(3);
+    let told = catalog.upstream_update_after(3);
     assert_eq!((told.at, told.is_whole), (7, false));
     let ids: Vec<_> = told
         .records
--- a/tests/catalog_news.rs
+++ b/tests/catalog_news.rs
@@ -32,7 +32,7 @@
     asker: &Catalog,
 ) {
     if teller.version().upstreams > asker.version().upstreams {
-        let news = teller.news_after(asker.version().upstreams);
+        let news = teller.upstream_update_after(asker.version().upstreams);
         asker.offer_upstreams(news, "peer");
     }
 }
@@ -208,7 +208,7 @@
                 Step::Ask(teller, asker) => {
                     let known = routers[asker].catalog.version().upstreams;
                     if routers[teller].catalog.version().upstreams > known {
-                        let news = routers[teller].catalog.news_after(known);
+                        let news = routers[teller].catalog.upstream_update_after(known);
                         routers[asker].coming.push(Answer::News(news));
                     }
                 }
@@ -240,7 +240,7 @@
     store.list(&third);
     store.put("comes");
     store.watch(&behind);
-    let news = behind.news_after(third.version().upstreams);
+    let news = behind.upstream_update_after(third.version().upstreams);
     assert_eq!((news.records.len(), news.is_whole), (1, false));
 }
 
@@ -275,7 +275,7 @@
     let other = catalog();
     store.list(&other);
     let started = catalog();
-    let answer = other.news_after(started.version().upstreams);
+    let answer = other.upstream_update_after(started.version().upstreams);
     store.write("leaves", None);
     store.list(&started);
     started.offer_upstreams(answer, "peer");
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -149,7 +149,7 @@
     let news = {
         let other = self::catalog();
         other.offer_listing(store.listing(2), "store");
-        other.news_after(1)
+        other.upstream_update_after(1)
     };
     catalog.offer_upstreams(news, "peer");
     assert!(!catalog.knows_cordons());
