--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -149,7 +149,7 @@
     }
 
     /// A snapshot of all cordons, for a peer.
-    pub fn cordon_news(&self) -> CordonSnapshot {
+    pub fn cordon_snapshot(&self) -> CordonSnapshot {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.snapshot()
     }
--- a/src/peers/update_server.rs
+++ b/src/peers/update_server.rs
@@ -50,7 +50,7 @@
         .config_text()
         .filter(|_| own_version.config > peer_version.config);
     // Taken before the upstreams, so that the cordons are of no later revision than those.
-    let cordons = catalog.cordon_news();
+    let cordons = catalog.cordon_snapshot();
     let update = CatalogUpdate {
         config: text.map(|text| text.to_string()),
         upstreams: catalog.upstream_update_after(peer_version.upstreams),
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -118,7 +118,7 @@
                     }
                 }
                 Step::Tell(from, to) => {
-                    let news = routers[from].cordon_news();
+                    let news = routers[from].cordon_snapshot();
                     routers[to].offer_cordons(news, "peer");
                 }
             }
