--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -137,7 +137,7 @@
 
     /// The store revision that the cordons reflect; 0 if none. It may lag behind that of the
     /// upstreams, because routers of builds without support for cordons do not send any.
-    pub fn cordons_at(&self) -> u64 {
+    pub fn cordons_revision(&self) -> u64 {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.at()
     }
--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -74,7 +74,7 @@
 /// and the cordons. None if any of these is missing.
 fn reached_through_peers(catalog: &Catalog) -> Option<u64> {
     let version = catalog.version();
-    let at = version.upstreams.min(catalog.cordons_at());
+    let at = version.upstreams.min(catalog.cordons_revision());
     (version.config > 0 && at > 0).then_some(at)
 }
 
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -112,7 +112,7 @@
             match step {
                 Step::List(router, at) => routers[router].offer_listing(store.listing(at), "store"),
                 Step::Watch(router, at) => {
-                    let after = routers[router].cordons_at() as usize;
+                    let after = routers[router].cordons_revision() as usize;
                     if after > 0 && at >= after {
                         routers[router].offer_change(store.changes(after, at), "store");
                     }
@@ -123,7 +123,7 @@
                 }
             }
             for router in &routers {
-                let at = router.cordons_at() as usize;
+                let at = router.cordons_revision() as usize;
                 prop_assert_eq!(router.cordoned(), store.cordoned_at(at));
             }
         }
