--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -143,7 +143,7 @@
     }
 
     /// Whether the cordons are at least as recent as the list of upstreams.
-    pub fn knows_cordons(&self) -> bool {
+    pub fn cordons_up_to_date(&self) -> bool {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.at() > 0 && state.cordons.at() >= state.upstreams.at()
     }
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -58,7 +58,7 @@
             self.board().set_cordoned(cordoned);
             if version.knows_both() {
                 let since = *knows_both_since.get_or_insert_with(Instant::now);
-                if self.catalog.knows_cordons() || since.elapsed() >= CORDON_WAIT {
+                if self.catalog.cordons_up_to_date() || since.elapsed() >= CORDON_WAIT {
                     self.begin_placing();
                 }
             }
--- a/src/direct/store_duty.rs
+++ b/src/direct/store_duty.rs
@@ -61,10 +61,10 @@
         let knows_nothing = version.config == 0 || version.upstreams == 0;
         let now = gateway.now();
         let lost = gateway.is_store_lost();
-        let knows_cordons = gateway.catalog.knows_cordons();
+        let cordons_up_to_date = gateway.catalog.cordons_up_to_date();
         let for_cordons = {
             let mut cordons = self.cordons.lock().expect("cordon reading lock");
-            cordons.is_needed(now, knows_cordons)
+            cordons.is_needed(now, cordons_up_to_date)
         };
         let mine = knows_nothing
             || for_cordons
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -143,16 +143,16 @@
 fn routers_that_know_no_cordons_leave_them_behind_the_list() {
     let store = Store(vec![(0, true), (1, true)]);
     let catalog = catalog();
-    assert!(!catalog.knows_cordons());
+    assert!(!catalog.cordons_up_to_date());
     catalog.offer_listing(store.listing(1), "store");
-    assert!(catalog.knows_cordons());
+    assert!(catalog.cordons_up_to_date());
     let news = {
         let other = self::catalog();
         other.offer_listing(store.listing(2), "store");
         other.upstream_update_after(1)
     };
     catalog.offer_upstreams(news, "peer");
-    assert!(!catalog.knows_cordons());
+    assert!(!catalog.cordons_up_to_date());
 }
 
 const FLEET: &str = "\
