--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -259,10 +259,10 @@
     }
 
     /// Removes the lapsed upstreams whose entries did not reappear within the grace period.
-    pub fn drop_lapsed(&self) {
+    pub fn remove_expired_lapsed(&self) {
         let dropped = {
             let mut state = self.state.lock().expect("catalog lock");
-            state.upstreams.drop_lapsed()
+            state.upstreams.remove_expired_lapsed()
         };
         if dropped {
             self.changed.send_modify(|_| {});
@@ -271,10 +271,10 @@
 
     /// Removes all lapsed upstreams at once. Called after the process was suspended, so that
     /// the grace period may have passed without changes being seen.
-    pub fn end_lapses(&self) {
+    pub fn remove_all_lapsed(&self) {
         let dropped = {
             let mut state = self.state.lock().expect("catalog lock");
-            state.upstreams.end_lapses()
+            state.upstreams.remove_all_lapsed()
         };
         if dropped {
             self.changed.send_modify(|_| {});
--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -25,7 +25,7 @@
     duty: Arc<D>,
     pace: WatchPacing,
 ) {
-    tokio::spawn(drop_lapsed(Arc::downgrade(&catalog)));
+    tokio::spawn(remove_expired_lapsed(Arc::downgrade(&catalog)));
     let mut reached = None;
     let mut failures = 0u32;
     let mut last_answer = Instant::now();
@@ -83,9 +83,9 @@
 }
 
 /// Removes expired lapsed upstreams regularly, until the catalog is dropped.
-async fn drop_lapsed(catalog: Weak<Catalog>) {
+async fn remove_expired_lapsed(catalog: Weak<Catalog>) {
     while let Some(catalog) = catalog.upgrade() {
-        catalog.drop_lapsed();
+        catalog.remove_expired_lapsed();
         drop(catalog);
         sleep(LAPSE_CHECK_INTERVAL).await;
     }
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -164,13 +164,13 @@
 
     /// Removes the lapsed upstreams whose entries did not reappear within the grace period.
     /// Returns whether there were any.
-    pub fn drop_lapsed(&mut self) -> bool {
+    pub fn remove_expired_lapsed(&mut self) -> bool {
         let expired = self.lapses.take_expired(Instant::now());
         self.drop_all(&expired)
     }
 
     /// Removes all lapsed upstreams. Returns whether there were any.
-    pub fn end_lapses(&mut self) -> bool {
+    pub fn remove_all_lapsed(&mut self) -> bool {
         let lapsed = self.lapses.take_all();
         self.drop_all(&lapsed)
     }
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -148,7 +148,7 @@
             metrics::counter!(PAUSES).increment(1);
             log::warn!(pause_ms = pause.as_millis() as u64; "the process stood still");
             self.pool.forget_all_resting();
-            self.catalog.end_lapses();
+            self.catalog.remove_all_lapsed();
         }
         is_unconfirmed
     }
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -127,9 +127,9 @@
     assert_eq!(ids(&catalog), ["a", "b"], "one that was leaving is gone");
     offer(&catalog, vec![record("a", 10, ready(1))], 10, "store");
     tokio::time::advance(Duration::from_secs(2)).await;
-    catalog.drop_lapsed();
+    catalog.remove_expired_lapsed();
     assert_eq!(ids(&catalog), ["a"], "one that did not come back is gone");
-    catalog.drop_lapsed();
+    catalog.remove_expired_lapsed();
     assert_eq!(ids(&catalog), ["a"]);
 }
 
