--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -76,12 +76,12 @@
 
     /// Sets the listening addresses of this process. Upstream entries that name one of them
     /// are rejected.
-    pub fn keep_out(
+    pub fn exclude_addresses(
         &self,
         own: Vec<SocketAddr>,
     ) {
         let mut state = self.state.lock().expect("catalog lock");
-        state.upstreams.keep_out(own);
+        state.upstreams.exclude_addresses(own);
     }
 
     pub fn config(&self) -> Option<Arc<RoutingTable>> {
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -47,7 +47,7 @@
 
     /// Sets the listening addresses of this process. Entries with one of them are rejected: a
     /// request sent there would come back to this process in a loop.
-    pub fn keep_out(
+    pub fn exclude_addresses(
         &mut self,
         own: Vec<SocketAddr>,
     ) {
--- a/src/direct/serve.rs
+++ b/src/direct/serve.rs
@@ -53,7 +53,7 @@
     // Before anything listens: until then the signal ends the process.
     let hangup = signal(SignalKind::hangup()).change_context_lazy(failed)?;
     let catalog = Arc::new(Catalog::new(parse_config, parse_replica));
-    catalog.keep_out(settings.own_addresses());
+    catalog.exclude_addresses(settings.own_addresses());
     let pace = settings.catalog_pace;
     let store = StoreClient::new(settings.catalog, pace.read_time());
     let store = Arc::new(store.change_context_lazy(failed)?);
