--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -80,11 +80,11 @@
     /// Routes or accounts that are bound to regions are served nowhere while the settings name
     /// none.
     fn warn_of_regions(&self) {
-        let names_regions = self
+        let restricts_regions = self
             .catalog
             .config()
-            .is_some_and(|table| table.names_regions());
-        if names_regions && self.settings().regions.is_empty() {
+            .is_some_and(|table| table.restricts_regions());
+        if restricts_regions && self.settings().regions.is_empty() {
             log::warn!("the configuration names regions, and the settings no zone's region");
         }
     }
--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -113,7 +113,7 @@
     }
 
     /// Whether any route or account is restricted to regions.
-    pub fn names_regions(&self) -> bool {
+    pub fn restricts_regions(&self) -> bool {
         let mut routes = self.routes.values().flatten();
         !self.account_regions.is_empty() || routes.any(|route| route.regions.is_some())
     }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -79,8 +79,12 @@
         assert_eq!(found, expected, "{path} {account:?}");
     }
     assert!(!allowed("/a/", None, None));
-    assert!(table.names_regions());
-    assert!(!parse_config(CONFIG).expect("a valid one").names_regions());
+    assert!(table.restricts_regions());
+    assert!(
+        !parse_config(CONFIG)
+            .expect("a valid one")
+            .restricts_regions()
+    );
 }
 
 #[test]
