--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -109,7 +109,7 @@
         let name = |account: u32| {
             let known = table
                 .as_ref()
-                .and_then(|table| table.account_named(account));
+                .and_then(|table| table.account_by_hash(account));
             known.map_or_else(|| account.to_string(), |name| name.to_string())
         };
         let held = self.suspects().held(now);
--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -85,7 +85,7 @@
     }
 
     /// The name of the account whose `short_name` hash is `short`.
-    pub fn account_named(
+    pub fn account_by_hash(
         &self,
         short: u32,
     ) -> Option<&Arc<str>> {
