--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -30,7 +30,7 @@
 
 impl CatalogVersion {
     /// Whether the catalog has both a configuration and a list of upstreams.
-    pub fn knows_both(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.config > 0 && self.upstreams > 0
     }
 
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -260,7 +260,7 @@
 
     /// Whether callers should be sent here.
     pub fn is_ready(&self) -> bool {
-        !self.is_stopping() && !self.processor.is_paused() && self.version_in_use().knows_both()
+        !self.is_stopping() && !self.processor.is_paused() && self.version_in_use().is_complete()
     }
 
     /// How far the catalog had come when requests were first placed by it, and has come
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -56,7 +56,7 @@
             warn_of_unknown(&cordoned, &entries);
             metrics::gauge!(CORDONED).set(cordoned.len() as f64);
             self.board().set_cordoned(cordoned);
-            if version.knows_both() {
+            if version.is_complete() {
                 let since = *knows_both_since.get_or_insert_with(Instant::now);
                 if self.catalog.cordons_up_to_date() || since.elapsed() >= CORDON_WAIT {
                     self.begin_placing();
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -29,7 +29,8 @@
             // Waiting for a store that does not answer would delay the notice that a
             // replica has just started by half a second.
             let reading = &self.gateway.reading;
-            let reads_store = own_version.knows_both() && reading.is_own() && reading.is_answered();
+            let reads_store =
+                own_version.is_complete() && reading.is_own() && reading.is_answered();
             let is_due = behind.should_ask(now, own_version, peer_version, reads_store);
             let Some((address, _)) = ahead.filter(|_| is_due) else {
                 continue;
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -239,7 +239,7 @@
         let live = peers.values().filter(|entry| entry.is_live(now, age));
         // A router without a complete catalog, such as one that has just started, refuses
         // requests.
-        let serving = live.filter(|entry| entry.version.knows_both());
+        let serving = live.filter(|entry| entry.version.is_complete());
         let neighbours = serving.filter_map(|entry| {
             let busy = f64::from(entry.busy) / 100.0;
             let callers = entry.callers.filter(|_| busy <= most_busy)?;
