--- a/src/catalog/watch_pacing.rs
+++ b/src/catalog/watch_pacing.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether a change is in force within `apply` even if a call is lost.
-    pub fn keeps_apply(&self) -> bool {
+    pub fn meets_apply(&self) -> bool {
         self.watch_wait().is_some() && self.retry_pause < self.apply
     }
 
--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -189,7 +189,7 @@
         pause: section.duration("pause", Duration::ZERO..=10 * second)?,
         retry_pause: section.duration("retry_pause", 10 * ms..=60 * second)?,
     };
-    if pace.keeps_apply() {
+    if pace.meets_apply() {
         return Ok(pace);
     }
     let detail = "apply leaves no time to wait for changes beside pause, or none after retry_pause";
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -31,7 +31,7 @@
             pause: Duration::ZERO,
             retry_pause: section.duration("retry_pause", second / 100..=60 * second)?,
         };
-        if !pace.keeps_apply() {
+        if !pace.meets_apply() {
             let detail = "apply leaves no time after retry_pause";
             return Err(section.fault(ResultCode::SettingsContradict, "apply", detail));
         }
