--- a/src/peers/discovery.rs
+++ b/src/peers/discovery.rs
@@ -23,7 +23,7 @@
         loop {
             let now = self.gateway.now();
             let peers = &self.gateway.peers;
-            let known = peers.to_ask();
+            let known = peers.discovery_addresses();
             let is_alone = now < STARTUP_TIME && peers.alive(now, STARTUP_TIME) == 0;
             let request = PeerMessage::Ask(peers.own());
             if is_alone {
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -111,7 +111,7 @@
 
     /// Removes routers other than seeds that were silent for longer than `age`, and returns
     /// their addresses.
-    pub fn forget_silent(
+    pub fn remove_silent(
         &self,
         now: Moment,
         age: Duration,
@@ -130,11 +130,11 @@
 
     /// Known routers of the own zone, to which reports are sent.
     pub fn in_zone(&self) -> Vec<SocketAddr> {
-        self.in_any_zone(self.own.zone)
+        self.addresses_in_zone(self.own.zone)
     }
 
     /// Known routers of a zone.
-    pub fn in_any_zone(
+    pub fn addresses_in_zone(
         &self,
         zone: u32,
     ) -> Vec<SocketAddr> {
@@ -144,7 +144,7 @@
     }
 
     /// Targets of discovery requests: the seeds and the routers of the own zone.
-    pub fn to_ask(&self) -> Vec<SocketAddr> {
+    pub fn discovery_addresses(&self) -> Vec<SocketAddr> {
         let peers = self.peers();
         let targets = peers
             .iter()
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -46,7 +46,7 @@
             let now = self.gateway.now();
             let settings = self.gateway.settings();
             let peers = &self.gateway.peers;
-            for address in peers.forget_silent(now, settings.peer_forget) {
+            for address in peers.remove_silent(now, settings.peer_forget) {
                 log::info!(peer = address.to_string().as_str(); "silent router removed");
                 self.gateway.shares().forget(router_hash(&address));
             }
@@ -146,7 +146,12 @@
         let yields = gateway.is_stopping() && gateway.peers.alive(now, PEER_SILENCE_LIMIT) > 0;
         let represented: Vec<u32> = zones
             .into_iter()
-            .filter(|zone| !yields && gateway.peers.speaks_to(now, PEER_SILENCE_LIMIT, *zone))
+            .filter(|zone| {
+                !yields
+                    && gateway
+                        .peers
+                        .represents_zone_to(now, PEER_SILENCE_LIMIT, *zone)
+            })
             .collect();
         let mut sent = std::mem::take(&mut self.sent.lock().expect("sent lock").summaries);
         sent.retain(|zone, _| represented.contains(zone));
@@ -207,7 +212,7 @@
         if let Some(carrier) = self.zones().carrier(now, zone, PEER_SILENCE_LIMIT) {
             return vec![carrier];
         }
-        let known = self.gateway.peers.in_any_zone(zone);
+        let known = self.gateway.peers.addresses_in_zone(zone);
         let begin = rand::random_range(0..known.len().max(1));
         cyclic_slice(&known, begin, MAX_CONTACTS)
     }
--- a/src/peers/zone_roles.rs
+++ b/src/peers/zone_roles.rs
@@ -14,7 +14,7 @@
 impl PeerTable {
     /// Whether this router is the representative of its zone towards another one: the first
     /// by hash among those of the zone that reported within `age` and are not shutting down.
-    pub fn speaks_to(
+    pub fn represents_zone_to(
         &self,
         now: Moment,
         age: Duration,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -194,7 +194,7 @@
     let speakers = |now, zone| {
         let speak = tables
             .iter()
-            .filter(|table| table.speaks_to(now, ms(500), zone));
+            .filter(|table| table.represents_zone_to(now, ms(500), zone));
         speak.map(|table| table.own().address).collect::<Vec<_>>()
     };
     let by_zone: Vec<_> = (2..=9).map(|zone| speakers(ms(1000), zone)).collect();
@@ -301,9 +301,9 @@
     let names = [router(1, 1), router(3, 2), router(5, 1)];
     assert_eq!(table.names(ms(100), ms(500), 1, 1), names);
     // Whoever was silent for long is forgotten, but for the seeds.
-    table.forget_silent(ms(9000), ms(5000));
+    table.remove_silent(ms(9000), ms(5000));
     assert!(table.in_zone().is_empty());
-    assert_eq!(table.to_ask(), [address(9)]);
+    assert_eq!(table.discovery_addresses(), [address(9)]);
 }
 
 fn sum(
