--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -31,7 +31,7 @@
     let mut last_answer = Instant::now();
     let mut was_inactive = true;
     loop {
-        if !duty.is_mine() {
+        if !duty.is_reader() {
             was_inactive = true;
             sleep(ROLE_CHECK_INTERVAL).await;
             continue;
--- a/src/catalog/reader_role.rs
+++ b/src/catalog/reader_role.rs
@@ -2,7 +2,7 @@
 /// that do.
 pub trait ReaderRole: Send + Sync + 'static {
     /// Whether this process is to read the store now.
-    fn is_mine(&self) -> bool;
+    fn is_reader(&self) -> bool;
 
     /// Records whether the store answered the last call.
     fn went(
@@ -16,7 +16,7 @@
 pub struct AlwaysReader;
 
 impl ReaderRole for AlwaysReader {
-    fn is_mine(&self) -> bool {
+    fn is_reader(&self) -> bool {
         true
     }
 
--- a/src/direct/store_duty.rs
+++ b/src/direct/store_duty.rs
@@ -55,7 +55,7 @@
 }
 
 impl ReaderRole for StoreDuty {
-    fn is_mine(&self) -> bool {
+    fn is_reader(&self) -> bool {
         let gateway = &self.gateway;
         let version = gateway.catalog.version();
         let knows_nothing = version.config == 0 || version.upstreams == 0;
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -281,7 +281,7 @@
 struct Switch(AtomicBool);
 
 impl ReaderRole for Switch {
-    fn is_mine(&self) -> bool {
+    fn is_reader(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
 
