--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -103,7 +103,7 @@
     let Some(after) = reached else {
         let is_first = catalog.version().config == 0;
         let listing = match is_first {
-            true => first_listing(source, pace.first_again()).await?,
+            true => first_listing(source, pace.first_listing_hedge_delay()).await?,
             false => source.list().await?,
         };
         let at = listing.at;
--- a/src/catalog/watch_pacing.rs
+++ b/src/catalog/watch_pacing.rs
@@ -42,7 +42,7 @@
     }
 
     /// Delay after which another first listing is started beside an unanswered one.
-    pub fn first_again(&self) -> Duration {
+    pub fn first_listing_hedge_delay(&self) -> Duration {
         self.slack()
     }
 
