--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -78,10 +78,10 @@
     /// are rejected.
     pub fn exclude_addresses(
         &self,
-        own: Vec<SocketAddr>,
+        excluded: Vec<SocketAddr>,
     ) {
         let mut state = self.state.lock().expect("catalog lock");
-        state.upstreams.exclude_addresses(own);
+        state.upstreams.exclude_addresses(excluded);
     }
 
     pub fn config(&self) -> Option<Arc<RoutingTable>> {
--- a/src/catalog/lapse_grace.rs
+++ b/src/catalog/lapse_grace.rs
@@ -29,7 +29,7 @@
     }
 
     /// Records that an entry vanished. Returns whether it stays in use for now.
-    pub fn keeps(
+    pub fn defer_removal(
         &mut self,
         id: &str,
         now: Instant,
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -21,9 +21,9 @@
     records: BTreeMap<String, SourcedRecord>, // by id, with those of removed upstreams
     entries: BTreeMap<String, Arc<UpstreamEntry>>, // by id, those in use
     at: u64,                                  // store revision reflected; 0 if none
-    since: u64, // of the last snapshot; the records have all removals after it
+    snapshot_revision: u64, // of the last snapshot; the records have all removals after it
     lapses: LapseGrace,
-    own: Vec<SocketAddr>, // listening addresses of this process
+    excluded: Vec<SocketAddr>, // listening addresses of this process
 }
 
 /// A record with its source.
@@ -39,9 +39,9 @@
             records: BTreeMap::new(),
             entries: BTreeMap::new(),
             at: 0,
-            since: 0,
+            snapshot_revision: 0,
             lapses: LapseGrace::default(),
-            own: Vec::new(),
+            excluded: Vec::new(),
         }
     }
 
@@ -49,9 +49,9 @@
     /// request sent there would come back to this process in a loop.
     pub fn exclude_addresses(
         &mut self,
-        own: Vec<SocketAddr>,
+        excluded: Vec<SocketAddr>,
     ) {
-        self.own = own;
+        self.excluded = excluded;
     }
 
     /// The upstreams in use, including lapsed ones in their grace period.
@@ -93,7 +93,7 @@
         &self,
         revision: u64,
     ) -> UpstreamUpdate {
-        let is_whole = revision < self.since;
+        let is_whole = revision < self.snapshot_revision;
         let records = self.records.values().map(|sourced| &sourced.record);
         let sent = records.filter(|record| match is_whole {
             true => record.text.is_some(),
@@ -136,7 +136,7 @@
         let has_advanced = at > self.at;
         self.at = self.at.max(at);
         if is_whole {
-            self.since = self.since.max(at);
+            self.snapshot_revision = self.snapshot_revision.max(at);
         }
         changed > 0 || has_advanced
     }
@@ -166,16 +166,16 @@
     /// Returns whether there were any.
     pub fn remove_expired_lapsed(&mut self) -> bool {
         let expired = self.lapses.take_expired(Instant::now());
-        self.drop_all(&expired)
+        self.remove_entries(&expired)
     }
 
     /// Removes all lapsed upstreams. Returns whether there were any.
     pub fn remove_all_lapsed(&mut self) -> bool {
         let lapsed = self.lapses.take_all();
-        self.drop_all(&lapsed)
+        self.remove_entries(&lapsed)
     }
 
-    fn drop_all(
+    fn remove_entries(
         &mut self,
         ids: &[String],
     ) -> bool {
@@ -197,10 +197,12 @@
         // the snapshot would otherwise restore a removed upstream for good.
         let known = self.records.get(&record.id);
         let known_revision = known.map_or(0, |known| known.record.revision);
-        if record.revision <= known_revision.max(self.since) {
+        if record.revision <= known_revision.max(self.snapshot_revision) {
             return false;
         }
         let entry = self.parse(record, from);
+        // An unusable entry is recorded with an empty text, so that its revision and its removal
+        // are passed on to peers all the same.
         let sourced = SourcedRecord {
             record: UpstreamRecord {
                 text: match entry {
@@ -218,10 +220,10 @@
         let is_slow = entry
             .as_ref()
             .is_some_and(|entry| !entry.slow_start_remaining.is_zero());
-        let same = before.map(|entry| &**entry) == entry.as_deref() && !is_slow;
+        let is_same = before.map(|entry| &**entry) == entry.as_deref() && !is_slow;
         let was_ready = before.is_some_and(|entry| entry.state == UpstreamState::Ready);
-        let is_gone = record.text.is_none();
-        if is_gone && was_ready && self.lapses.keeps(&record.id, Instant::now()) {
+        let is_removed = record.text.is_none();
+        if is_removed && was_ready && self.lapses.defer_removal(&record.id, Instant::now()) {
             log::info!(
                 upstream = record.id.as_str(), revision = record.revision, from = &**from;
                 "upstream entry lapsed: the upstream stays in use for a grace period"
@@ -229,7 +231,7 @@
             return false;
         }
         self.lapses.forget(&record.id);
-        if !same {
+        if !is_same {
             log::info!(
                 upstream = record.id.as_str(), revision = record.revision, from = &**from;
                 "upstream {}", entry.as_ref().map_or("gone".to_owned(), |e| format!("{:?}", e.state))
@@ -239,7 +241,7 @@
             Some(entry) => self.entries.insert(record.id.clone(), entry),
             None => self.entries.remove(&record.id),
         };
-        !same
+        !is_same
     }
 
     /// Parses the entry of a record. Logs entries that cannot be used and returns none for
@@ -251,7 +253,7 @@
     ) -> Option<Arc<UpstreamEntry>> {
         let text = record.text.as_ref()?;
         let parsed = (self.parse)(&record.id, text);
-        let parsed = parsed.and_then(|entry| match self.own.contains(&entry.address) {
+        let parsed = parsed.and_then(|entry| match self.excluded.contains(&entry.address) {
             true => Err(Fault::new(
                 ResultCode::PlatformReply,
                 "an address of this process",
--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -38,8 +38,8 @@
             self.gateway.board().tell_kept_again(now, zone);
         }
         let (events, shared_evictions) = {
-            let mut board = self.gateway.board();
-            (board.take_kept_news(), board.take_zone_kept_news())
+            let mut table = self.gateway.board();
+            (table.take_kept_news(), table.take_zone_kept_news())
         };
         self.send_event_batches(events, addresses).await;
         if !shared_evictions.is_empty() {
@@ -83,9 +83,9 @@
             return false;
         }
         let now = gateway.now();
-        let mut board = gateway.board();
+        let mut table = gateway.board();
         for (start, events) in &message.replicas {
-            board.hear_kept(now, *start, events);
+            table.hear_kept(now, *start, events);
         }
         !is_own_zone && from == message.teller
     }
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -16,7 +16,7 @@
     /// Requests updates from a router with a newer catalog, until the process exits. A
     /// router that reads the store gives the store some time to deliver them first.
     pub(super) async fn catch_up(self: Arc<Self>) {
-        let mut behind = CatchUpTimer::default();
+        let mut timer = CatchUpTimer::default();
         loop {
             // After a time-out the versions are compared as well: an earlier request may
             // have failed.
@@ -31,13 +31,13 @@
             let reading = &self.gateway.reading;
             let reads_store =
                 own_version.is_complete() && reading.is_own() && reading.is_answered();
-            let is_due = behind.should_ask(now, own_version, peer_version, reads_store);
+            let is_due = timer.should_ask(now, own_version, peer_version, reads_store);
             let Some((address, _)) = ahead.filter(|_| is_due) else {
                 continue;
             };
-            behind.asked();
+            timer.asked();
             if let Err(error) = self.fetch(address).await {
-                self.forget_asked();
+                self.remove_update_source();
                 log::info!(
                     code = error.code.number(), config = own_version.config,
                     upstreams_at = own_version.upstreams;
@@ -57,11 +57,13 @@
         now: Moment,
         own_version: CatalogVersion,
     ) -> Option<(SocketAddr, CatalogVersion)> {
-        let last = self.last_asked();
+        let last_source = self.last_update_source();
         let pick = |mut known: Vec<(SocketAddr, CatalogVersion)>| {
             known.retain(|(_, version)| version.is_ahead_of(own_version));
             let random = rand::random_range(0..known.len().max(1));
-            let again = known.iter().find(|(address, _)| Some(*address) == last);
+            let again = known
+                .iter()
+                .find(|(address, _)| Some(*address) == last_source);
             again.or(known.get(random)).copied()
         };
         let in_own_zone = pick(self.gateway.peers.news(now, PEER_SILENCE_LIMIT));
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -41,7 +41,7 @@
     pub(super) newer_version: Notify, // a peer announced a newer catalog
     sequence: AtomicU64,
     /// The source of the last catalog update. No other lock is taken while this is held.
-    asked: Mutex<Option<(SocketAddr, Connection)>>,
+    update_source: Mutex<Option<(SocketAddr, Connection)>>,
 }
 
 /// What was sent before, so that messages carry only what changed or is due again.
@@ -73,7 +73,7 @@
             sequence: AtomicU64::new(0),
             sent: Mutex::default(),
             newer_version: Notify::new(),
-            asked: Mutex::default(),
+            update_source: Mutex::default(),
             gateway,
         }))
     }
@@ -91,14 +91,14 @@
     }
 
     /// The router that last served a catalog update.
-    pub(super) fn last_asked(&self) -> Option<SocketAddr> {
-        let asked = self.asked.lock().expect("asked lock");
-        asked.as_ref().map(|(address, _)| *address)
+    pub(super) fn last_update_source(&self) -> Option<SocketAddr> {
+        let source = self.update_source.lock().expect("update source lock");
+        source.as_ref().map(|(address, _)| *address)
     }
 
     /// Drops the connection for catalog updates after its router failed to answer.
-    pub(super) fn forget_asked(&self) {
-        *self.asked.lock().expect("asked lock") = None;
+    pub(super) fn remove_update_source(&self) {
+        *self.update_source.lock().expect("update source lock") = None;
     }
 
     /// A connection to a router for a catalog update. The last one is reused while it is
@@ -107,15 +107,20 @@
         &self,
         address: SocketAddr,
     ) -> Result<Connection, Fault> {
-        let known = self.asked.lock().expect("asked lock").clone();
-        let usable = known
-            .filter(|(asked, connection)| *asked == address && connection.close_reason().is_none());
+        let known = self
+            .update_source
+            .lock()
+            .expect("update source lock")
+            .clone();
+        let usable = known.filter(|(source, connection)| {
+            *source == address && connection.close_reason().is_none()
+        });
         if let Some((_, connection)) = usable {
             return Ok(connection);
         }
         let connection = connect(&self.endpoint, address).await?;
         let made = Some((address, connection.clone()));
-        *self.asked.lock().expect("asked lock") = made;
+        *self.update_source.lock().expect("update source lock") = made;
         Ok(connection)
     }
 
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -97,13 +97,13 @@
         if from != report.address || !is_own_zone || !gateway.peers.hear(now, report, max_age) {
             return;
         }
-        let teller = Teller {
+        let reporter = Teller {
             scope: TellerScope::Router,
             name: router_hash(&report.address),
             source: report.incarnation,
         };
         self.apply_version(report.version);
-        self.apply_figures(now, teller, &report.figures);
+        self.apply_body(now, reporter, &report.figures);
     }
 
     /// Applies the summary of another zone. False if it is of the own zone or was received
@@ -125,13 +125,13 @@
         for member in &summary.members {
             gateway.peers.meet(now, contact(member));
         }
-        let teller = Teller {
+        let reporter = Teller {
             scope: TellerScope::Zone,
             name: summary.zone,
             source: mix(stable_hash(&summary.carrier), summary.incarnation),
         };
         self.apply_version(summary.version);
-        self.apply_figures(now, teller, &summary.figures);
+        self.apply_body(now, reporter, &summary.figures);
         true
     }
 
@@ -148,18 +148,18 @@
         }
     }
 
-    fn apply_figures(
+    fn apply_body(
         &self,
         now: Moment,
-        teller: Teller,
-        figures: &ReportBody,
+        reporter: Teller,
+        body: &ReportBody,
     ) {
-        let mut board = self.gateway.board();
-        board.hear(now, teller, &figures.replicas);
-        board.hear_notes(now, teller.scope, &figures.notes);
-        board.hear_engines(&figures.engines);
-        drop(board);
-        self.gateway.shares().hear(now, teller, &figures.accounts);
+        let mut table = self.gateway.board();
+        table.hear(now, reporter, &body.replicas);
+        table.hear_notes(now, reporter.scope, &body.notes);
+        table.hear_engines(&body.engines);
+        drop(table);
+        self.gateway.shares().hear(now, reporter, &body.accounts);
     }
 
     /// Sends the known routers to a router that looks for others.
--- a/src/peers/report_body.rs
+++ b/src/peers/report_body.rs
@@ -9,12 +9,12 @@
 /// Items of each kind in one datagram, which keep it below some 1,200 bytes.
 const MAX_REPLICAS: usize = 32;
 const MAX_ACCOUNTS: usize = 16;
-const MAX_NOTES: usize = 12;
-const MAX_ENGINES: usize = 8;
+const MAX_PLACEMENTS: usize = 12;
+const MAX_LATENCY_REPORTS: usize = 8;
 
 /// The load that one router, or all routers of a zone, have placed on replicas, and the
 /// service that accounts got. An entry for a replica, an account or an engine replaces the
-/// earlier one; cache notes accumulate.
+/// earlier one; placements of prompt parts accumulate.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReportBody {
     pub replicas: Vec<ReplicaReport>,
@@ -24,21 +24,26 @@
 }
 
 impl ReportBody {
-    /// Splits the figures into parts that each fit one datagram; at least one, also if there
+    /// Splits the body into parts that each fit one datagram; at least one, also if there
     /// is nothing to report.
     pub fn cut(self) -> Vec<Self> {
         let replicas: Vec<_> = self.replicas.chunks(MAX_REPLICAS).collect();
         let accounts: Vec<_> = self.accounts.chunks(MAX_ACCOUNTS).collect();
-        let notes: Vec<_> = self.notes.chunks(MAX_NOTES).collect();
-        let engines: Vec<_> = self.engines.chunks(MAX_ENGINES).collect();
-        let chunk_counts = [replicas.len(), accounts.len(), notes.len(), engines.len()];
+        let placements: Vec<_> = self.notes.chunks(MAX_PLACEMENTS).collect();
+        let latency_reports: Vec<_> = self.engines.chunks(MAX_LATENCY_REPORTS).collect();
+        let chunk_counts = [
+            replicas.len(),
+            accounts.len(),
+            placements.len(),
+            latency_reports.len(),
+        ];
         let count = chunk_counts.into_iter().max().unwrap_or(0).max(1);
         (0..count)
             .map(|index| Self {
                 replicas: chunk_or_empty(&replicas, index),
                 accounts: chunk_or_empty(&accounts, index),
-                notes: chunk_or_empty(&notes, index),
-                engines: chunk_or_empty(&engines, index),
+                notes: chunk_or_empty(&placements, index),
+                engines: chunk_or_empty(&latency_reports, index),
             })
             .collect()
     }
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -85,12 +85,12 @@
             in_all: self.gateway.router_count(),
         };
         let routers = self.zone_routers(now);
-        let mut board = self.gateway.board();
-        board.set_reports(interval, fleet);
-        board.set_zone_routers(routers);
-        let belief_age = board.belief_age();
-        drop(board);
-        self.gateway.shares().set_peer_age(belief_age);
+        let mut table = self.gateway.board();
+        table.set_reports(interval, fleet);
+        table.set_zone_routers(routers);
+        let max_report_age = table.belief_age();
+        drop(table);
+        self.gateway.shares().set_peer_age(max_report_age);
     }
 
     /// The routers of the own zone, among which one is chosen to send to each replica that
@@ -113,7 +113,7 @@
     ) {
         let gateway = &self.gateway;
         let settings = gateway.settings();
-        for figures in self.own_figures(now).cut() {
+        for body in self.own_body(now).cut() {
             let report = RouterReport {
                 address: gateway.peers.own().address,
                 news: self.news,
@@ -126,7 +126,7 @@
                 millicores: (settings.process.cores * 1000.0) as u16,
                 is_store_unavailable: gateway.is_store_lost(),
                 version: gateway.version_in_use(),
-                figures,
+                figures: body,
             };
             self.send(&PeerMessage::Report(report), addresses).await;
         }
@@ -140,7 +140,7 @@
         now: Moment,
     ) -> usize {
         let gateway = &self.gateway;
-        let notes = gateway.board().take_zone_notes();
+        let placements = gateway.board().take_zone_notes();
         let suspects = gateway.suspects().take_zone_news(now);
         let zones = gateway.peers.other_zones();
         let yields = gateway.is_stopping() && gateway.peers.alive(now, PEER_SILENCE_LIMIT) > 0;
@@ -156,17 +156,17 @@
         let mut sent = std::mem::take(&mut self.sent.lock().expect("sent lock").summaries);
         sent.retain(|zone, _| represented.contains(zone));
         if !represented.is_empty() {
-            let all = self.zone_figures(now, notes);
+            let all = self.zone_body(now, placements);
             let mut times = std::mem::take(&mut self.sent.lock().expect("sent lock").zone_suspects);
             let suspects = self.with_refresh(now, suspects, &mut times);
             self.sent.lock().expect("sent lock").zone_suspects = times;
             for zone in &represented {
                 let sent = sent.entry(*zone).or_default();
-                let figures = self.due(now, sent, all.clone());
-                self.send_summary(now, *zone, figures).await;
+                let body = self.due(now, sent, all.clone());
+                self.send_summary(now, *zone, body).await;
                 if !suspects.is_empty() {
                     let contacts = self.contacts(now, *zone);
-                    self.send_notes(suspects.clone(), &contacts).await;
+                    self.send_suspect_reports(suspects.clone(), &contacts).await;
                 }
             }
         }
@@ -178,13 +178,13 @@
         &self,
         now: Moment,
         zone: u32,
-        figures: ReportBody,
+        body: ReportBody,
     ) {
         let gateway = &self.gateway;
         let own = gateway.peers.own();
         let contacts = self.contacts(now, zone);
         let live = gateway.peers.heard(now, PEER_SILENCE_LIMIT);
-        for figures in figures.cut() {
+        for body in body.cut() {
             let sequence = self.next_sequence();
             let begin = sequence as usize % live.len().max(1);
             let summary = ZoneSummary {
@@ -195,7 +195,7 @@
                 sequence,
                 routers: live.len() as u32 + 1,
                 version: gateway.version_in_use(),
-                figures,
+                figures: body,
                 members: cyclic_slice(&live, begin, MAX_MEMBERS),
             };
             self.send(&PeerMessage::Sum(summary), &contacts).await;
@@ -209,8 +209,8 @@
         now: Moment,
         zone: u32,
     ) -> Vec<SocketAddr> {
-        if let Some(carrier) = self.zones().carrier(now, zone, PEER_SILENCE_LIMIT) {
-            return vec![carrier];
+        if let Some(representative) = self.zones().carrier(now, zone, PEER_SILENCE_LIMIT) {
+            return vec![representative];
         }
         let known = self.gateway.peers.addresses_in_zone(zone);
         let begin = rand::random_range(0..known.len().max(1));
@@ -218,44 +218,44 @@
     }
 
     /// This router's own figures that are due to be sent to its zone.
-    fn own_figures(
+    fn own_body(
         &self,
         now: Moment,
     ) -> ReportBody {
         let gateway = &self.gateway;
-        let mut board = gateway.board();
-        let notes = board.take_notes();
-        let replicas = board.reports(now);
-        let engines = board.engine_reports();
-        drop(board);
+        let mut table = gateway.board();
+        let placements = table.take_notes();
+        let replicas = table.reports(now);
+        let latency_reports = table.engine_reports();
+        drop(table);
         let usage = gateway.shares().own(now).clone();
         let mut sent = self.sent.lock().expect("sent lock");
         let all = ReportBody {
             replicas,
             accounts: usage.into_iter().collect(),
-            notes,
-            engines,
+            notes: placements,
+            engines: latency_reports,
         };
         self.due(now, &mut sent.own_zone, all)
     }
 
     /// All figures of the own zone, for other zones.
-    fn zone_figures(
+    fn zone_body(
         &self,
         now: Moment,
-        notes: Vec<CacheNote>,
+        placements: Vec<CacheNote>,
     ) -> ReportBody {
         let gateway = &self.gateway;
-        let board = gateway.board();
-        let replicas = board.zone_reports(now);
-        let engines = board.engine_reports();
-        drop(board);
+        let table = gateway.board();
+        let replicas = table.zone_reports(now);
+        let latency_reports = table.engine_reports();
+        drop(table);
         let usage = gateway.shares().zone_usage(now);
         ReportBody {
             replicas,
             accounts: usage.into_iter().collect(),
-            notes,
-            engines,
+            notes: placements,
+            engines: latency_reports,
         }
     }
 
--- a/src/peers/sent_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -82,7 +82,7 @@
         due
     }
 
-    /// The cache notes to send, without those sent less than `refresh` ago.
+    /// The placements of prompt parts to send, without those sent less than `refresh` ago.
     pub fn notes(
         &mut self,
         now: Moment,
@@ -100,7 +100,7 @@
         due
     }
 
-    /// Whether engine reports are to be sent now, and records that they are.
+    /// Whether latency reports of engines are to be sent now, and records that they are.
     pub fn engines_due(
         &mut self,
         now: Moment,
--- a/src/peers/suspects_gossip.rs
+++ b/src/peers/suspects_gossip.rs
@@ -13,7 +13,7 @@
 };
 
 /// Requests in one datagram. At up to 120 bytes each it stays below some 1,200 bytes.
-const MAX_NOTES: usize = 8;
+const MAX_REPORTS: usize = 8;
 
 /// A request that is or was held back is sent again when no router of the zone has sent it for
 /// this long, so that a router that has just started learns of it soon.
@@ -33,27 +33,27 @@
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let new_notes = self.gateway.suspects().take_news(now);
+        let new_reports = self.gateway.suspects().take_news(now);
         let mut times = std::mem::take(&mut self.sent.lock().expect("sent lock").suspects);
-        let notes = self.with_refresh(now, new_notes, &mut times);
+        let reports = self.with_refresh(now, new_reports, &mut times);
         self.sent.lock().expect("sent lock").suspects.extend(times);
-        self.send_notes(notes, addresses).await;
+        self.send_suspect_reports(reports, addresses).await;
     }
 
-    /// Adds to new notes those on requests that are or were held back and are due to be sent
+    /// Adds to new reports those on requests that are or were held back and are due to be sent
     /// again. `times` says when each was last sent, and is updated.
     pub(super) fn with_refresh(
         &self,
         now: Moment,
-        new_notes: Vec<SuspectNote>,
+        new_reports: Vec<SuspectNote>,
         times: &mut SuspectTimes,
     ) -> Vec<SuspectNote> {
         let suspects = self.gateway.suspects();
         let lasting = suspects.lasting();
         times.retain(|request, _| lasting.contains(request));
-        let mut notes = new_notes;
-        for note in &notes {
-            times.insert(note.request, now);
+        let mut reports = new_reports;
+        for report in &reports {
+            times.insert(report.request, now);
         }
         let is_due = |request: &&RequestDigest| {
             let sent = times.get(*request);
@@ -64,21 +64,21 @@
         for request in &due {
             times.insert(*request, now);
         }
-        notes.extend(suspects.notes(now, &due));
-        notes
+        reports.extend(suspects.notes(now, &due));
+        reports
     }
 
-    pub(super) async fn send_notes(
+    pub(super) async fn send_suspect_reports(
         &self,
-        notes: Vec<SuspectNote>,
+        reports: Vec<SuspectNote>,
         addresses: &[SocketAddr],
     ) {
         let own = self.gateway.peers.own();
-        for notes in notes.chunks(MAX_NOTES) {
+        for part in reports.chunks(MAX_REPORTS) {
             let message = SuspectsMessage {
                 zone: own.zone,
                 teller: own.address,
-                notes: notes.to_vec(),
+                notes: part.to_vec(),
             };
             self.send(&PeerMessage::Suspects(message), addresses).await;
         }
@@ -103,8 +103,8 @@
         }
         if is_own_zone {
             let mut sent = self.sent.lock().expect("sent lock");
-            for note in &message.notes {
-                sent.suspects.insert(note.request, now);
+            for report in &message.notes {
+                sent.suspects.insert(report.request, now);
             }
         }
         !is_own_zone && from == message.teller
