--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -51,7 +51,7 @@
 
     /// Applies the report of a router of the own zone. False if it is this router's own, or
     /// if a later one was received before; `max_age` is the age at which reports expire.
-    pub fn hear(
+    pub fn apply_report(
         &self,
         now: Moment,
         report: &RouterReport,
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -94,7 +94,10 @@
         let now = gateway.now();
         let is_own_zone = report.zone == gateway.peers.own().zone;
         let max_age = gateway.board().belief_age();
-        if from != report.address || !is_own_zone || !gateway.peers.hear(now, report, max_age) {
+        if from != report.address
+            || !is_own_zone
+            || !gateway.peers.apply_report(now, report, max_age)
+        {
             return;
         }
         let reporter = Teller {
@@ -114,7 +117,7 @@
     ) -> bool {
         let gateway = &self.gateway;
         let now = gateway.now();
-        if summary.zone == gateway.peers.own().zone || !self.zones().hear(now, summary) {
+        if summary.zone == gateway.peers.own().zone || !self.zones().apply_summary(now, summary) {
             return false;
         }
         let contact = |address: &SocketAddr| RouterContact {
--- a/src/peers/zone_table.rs
+++ b/src/peers/zone_table.rs
@@ -41,7 +41,7 @@
 impl ZoneTable {
     /// Applies a summary. False if it, or a later one of the same author, was applied before:
     /// summaries arrive several times, directly and relayed.
-    pub fn hear(
+    pub fn apply_summary(
         &self,
         now: Moment,
         sum: &ZoneSummary,
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -41,7 +41,7 @@
             version: CatalogVersion { config, upstreams },
             figures: ReportBody::default(),
         };
-        assert!(table.hear(NOW, &report, AGE));
+        assert!(table.apply_report(NOW, &report, AGE));
     }
     let neighbours = table.neighbours(NOW, AGE, 0.5);
     let callers: Vec<SocketAddr> = neighbours.iter().map(|it| it.callers).collect();
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -138,7 +138,7 @@
         busy,
         ..report(port)
     };
-    assert!(table.hear(ms(1000), &report, BELIEVED));
+    assert!(table.apply_report(ms(1000), &report, BELIEVED));
 }
 
 #[test]
@@ -165,10 +165,13 @@
         sequence: 1,
         ..report(2)
     };
-    assert!(table.hear(ms(1000), &later, BELIEVED));
-    assert!(!table.hear(ms(1500), &anew, BELIEVED), "may be late");
-    assert!(table.hear(ms(2100), &anew, BELIEVED));
-    assert!(!table.hear(
+    assert!(table.apply_report(ms(1000), &later, BELIEVED));
+    assert!(
+        !table.apply_report(ms(1500), &anew, BELIEVED),
+        "may be late"
+    );
+    assert!(table.apply_report(ms(2100), &anew, BELIEVED));
+    assert!(!table.apply_report(
         ms(2200),
         &RouterReport {
             sequence: 0,
@@ -186,7 +189,7 @@
         .map(|own| {
             let table = PeerTable::new(router(*own, 1), &[]);
             for other in ports.iter().filter(|other| *other != own) {
-                table.hear(ms(1000), &report(*other), BELIEVED);
+                table.apply_report(ms(1000), &report(*other), BELIEVED);
             }
             table
         })
@@ -213,7 +216,7 @@
                 ..report(*port)
             };
             if again.address != silent {
-                table.hear(ms(1600), &again, BELIEVED);
+                table.apply_report(ms(1600), &again, BELIEVED);
             }
         }
     }
@@ -240,7 +243,7 @@
                     is_store_unavailable: lost.contains(&address(*port)),
                     ..report(*port)
                 };
-                table.hear(now, &report, BELIEVED);
+                table.apply_report(now, &report, BELIEVED);
             }
         }
         let own = |table: &PeerTable| table.own().address;
@@ -278,12 +281,12 @@
         version,
         ..report(2)
     };
-    assert!(table.hear(ms(100), &told, ms(1000)));
+    assert!(table.apply_report(ms(100), &told, ms(1000)));
     assert_eq!(table.news(ms(500), ms(800)), [(told.news, version)]);
     assert_eq!(table.news(ms(1000), ms(800)), []);
     let zones = ZoneTable::default();
     let sum = sum(3, 1, 1);
-    assert!(zones.hear(ms(100), &sum));
+    assert!(zones.apply_summary(ms(100), &sum));
     assert_eq!(zones.news(ms(500), ms(800)), [(sum.news, sum.version)]);
     assert_eq!(zones.news(ms(1000), ms(800)), []);
 }
@@ -327,12 +330,12 @@
 #[test]
 fn a_sum_replaces_the_last_one_of_its_zone_whoever_made_it() {
     let zones = ZoneTable::default();
-    assert!(zones.hear(ms(0), &sum(1, 5, 10)));
-    assert!(!zones.hear(ms(10), &sum(1, 5, 10)), "doubled");
-    assert!(!zones.hear(ms(20), &sum(1, 4, 99)), "reordered");
+    assert!(zones.apply_summary(ms(0), &sum(1, 5, 10)));
+    assert!(!zones.apply_summary(ms(10), &sum(1, 5, 10)), "doubled");
+    assert!(!zones.apply_summary(ms(20), &sum(1, 4, 99)), "reordered");
     assert_eq!(zones.routers(ms(20), ms(500)), 10);
     // Another router speaks for the zone: its routers are not counted twice.
-    assert!(zones.hear(ms(30), &sum(2, 1, 9)));
+    assert!(zones.apply_summary(ms(30), &sum(2, 1, 9)));
     assert_eq!(zones.routers(ms(30), ms(500)), 9);
     assert_eq!(zones.carrier(ms(30), 7, ms(500)), Some(address(2)));
     assert_eq!(zones.carrier(ms(900), 7, ms(500)), None, "silent");
@@ -347,7 +350,7 @@
         let zones = ZoneTable::default();
         let mut taken: Vec<(u16, u64)> = Vec::new();
         for (carrier, sequence) in sent {
-            if zones.hear(ms(0), &sum(carrier, sequence, carrier.into())) {
+            if zones.apply_summary(ms(0), &sum(carrier, sequence, carrier.into())) {
                 if let Some((last, before)) = taken.last() {
                     prop_assert!(*last != carrier || *before < sequence);
                 }
