--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -77,7 +77,7 @@
 
     /// Records that a router is alive: a message came from it, or from a router of its zone
     /// that receives its reports.
-    pub fn meet(
+    pub fn record_contact(
         &self,
         now: Moment,
         router: RouterContact,
@@ -91,7 +91,7 @@
     }
 
     /// Adds routers that another router named. That alone does not show that they are alive.
-    pub fn learn(
+    pub fn add_contacts(
         &self,
         now: Moment,
         routers: &[RouterContact],
@@ -165,7 +165,7 @@
     /// Routers to name to a router of `zone`: this one, the live ones of that zone, and up to
     /// `each` live ones of every other zone. Live ones were seen within `age` and are not
     /// shutting down.
-    pub fn names(
+    pub fn contacts(
         &self,
         now: Moment,
         age: Duration,
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -73,7 +73,9 @@
             }
             Ok(PeerMessage::Ask(asker)) => self.answer_discovery(from, asker).await,
             Ok(PeerMessage::Names(contacts)) => {
-                self.gateway.peers.learn(self.gateway.now(), &contacts);
+                self.gateway
+                    .peers
+                    .add_contacts(self.gateway.now(), &contacts);
             }
             Err(error) => {
                 let code = error.code.number();
@@ -124,9 +126,9 @@
             address: *address,
             zone: summary.zone,
         };
-        gateway.peers.meet(now, contact(&summary.carrier));
+        gateway.peers.record_contact(now, contact(&summary.carrier));
         for member in &summary.members {
-            gateway.peers.meet(now, contact(member));
+            gateway.peers.record_contact(now, contact(member));
         }
         let reporter = Teller {
             scope: TellerScope::Zone,
@@ -176,8 +178,8 @@
         }
         let now = self.gateway.now();
         let peers = &self.gateway.peers;
-        peers.meet(now, asker);
-        let contacts = peers.names(now, MAX_CONTACT_AGE, asker.zone, CONTACTS_PER_ZONE);
+        peers.record_contact(now, asker);
+        let contacts = peers.contacts(now, MAX_CONTACT_AGE, asker.zone, CONTACTS_PER_ZONE);
         for part in contacts.chunks(MAX_CONTACTS) {
             self.send(&PeerMessage::Names(part.to_vec()), &[from]).await;
         }
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -294,15 +294,15 @@
 #[test]
 fn routers_that_were_only_named_are_not_named_on() {
     let table = PeerTable::new(router(1, 1), &[address(9)]);
-    table.learn(ms(0), &[router(2, 1), router(3, 2)]);
+    table.add_contacts(ms(0), &[router(2, 1), router(3, 2)]);
     assert_eq!(table.in_zone(), [address(2)]);
     assert_eq!(table.other_zones(), [2]);
-    assert_eq!(table.names(ms(0), ms(500), 1, 4), [router(1, 1)]);
-    table.meet(ms(0), router(3, 2));
-    table.meet(ms(0), router(4, 2));
-    table.meet(ms(0), router(5, 1));
+    assert_eq!(table.contacts(ms(0), ms(500), 1, 4), [router(1, 1)]);
+    table.record_contact(ms(0), router(3, 2));
+    table.record_contact(ms(0), router(4, 2));
+    table.record_contact(ms(0), router(5, 1));
     let names = [router(1, 1), router(3, 2), router(5, 1)];
-    assert_eq!(table.names(ms(100), ms(500), 1, 1), names);
+    assert_eq!(table.contacts(ms(100), ms(500), 1, 1), names);
     // Whoever was silent for long is forgotten, but for the seeds.
     table.remove_silent(ms(9000), ms(5000));
     assert!(table.in_zone().is_empty());
