--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -198,7 +198,7 @@
     pub fn router_count(&self) -> usize {
         let settings = self.settings();
         let now = self.now();
-        let near = self.peers.alive(now, settings.peer_forget) + 1;
+        let near = self.peers.live_count(now, settings.peer_forget) + 1;
         let far = self.zones.routers(now, settings.peer_forget);
         (near + far).max(settings.seeds.len())
     }
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -41,7 +41,7 @@
         let requests = self.request_bytes.load(Ordering::Relaxed);
         metrics::gauge!(HELD_BYTES, "what" => "requests").set(requests as f64);
         self.measure_shares();
-        let peers = self.peers.heard(self.now(), settings.peer_age);
+        let peers = self.peers.live_addresses(self.now(), settings.peer_age);
         ProcessStatus {
             host: settings.process.host.clone(),
             role: HostRole::Router,
--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -25,7 +25,7 @@
         let live = self
             .gateway
             .peers
-            .heard(now, PEER_SILENCE_LIMIT)
+            .live_addresses(now, PEER_SILENCE_LIMIT)
             .into_iter()
             .collect();
         let has_new = {
--- a/src/peers/discovery.rs
+++ b/src/peers/discovery.rs
@@ -24,7 +24,7 @@
             let now = self.gateway.now();
             let peers = &self.gateway.peers;
             let known = peers.discovery_addresses();
-            let is_alone = now < STARTUP_TIME && peers.alive(now, STARTUP_TIME) == 0;
+            let is_alone = now < STARTUP_TIME && peers.live_count(now, STARTUP_TIME) == 0;
             let request = PeerMessage::Ask(peers.own());
             if is_alone {
                 self.send(&request, &known).await;
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -129,7 +129,7 @@
     }
 
     /// Known routers of the own zone, to which reports are sent.
-    pub fn in_zone(&self) -> Vec<SocketAddr> {
+    pub fn own_zone_addresses(&self) -> Vec<SocketAddr> {
         self.addresses_in_zone(self.own.zone)
     }
 
@@ -195,16 +195,16 @@
 
     /// Number of live routers of the own zone, besides this one: those that reported within
     /// `age` and are not shutting down.
-    pub fn alive(
+    pub fn live_count(
         &self,
         now: Moment,
         age: Duration,
     ) -> usize {
-        self.heard(now, age).len()
+        self.live_addresses(now, age).len()
     }
 
     /// Addresses of the live routers of the own zone, besides this one.
-    pub fn heard(
+    pub fn live_addresses(
         &self,
         now: Moment,
         age: Duration,
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -53,13 +53,13 @@
             Ok(PeerMessage::Report(report)) => self.apply_report(from, &report),
             Ok(PeerMessage::Sum(summary)) => {
                 if self.apply_summary(&summary) && from == summary.carrier {
-                    let zone_routers = self.gateway.peers.in_zone();
+                    let zone_routers = self.gateway.peers.own_zone_addresses();
                     self.send_datagram(datagram, "relay", &zone_routers).await;
                 }
             }
             Ok(PeerMessage::Suspects(message)) => {
                 if self.apply_suspects(from, &message) {
-                    let zone_routers = self.gateway.peers.in_zone();
+                    let zone_routers = self.gateway.peers.own_zone_addresses();
                     self.send_datagram(datagram, "relay", &zone_routers).await;
                 }
             }
@@ -67,7 +67,7 @@
             Ok(PeerMessage::Evidence(message)) => self.apply_evidence(from, &message),
             Ok(PeerMessage::Kept(message)) => {
                 if self.apply_cache_events(from, &message) {
-                    let zone_routers = self.gateway.peers.in_zone();
+                    let zone_routers = self.gateway.peers.own_zone_addresses();
                     self.send_datagram(datagram, "relay", &zone_routers).await;
                 }
             }
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -50,8 +50,8 @@
                 log::info!(peer = address.to_string().as_str(); "silent router removed");
                 self.gateway.shares().forget(router_hash(&address));
             }
-            metrics::gauge!(PEERS).set(peers.alive(now, settings.peer_forget) as f64);
-            let addresses = peers.in_zone();
+            metrics::gauge!(PEERS).set(peers.live_count(now, settings.peer_forget) as f64);
+            let addresses = peers.own_zone_addresses();
             self.send_reports(now, &addresses).await;
             self.send_suspects(now, &addresses).await;
             self.send_leaving(now, &addresses).await;
@@ -81,7 +81,7 @@
         let now = self.gateway.now();
         let forget = self.gateway.settings().peer_forget;
         let fleet = FleetSize {
-            in_zone: self.gateway.peers.alive(now, forget) + 1,
+            in_zone: self.gateway.peers.live_count(now, forget) + 1,
             in_all: self.gateway.router_count(),
         };
         let routers = self.zone_routers(now);
@@ -100,9 +100,9 @@
         now: Moment,
     ) -> ZoneRouters {
         let peers = &self.gateway.peers;
-        let live = peers.heard(now, PEER_SILENCE_LIMIT);
+        let live = peers.live_addresses(now, PEER_SILENCE_LIMIT);
         let live_hashes = live.iter().map(stable_hash).collect();
-        let known = peers.alive(now, self.gateway.settings().peer_forget);
+        let known = peers.live_count(now, self.gateway.settings().peer_forget);
         ZoneRouters::new(now, stable_hash(&peers.own().address), live_hashes, known)
     }
 
@@ -143,7 +143,7 @@
         let placements = gateway.board().take_zone_notes();
         let suspects = gateway.suspects().take_zone_news(now);
         let zones = gateway.peers.other_zones();
-        let yields = gateway.is_stopping() && gateway.peers.alive(now, PEER_SILENCE_LIMIT) > 0;
+        let yields = gateway.is_stopping() && gateway.peers.live_count(now, PEER_SILENCE_LIMIT) > 0;
         let represented: Vec<u32> = zones
             .into_iter()
             .filter(|zone| {
@@ -183,7 +183,7 @@
         let gateway = &self.gateway;
         let own = gateway.peers.own();
         let contacts = self.contacts(now, zone);
-        let live = gateway.peers.heard(now, PEER_SILENCE_LIMIT);
+        let live = gateway.peers.live_addresses(now, PEER_SILENCE_LIMIT);
         for body in body.cut() {
             let sequence = self.next_sequence();
             let begin = sequence as usize % live.len().max(1);
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -295,7 +295,7 @@
 fn routers_that_were_only_named_are_not_named_on() {
     let table = PeerTable::new(router(1, 1), &[address(9)]);
     table.add_contacts(ms(0), &[router(2, 1), router(3, 2)]);
-    assert_eq!(table.in_zone(), [address(2)]);
+    assert_eq!(table.own_zone_addresses(), [address(2)]);
     assert_eq!(table.other_zones(), [2]);
     assert_eq!(table.contacts(ms(0), ms(500), 1, 4), [router(1, 1)]);
     table.record_contact(ms(0), router(3, 2));
@@ -305,7 +305,7 @@
     assert_eq!(table.contacts(ms(100), ms(500), 1, 1), names);
     // Whoever was silent for long is forgotten, but for the seeds.
     table.remove_silent(ms(9000), ms(5000));
-    assert!(table.in_zone().is_empty());
+    assert!(table.own_zone_addresses().is_empty());
     assert_eq!(table.discovery_addresses(), [address(9)]);
 }
 
