--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -66,8 +66,8 @@
                 .find(|(address, _)| Some(*address) == last_source);
             again.or(known.get(random)).copied()
         };
-        let in_own_zone = pick(self.gateway.peers.news(now, PEER_SILENCE_LIMIT));
-        in_own_zone.or_else(|| pick(self.zones().news(now, PEER_SILENCE_LIMIT)))
+        let in_own_zone = pick(self.gateway.peers.catalog_sources(now, PEER_SILENCE_LIMIT));
+        in_own_zone.or_else(|| pick(self.zones().catalog_sources(now, PEER_SILENCE_LIMIT)))
     }
 
     async fn fetch(
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -286,7 +286,7 @@
 
     /// The routers of the own zone that reported within `age`: the address at which each
     /// serves catalog updates, and its catalog version.
-    pub fn news(
+    pub fn catalog_sources(
         &self,
         now: Moment,
         age: Duration,
--- a/src/peers/zone_table.rs
+++ b/src/peers/zone_table.rs
@@ -102,7 +102,7 @@
 
     /// The representatives whose last summary is at most `age` old: the address at which each
     /// serves catalog updates, and its catalog version.
-    pub fn news(
+    pub fn catalog_sources(
         &self,
         now: Moment,
         age: Duration,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -282,13 +282,19 @@
         ..report(2)
     };
     assert!(table.apply_report(ms(100), &told, ms(1000)));
-    assert_eq!(table.news(ms(500), ms(800)), [(told.news, version)]);
-    assert_eq!(table.news(ms(1000), ms(800)), []);
+    assert_eq!(
+        table.catalog_sources(ms(500), ms(800)),
+        [(told.news, version)]
+    );
+    assert_eq!(table.catalog_sources(ms(1000), ms(800)), []);
     let zones = ZoneTable::default();
     let sum = sum(3, 1, 1);
     assert!(zones.apply_summary(ms(100), &sum));
-    assert_eq!(zones.news(ms(500), ms(800)), [(sum.news, sum.version)]);
-    assert_eq!(zones.news(ms(1000), ms(800)), []);
+    assert_eq!(
+        zones.catalog_sources(ms(500), ms(800)),
+        [(sum.news, sum.version)]
+    );
+    assert_eq!(zones.catalog_sources(ms(1000), ms(800)), []);
 }
 
 #[test]
