--- a/src/direct/store_duty.rs
+++ b/src/direct/store_duty.rs
@@ -68,7 +68,7 @@
         };
         let mine = knows_nothing
             || for_cordons
-            || gateway.peers.reads_store(now, PEER_SILENCE_LIMIT, lost);
+            || gateway.peers.is_store_reader(now, PEER_SILENCE_LIMIT, lost);
         if gateway.reading.set_own(now, mine) {
             log::info!(
                 reads = mine, lost = lost, upstreams_at = version.upstreams;
--- a/src/peers/zone_roles.rs
+++ b/src/peers/zone_roles.rs
@@ -31,7 +31,7 @@
     /// do, among the routers that reported within `age`, are not shutting down and can read
     /// the store. A router that lost the store (`own_lost`) goes on trying if it is among the
     /// first ones of all.
-    pub fn reads_store(
+    pub fn is_store_reader(
         &self,
         now: Moment,
         age: Duration,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -249,7 +249,7 @@
         let own = |table: &PeerTable| table.own().address;
         let reading = tables
             .iter()
-            .filter(|table| table.reads_store(now, ms(500), lost.contains(&own(table))));
+            .filter(|table| table.is_store_reader(now, ms(500), lost.contains(&own(table))));
         reading.map(own).collect::<Vec<_>>()
     };
     let first = readers(1, &[]);
@@ -266,7 +266,7 @@
     assert!(
         tables
             .iter()
-            .all(|table| table.reads_store(ms(9000), ms(500), false))
+            .all(|table| table.is_store_reader(ms(9000), ms(500), false))
     );
 }
 
