--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -199,7 +199,7 @@
         let settings = self.settings();
         let now = self.now();
         let near = self.peers.live_count(now, settings.peer_forget) + 1;
-        let far = self.zones.routers(now, settings.peer_forget);
+        let far = self.zones.router_count(now, settings.peer_forget);
         (near + far).max(settings.seeds.len())
     }
 
--- a/src/peers/zone_table.rs
+++ b/src/peers/zone_table.rs
@@ -90,7 +90,7 @@
     }
 
     /// Number of live routers in all other zones whose last summary is at most `age` old.
-    pub fn routers(
+    pub fn router_count(
         &self,
         now: Moment,
         age: Duration,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -339,13 +339,13 @@
     assert!(zones.apply_summary(ms(0), &sum(1, 5, 10)));
     assert!(!zones.apply_summary(ms(10), &sum(1, 5, 10)), "doubled");
     assert!(!zones.apply_summary(ms(20), &sum(1, 4, 99)), "reordered");
-    assert_eq!(zones.routers(ms(20), ms(500)), 10);
+    assert_eq!(zones.router_count(ms(20), ms(500)), 10);
     // Another router speaks for the zone: its routers are not counted twice.
     assert!(zones.apply_summary(ms(30), &sum(2, 1, 9)));
-    assert_eq!(zones.routers(ms(30), ms(500)), 9);
+    assert_eq!(zones.router_count(ms(30), ms(500)), 9);
     assert_eq!(zones.representative(ms(30), 7, ms(500)), Some(address(2)));
     assert_eq!(zones.representative(ms(900), 7, ms(500)), None, "silent");
-    assert_eq!(zones.routers(ms(900), ms(500)), 0);
+    assert_eq!(zones.router_count(ms(900), ms(500)), 0);
 }
 
 proptest! {
@@ -363,7 +363,7 @@
                 taken.push((carrier, sequence));
             }
             let last = taken.last().map(|(carrier, _)| usize::from(*carrier));
-            prop_assert_eq!(Some(zones.routers(ms(0), ms(500))), last);
+            prop_assert_eq!(Some(zones.router_count(ms(0), ms(500))), last);
         }
     }
 }
