--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -63,7 +63,7 @@
         for replicas in datagrams(batches) {
             let message = CacheEventsMessage {
                 zone: own.zone,
-                teller: own.address,
+                reporter: own.address,
                 replicas,
             };
             self.send(&PeerMessage::Kept(message), addresses).await;
@@ -79,7 +79,7 @@
     ) -> bool {
         let gateway = &self.gateway;
         let is_own_zone = message.zone == gateway.peers.own().zone;
-        if is_own_zone && from != message.teller {
+        if is_own_zone && from != message.reporter {
             return false;
         }
         let now = gateway.now();
@@ -87,7 +87,7 @@
         for (start, events) in &message.replicas {
             table.hear_kept(now, *start, events);
         }
-        !is_own_zone && from == message.teller
+        !is_own_zone && from == message.reporter
     }
 }
 
--- a/src/peers/cache_events_message.rs
+++ b/src/peers/cache_events_message.rs
@@ -10,6 +10,6 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CacheEventsMessage {
     pub zone: u32,                      // hash of the zone's name
-    pub teller: SocketAddr,             // the router that read the events
+    pub reporter: SocketAddr,           // the router that read the events
     pub replicas: Vec<(u32, KeptNews)>, // by `UpstreamEntry::start_hash`
 }
--- a/src/peers/evidence_gossip.rs
+++ b/src/peers/evidence_gossip.rs
@@ -21,7 +21,7 @@
         let own = self.gateway.peers.own();
         let message = EvidenceMessage {
             zone: own.zone,
-            teller: own.address,
+            reporter: own.address,
             replicas,
         };
         self.send(&PeerMessage::Evidence(message), addresses).await;
@@ -50,11 +50,11 @@
         message: &EvidenceMessage,
     ) {
         let gateway = &self.gateway;
-        if from != message.teller || message.zone != gateway.peers.own().zone {
+        if from != message.reporter || message.zone != gateway.peers.own().zone {
             return;
         }
         let now = gateway.now();
-        let sender = router_hash(&message.teller);
+        let sender = router_hash(&message.reporter);
         gateway
             .board()
             .hear_evidence(now, sender, &message.replicas);
--- a/src/peers/evidence_message.rs
+++ b/src/peers/evidence_message.rs
@@ -8,7 +8,7 @@
 /// the pauses of replicas. Replaces what the same router sent of a replica before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceMessage {
-    pub zone: u32,          // hash of the zone's name
-    pub teller: SocketAddr, // the router that made the observations
+    pub zone: u32,            // hash of the zone's name
+    pub reporter: SocketAddr, // the router that made the observations
     pub replicas: Vec<ReplicaEvidence>,
 }
--- a/src/peers/leaving_gossip.rs
+++ b/src/peers/leaving_gossip.rs
@@ -41,7 +41,7 @@
         for starts in due.chunks(MAX_REPLICAS) {
             let message = LeavingMessage {
                 zone: own.zone,
-                teller: own.address,
+                reporter: own.address,
                 starts: starts.to_vec(),
             };
             self.send(&PeerMessage::Leaving(message), addresses).await;
@@ -56,7 +56,7 @@
         message: &LeavingMessage,
     ) {
         let gateway = &self.gateway;
-        if from != message.teller || message.zone != gateway.peers.own().zone {
+        if from != message.reporter || message.zone != gateway.peers.own().zone {
             return;
         }
         let unix_ms = Uptime::unix_millis();
@@ -65,7 +65,7 @@
             log::info!(
                 replica = &*replica.id,
                 born = replica.born,
-                teller = message.teller.to_string().as_str();
+                teller = message.reporter.to_string().as_str();
                 "a fellow heard that a replica leaves"
             );
         }
--- a/src/peers/leaving_message.rs
+++ b/src/peers/leaving_message.rs
@@ -7,7 +7,7 @@
 /// that they are shutting down.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingMessage {
-    pub zone: u32,          // hash of the zone's name
-    pub teller: SocketAddr, // the router that got the announcements
-    pub starts: Vec<u32>,   // replicas, by `UpstreamEntry::start_hash`
+    pub zone: u32,            // hash of the zone's name
+    pub reporter: SocketAddr, // the router that got the announcements
+    pub starts: Vec<u32>,     // replicas, by `UpstreamEntry::start_hash`
 }
--- a/src/peers/suspects_gossip.rs
+++ b/src/peers/suspects_gossip.rs
@@ -77,7 +77,7 @@
         for part in reports.chunks(MAX_REPORTS) {
             let message = SuspectsMessage {
                 zone: own.zone,
-                teller: own.address,
+                reporter: own.address,
                 notes: part.to_vec(),
             };
             self.send(&PeerMessage::Suspects(message), addresses).await;
@@ -99,7 +99,7 @@
         };
         let held = self.gateway.suspects().hear(now, scope, &message.notes);
         for (request, hold) in held {
-            log_held_back(now, request, &hold, "", &message.teller.to_string());
+            log_held_back(now, request, &hold, "", &message.reporter.to_string());
         }
         if is_own_zone {
             let mut sent = self.sent.lock().expect("sent lock");
@@ -107,6 +107,6 @@
                 sent.suspects.insert(report.request, now);
             }
         }
-        !is_own_zone && from == message.teller
+        !is_own_zone && from == message.reporter
     }
 }
--- a/src/peers/suspects_message.rs
+++ b/src/peers/suspects_message.rs
@@ -7,7 +7,7 @@
 /// Datagram with requests that one router suspects of crashing replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectsMessage {
-    pub zone: u32,          // hash of the zone's name
-    pub teller: SocketAddr, // its author; the first receiver in another zone relays it there
+    pub zone: u32,            // hash of the zone's name
+    pub reporter: SocketAddr, // its author; the first receiver in another zone relays it there
     pub notes: Vec<SuspectNote>,
 }
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -509,7 +509,7 @@
         rounds += 1;
         let message = PeerMessage::Evidence(EvidenceMessage {
             zone: u32::MAX,
-            teller: SocketAddr::from(([10, 0, 0, 1], 9999)),
+            reporter: SocketAddr::from(([10, 0, 0, 1], 9999)),
             replicas,
         });
         assert!(encode_payload(&message).expect("bytes").len() <= 1200);
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -120,7 +120,7 @@
     };
     PeerMessage::Suspects(SuspectsMessage {
         zone: 5,
-        teller: address(1),
+        reporter: address(1),
         notes: vec![SuspectNote {
             request: RequestDigest::new("POST", "/a/b", "lot", b"body"),
             account: 13,
