--- a/src/peers/peer_entry.rs
+++ b/src/peers/peer_entry.rs
@@ -9,10 +9,10 @@
 pub struct PeerEntry {
     pub is_seed: bool,
     pub zone: Option<u32>,
-    pub named_at: Moment,            // when another router first named it
-    pub last_seen: Option<Moment>,   // last message from it, or from its zone naming it
-    pub last_report: Option<Moment>, // last report from it
-    pub news: Option<SocketAddr>,    // QUIC address that serves its catalog
+    pub named_at: Moment,                   // when another router first named it
+    pub last_seen: Option<Moment>,          // last message from it, or from its zone naming it
+    pub last_report: Option<Moment>,        // last report from it
+    pub update_address: Option<SocketAddr>, // QUIC address that serves its catalog
     pub incarnation: u64,
     pub sequence: u64,
     pub leaving: bool,
@@ -68,7 +68,7 @@
     ) {
         *self = Self {
             zone: Some(report.zone),
-            news: Some(report.news),
+            update_address: Some(report.update_address),
             last_seen: Some(now),
             last_report: Some(now),
             incarnation: report.incarnation,
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -34,7 +34,7 @@
 pub struct PeerLink {
     pub(super) gateway: Arc<Gateway>,
     pub(super) endpoint: Endpoint,
-    pub(super) news: SocketAddr, // where the endpoint listens
+    pub(super) update_address: SocketAddr, // where the endpoint listens
     pub(super) socket: UdpSocket,
     pub(super) incarnation: u64, // start time of the process in Unix milliseconds
     pub(super) sent: Mutex<SentState>, // no other lock is taken while it is held
@@ -67,7 +67,7 @@
         let socket = UdpSocket::bind(settings.peers).await.map_err(failed)?;
         Ok(Arc::new(Self {
             endpoint,
-            news: settings.news,
+            update_address: settings.news,
             socket,
             incarnation: Uptime::unix_millis(),
             sequence: AtomicU64::new(0),
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -293,7 +293,7 @@
     ) -> Vec<(SocketAddr, CatalogVersion)> {
         let peers = self.peers();
         let recent = peers.values().filter(|entry| entry.has_reported(now, age));
-        let sources = recent.filter_map(|entry| Some((entry.news?, entry.version)));
+        let sources = recent.filter_map(|entry| Some((entry.update_address?, entry.version)));
         sources.collect()
     }
 
--- a/src/peers/router_report.rs
+++ b/src/peers/router_report.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouterReport {
     pub address: SocketAddr, // where it receives datagrams of other routers
-    pub news: SocketAddr,    // QUIC address that serves its catalog
+    pub update_address: SocketAddr, // QUIC address that serves its catalog
     pub callers: SocketAddr, // address for caller connections
     pub zone: u32,           // hash of the zone's name
     pub incarnation: u64,    // start time of the process in Unix milliseconds
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -116,7 +116,7 @@
         for body in self.own_body(now).cut() {
             let report = RouterReport {
                 address: gateway.peers.own().address,
-                news: self.news,
+                update_address: self.update_address,
                 callers: settings.callers,
                 zone: gateway.peers.own().zone,
                 incarnation: self.incarnation,
@@ -190,7 +190,7 @@
             let summary = ZoneSummary {
                 zone: own.zone,
                 representative: own.address,
-                news: self.news,
+                update_address: self.update_address,
                 incarnation: self.incarnation,
                 sequence,
                 routers: live.len() as u32 + 1,
--- a/src/peers/zone_summary.rs
+++ b/src/peers/zone_summary.rs
@@ -11,7 +11,7 @@
 pub struct ZoneSummary {
     pub zone: u32,                  // hash of the zone's name
     pub representative: SocketAddr, // its author; also receives the summaries for its zone
-    pub news: SocketAddr,           // QUIC address that serves the author's catalog
+    pub update_address: SocketAddr, // QUIC address that serves the author's catalog
     pub incarnation: u64,           // start time of the author's process in Unix milliseconds
     pub sequence: u64,
     pub routers: u32, // live ones in the zone
--- a/src/peers/zone_table.rs
+++ b/src/peers/zone_table.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ZoneEntry {
     representative: SocketAddr, // author of the summary
-    news: SocketAddr,           // QUIC address that serves the author's catalog
+    update_address: SocketAddr, // QUIC address that serves the author's catalog
     incarnation: u64,           // of the author's process
     sequence: u64,
     received_at: Moment,
@@ -64,7 +64,7 @@
         }
         let entry = ZoneEntry {
             representative: summary.representative,
-            news: summary.news,
+            update_address: summary.update_address,
             incarnation: summary.incarnation,
             sequence: summary.sequence,
             received_at: now,
@@ -109,7 +109,9 @@
     ) -> Vec<(SocketAddr, CatalogVersion)> {
         let zones = self.zones();
         let fresh = zones.values().filter(|entry| entry.is_fresh(now, age));
-        fresh.map(|entry| (entry.news, entry.version)).collect()
+        fresh
+            .map(|entry| (entry.update_address, entry.version))
+            .collect()
     }
 
     fn zones(&self) -> MutexGuard<'_, BTreeMap<u32, ZoneEntry>> {
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -237,7 +237,7 @@
     let reports = figures.cut().into_iter().map(|figures| {
         PeerMessage::Report(RouterReport {
             address,
-            news: address,
+            update_address: address,
             callers: address,
             zone: 7,
             incarnation: 1,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -74,7 +74,7 @@
 fn report() -> PeerMessage {
     PeerMessage::Report(RouterReport {
         address: address(1),
-        news: address(2),
+        update_address: address(2),
         callers: address(3),
         zone: 5,
         incarnation: 1_700_000_000_000,
@@ -92,7 +92,7 @@
     PeerMessage::Sum(ZoneSummary {
         zone: 5,
         representative: address(1),
-        news: address(2),
+        update_address: address(2),
         incarnation: 1_700_000_000_000,
         sequence: 78,
         routers: 10,
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -29,7 +29,7 @@
     for (port, config, upstreams) in [(2, 0, 0), (3, 7, 0), (4, 0, 9), (5, 7, 9)] {
         let report = RouterReport {
             address: address(port),
-            news: address(port),
+            update_address: address(port),
             callers: address(port + 1000),
             zone: 1,
             incarnation: 1,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -111,7 +111,7 @@
 fn report(port: u16) -> RouterReport {
     RouterReport {
         address: address(port),
-        news: address(port),
+        update_address: address(port),
         callers: address(port + 1000),
         zone: 1,
         incarnation: 1,
@@ -284,7 +284,7 @@
     assert!(table.apply_report(ms(100), &told, ms(1000)));
     assert_eq!(
         table.catalog_sources(ms(500), ms(800)),
-        [(told.news, version)]
+        [(told.update_address, version)]
     );
     assert_eq!(table.catalog_sources(ms(1000), ms(800)), []);
     let zones = ZoneTable::default();
@@ -292,7 +292,7 @@
     assert!(zones.apply_summary(ms(100), &sum));
     assert_eq!(
         zones.catalog_sources(ms(500), ms(800)),
-        [(sum.news, sum.version)]
+        [(sum.update_address, sum.version)]
     );
     assert_eq!(zones.catalog_sources(ms(1000), ms(800)), []);
 }
@@ -323,7 +323,7 @@
     ZoneSummary {
         zone: 7,
         representative: address(carrier),
-        news: address(carrier),
+        update_address: address(carrier),
         incarnation: 1,
         sequence,
         routers,
