--- a/src/peers/peer_entry.rs
+++ b/src/peers/peer_entry.rs
@@ -19,7 +19,7 @@
     pub busy: u8, // percent of the time that its processor had work
     pub millicores: u16,
     pub is_store_unavailable: bool, // its recent reads of the store failed
-    pub callers: Option<SocketAddr>, // address for caller connections
+    pub caller_address: Option<SocketAddr>, // address for caller connections
     pub version: CatalogVersion,
 }
 
@@ -77,7 +77,7 @@
             busy: report.busy,
             millicores: report.millicores,
             is_store_unavailable: report.is_store_unavailable,
-            callers: Some(report.callers),
+            caller_address: Some(report.caller_address),
             version: report.version,
             ..*self
         };
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -242,7 +242,7 @@
         let serving = live.filter(|entry| entry.version.is_complete());
         let neighbours = serving.filter_map(|entry| {
             let busy = f64::from(entry.busy) / 100.0;
-            let callers = entry.callers.filter(|_| busy <= most_busy)?;
+            let callers = entry.caller_address.filter(|_| busy <= most_busy)?;
             Some(Neighbour {
                 callers,
                 spare: f64::from(entry.millicores) / 1000.0 * (1.0 - busy).max(0.0),
--- a/src/peers/router_report.rs
+++ b/src/peers/router_report.rs
@@ -11,7 +11,7 @@
 pub struct RouterReport {
     pub address: SocketAddr, // where it receives datagrams of other routers
     pub update_address: SocketAddr, // QUIC address that serves its catalog
-    pub callers: SocketAddr, // address for caller connections
+    pub caller_address: SocketAddr, // address for caller connections
     pub zone: u32,           // hash of the zone's name
     pub incarnation: u64,    // start time of the process in Unix milliseconds
     pub sequence: u64,
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -117,7 +117,7 @@
             let report = RouterReport {
                 address: gateway.peers.own().address,
                 update_address: self.update_address,
-                callers: settings.callers,
+                caller_address: settings.callers,
                 zone: gateway.peers.own().zone,
                 incarnation: self.incarnation,
                 sequence: self.next_sequence(),
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -238,7 +238,7 @@
         PeerMessage::Report(RouterReport {
             address,
             update_address: address,
-            callers: address,
+            caller_address: address,
             zone: 7,
             incarnation: 1,
             sequence: 1,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -75,7 +75,7 @@
     PeerMessage::Report(RouterReport {
         address: address(1),
         update_address: address(2),
-        callers: address(3),
+        caller_address: address(3),
         zone: 5,
         incarnation: 1_700_000_000_000,
         sequence: 77,
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -30,7 +30,7 @@
         let report = RouterReport {
             address: address(port),
             update_address: address(port),
-            callers: address(port + 1000),
+            caller_address: address(port + 1000),
             zone: 1,
             incarnation: 1,
             sequence: 1,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -112,7 +112,7 @@
     RouterReport {
         address: address(port),
         update_address: address(port),
-        callers: address(port + 1000),
+        caller_address: address(port + 1000),
         zone: 1,
         incarnation: 1,
         sequence: 1,
