--- a/src/peers/peer_entry.rs
+++ b/src/peers/peer_entry.rs
@@ -15,8 +15,8 @@
     pub update_address: Option<SocketAddr>, // QUIC address that serves its catalog
     pub incarnation: u64,
     pub sequence: u64,
-    pub leaving: bool,
-    pub busy: u8, // percent of the time that its processor had work
+    pub is_leaving: bool,
+    pub busy_percent: u8, // of the time, in which its processor had work
     pub millicores: u16,
     pub is_store_unavailable: bool, // its recent reads of the store failed
     pub caller_address: Option<SocketAddr>, // address for caller connections
@@ -30,7 +30,7 @@
         now: Moment,
         age: Duration,
     ) -> bool {
-        self.has_reported(now, age) && !self.leaving
+        self.has_reported(now, age) && !self.is_leaving
     }
 
     /// Whether it reported within `age`.
@@ -73,8 +73,8 @@
             last_report: Some(now),
             incarnation: report.incarnation,
             sequence: report.sequence,
-            leaving: report.leaving,
-            busy: report.busy,
+            is_leaving: report.is_leaving,
+            busy_percent: report.busy_percent,
             millicores: report.millicores,
             is_store_unavailable: report.is_store_unavailable,
             caller_address: Some(report.caller_address),
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -178,7 +178,7 @@
             let is_recent = entry
                 .last_seen
                 .is_some_and(|at| now.saturating_sub(at) <= age);
-            let Some(peer_zone) = entry.zone.filter(|_| is_recent && !entry.leaving) else {
+            let Some(peer_zone) = entry.zone.filter(|_| is_recent && !entry.is_leaving) else {
                 continue;
             };
             let count = counts.entry(peer_zone).or_default();
@@ -223,7 +223,7 @@
     ) -> Option<f64> {
         let peers = self.peers();
         let live = peers.values().filter(|entry| entry.is_live(now, age));
-        let busy: Vec<f64> = live.map(|entry| f64::from(entry.busy)).collect();
+        let busy: Vec<f64> = live.map(|entry| f64::from(entry.busy_percent)).collect();
         (!busy.is_empty()).then(|| busy.iter().sum::<f64>() / busy.len() as f64)
     }
 
@@ -241,7 +241,7 @@
         // requests.
         let serving = live.filter(|entry| entry.version.is_complete());
         let neighbours = serving.filter_map(|entry| {
-            let busy = f64::from(entry.busy) / 100.0;
+            let busy = f64::from(entry.busy_percent) / 100.0;
             let callers = entry.caller_address.filter(|_| busy <= most_busy)?;
             Some(Neighbour {
                 callers,
@@ -269,7 +269,7 @@
     ) -> bool {
         let peers = self.peers();
         let mut at_address = peers.iter().filter(|(peer, _)| peer.ip() == address);
-        at_address.any(|(_, entry)| entry.leaving)
+        at_address.any(|(_, entry)| entry.is_leaving)
     }
 
     /// The catalog version in a peer's last report; the default one for unknown peers.
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -116,8 +116,8 @@
         zone: 1,
         incarnation: 1,
         sequence: 1,
-        leaving: false,
-        busy: 0,
+        is_leaving: false,
+        busy_percent: 0,
         millicores: 500,
         is_store_unavailable: false,
         version: CatalogVersion::default(),
@@ -134,8 +134,8 @@
     leaving: bool,
 ) {
     let report = RouterReport {
-        leaving,
-        busy,
+        is_leaving: leaving,
+        busy_percent: busy,
         ..report(port)
     };
     assert!(table.apply_report(ms(1000), &report, BELIEVED));
