--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -108,7 +108,7 @@
             source: report.incarnation,
         };
         self.apply_version(report.version);
-        self.apply_body(now, reporter, &report.figures);
+        self.apply_body(now, reporter, &report.body);
     }
 
     /// Applies the summary of another zone. False if it is of the own zone or was received
@@ -138,7 +138,7 @@
             source: mix(stable_hash(&summary.representative), summary.incarnation),
         };
         self.apply_version(summary.version);
-        self.apply_body(now, reporter, &summary.figures);
+        self.apply_body(now, reporter, &summary.body);
         true
     }
 
--- a/src/peers/router_report.rs
+++ b/src/peers/router_report.rs
@@ -20,5 +20,5 @@
     pub millicores: u16,            // processor capacity, in thousandths of a core
     pub is_store_unavailable: bool, // its recent reads of the store failed
     pub version: CatalogVersion,
-    pub figures: ReportBody,
+    pub body: ReportBody,
 }
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -126,7 +126,7 @@
                 millicores: (settings.process.cores * 1000.0) as u16,
                 is_store_unavailable: gateway.is_store_lost(),
                 version: gateway.version_in_use(),
-                figures: body,
+                body,
             };
             self.send(&PeerMessage::Report(report), addresses).await;
         }
@@ -195,7 +195,7 @@
                 sequence,
                 routers: live.len() as u32 + 1,
                 version: gateway.version_in_use(),
-                figures: body,
+                body,
                 members: cyclic_slice(&live, begin, MAX_MEMBERS),
             };
             self.send(&PeerMessage::Sum(summary), &contacts).await;
--- a/src/peers/zone_summary.rs
+++ b/src/peers/zone_summary.rs
@@ -16,6 +16,6 @@
     pub sequence: u64,
     pub routers: u32, // live ones in the zone
     pub version: CatalogVersion,
-    pub figures: ReportBody,
+    pub body: ReportBody,
     pub members: Vec<SocketAddr>, // some live routers of the zone
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -88,7 +88,7 @@
         for datagram in &datagrams {
             let message = decode_payload(datagram).expect("just encoded");
             if let PeerMessage::Report(report) = message {
-                board.hear(NOW, router(step), &report.figures.replicas);
+                board.hear(NOW, router(step), &report.body.replicas);
             }
         }
     });
@@ -247,7 +247,7 @@
             millicores: 90,
             is_store_unavailable: false,
             version: CatalogVersion::default(),
-            figures,
+            body: figures,
         })
     });
     reports
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -84,7 +84,7 @@
         millicores: 90,
         is_store_unavailable: true,
         version: version(),
-        figures: figures(),
+        body: figures(),
     })
 }
 
@@ -97,7 +97,7 @@
         sequence: 78,
         routers: 10,
         version: version(),
-        figures: figures(),
+        body: figures(),
         members: vec![address(4), address(5)],
     })
 }
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -39,7 +39,7 @@
             millicores: 500,
             is_store_unavailable: false,
             version: CatalogVersion { config, upstreams },
-            figures: ReportBody::default(),
+            body: ReportBody::default(),
         };
         assert!(table.apply_report(NOW, &report, AGE));
     }
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -121,7 +121,7 @@
         millicores: 500,
         is_store_unavailable: false,
         version: CatalogVersion::default(),
-        figures: ReportBody::default(),
+        body: ReportBody::default(),
     }
 }
 
@@ -328,7 +328,7 @@
         sequence,
         routers,
         version: CatalogVersion::default(),
-        figures: ReportBody::default(),
+        body: ReportBody::default(),
         members: Vec::new(),
     }
 }
