--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -66,7 +66,8 @@
                 reporter: own.address,
                 replicas,
             };
-            self.send(&PeerMessage::Kept(message), addresses).await;
+            self.send(&PeerMessage::CacheEvents(message), addresses)
+                .await;
         }
     }
 
--- a/src/peers/peer_message.rs
+++ b/src/peers/peer_message.rs
@@ -12,7 +12,7 @@
     /// State of one router, to the routers of its own zone.
     Report(RouterReport),
     /// State of a zone, to the representative of another zone, which relays it in its zone.
-    Sum(ZoneSummary),
+    Summary(ZoneSummary),
     /// Discovery request: the sender names itself and asks for other routers.
     Ask(RouterContact),
     /// Answer to a discovery request: the live routers of the asker's zone, and some of each
@@ -25,7 +25,7 @@
     /// Observed performance of replicas, to the own zone.
     Evidence(EvidenceMessage),
     /// Prompt-cache events of replicas, to the own zone; evictions of shared parts, to others.
-    Kept(CacheEventsMessage),
+    CacheEvents(CacheEventsMessage),
 }
 
 impl PeerMessage {
@@ -33,13 +33,13 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Report(_) => "report",
-            Self::Sum(_) => "sum",
+            Self::Summary(_) => "sum",
             Self::Ask(_) => "ask",
             Self::Names(_) => "names",
             Self::Suspects(_) => "suspects",
             Self::Leaving(_) => "leaving",
             Self::Evidence(_) => "evidence",
-            Self::Kept(_) => "kept",
+            Self::CacheEvents(_) => "kept",
         }
     }
 }
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -51,7 +51,7 @@
     ) {
         match decode_payload(datagram) {
             Ok(PeerMessage::Report(report)) => self.apply_report(from, &report),
-            Ok(PeerMessage::Sum(summary)) => {
+            Ok(PeerMessage::Summary(summary)) => {
                 if self.apply_summary(&summary) && from == summary.representative {
                     let zone_routers = self.gateway.peers.own_zone_addresses();
                     self.send_datagram(datagram, "relay", &zone_routers).await;
@@ -65,7 +65,7 @@
             }
             Ok(PeerMessage::Leaving(message)) => self.apply_leaving(from, &message),
             Ok(PeerMessage::Evidence(message)) => self.apply_evidence(from, &message),
-            Ok(PeerMessage::Kept(message)) => {
+            Ok(PeerMessage::CacheEvents(message)) => {
                 if self.apply_cache_events(from, &message) {
                     let zone_routers = self.gateway.peers.own_zone_addresses();
                     self.send_datagram(datagram, "relay", &zone_routers).await;
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -198,7 +198,7 @@
                 body,
                 members: cyclic_slice(&live, begin, MAX_MEMBERS),
             };
-            self.send(&PeerMessage::Sum(summary), &contacts).await;
+            self.send(&PeerMessage::Summary(summary), &contacts).await;
         }
     }
 
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -89,7 +89,7 @@
 }
 
 fn sum() -> PeerMessage {
-    PeerMessage::Sum(ZoneSummary {
+    PeerMessage::Summary(ZoneSummary {
         zone: 5,
         representative: address(1),
         update_address: address(2),
