--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -35,7 +35,7 @@
             let Some((address, _)) = ahead.filter(|_| is_due) else {
                 continue;
             };
-            timer.asked();
+            timer.reset();
             if let Err(error) = self.fetch(address).await {
                 self.remove_update_source();
                 log::info!(
--- a/src/peers/catch_up_timer.rs
+++ b/src/peers/catch_up_timer.rs
@@ -40,7 +40,7 @@
     }
 
     /// Restarts the wait after updates were requested.
-    pub fn asked(&mut self) {
+    pub fn reset(&mut self) {
         self.missing = None;
     }
 }
--- a/tests/catching_up.rs
+++ b/tests/catching_up.rs
@@ -60,7 +60,7 @@
     assert!(!behind.should_ask(ms(140), version(2), Some(version(3)), true));
     assert!(!behind.should_ask(ms(280), version(2), Some(version(3)), true));
     assert!(behind.should_ask(ms(300), version(2), Some(version(3)), true));
-    behind.asked();
+    behind.reset();
     assert!(!behind.should_ask(ms(310), version(2), Some(version(3)), true));
     assert!(!behind.should_ask(ms(320), version(3), None, true));
 }
