--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        AcceptedConfig, CatalogChange, ConfigOrigin, CordonChange, CordonList, CordonSnapshot,
-        Item, ParseUpstream, UpstreamEntry, UpstreamOrigin, UpstreamUpdate,
+        AcceptedConfig, CatalogChange, CatalogItem, ConfigOrigin, CordonChange, CordonList,
+        CordonSnapshot, ParseUpstream, UpstreamEntry, UpstreamOrigin, UpstreamUpdate,
         upstream_list::UpstreamList,
     },
     crate::{
@@ -291,9 +291,9 @@
         let mut cordons = Vec::new();
         for item in change.items {
             match item {
-                Item::Upstream(record) => records.push(record),
-                Item::Cordon(change) => cordons.push(change),
-                Item::Config { text } => self.offer_told_config(&text, from),
+                CatalogItem::Upstream(record) => records.push(record),
+                CatalogItem::Cordon(change) => cordons.push(change),
+                CatalogItem::Config { text } => self.offer_told_config(&text, from),
             }
         }
         let update = UpstreamUpdate {
--- a/src/catalog/catalog_change.rs
+++ b/src/catalog/catalog_change.rs
@@ -2,7 +2,7 @@
 
 /// One item of the store that concerns the catalog.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Item {
+pub enum CatalogItem {
     Config { text: String },
     Upstream(UpstreamRecord),
     Cordon(CordonChange),
@@ -11,6 +11,6 @@
 /// Result of a listing or a watch of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CatalogChange {
-    pub items: Vec<Item>,
+    pub items: Vec<CatalogItem>,
     pub at: u64, // store revision from which the next watch continues
 }
--- a/src/catalog/mod.rs
+++ b/src/catalog/mod.rs
@@ -25,7 +25,7 @@
 pub use {
     accepted_config::AcceptedConfig,
     catalog::{Catalog, CatalogVersion},
-    catalog_change::{CatalogChange, Item},
+    catalog_change::{CatalogChange, CatalogItem},
     catalog_source::CatalogSource,
     config_origin::ConfigOrigin,
     cordon::Cordon,
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -3,7 +3,7 @@
         OPERATOR_PREFIX, REPLICA_PREFIX, RangeJson, WatchJson, last_key, translate_all,
     },
     crate::{
-        catalog::{CatalogChange, CatalogSource, Item},
+        catalog::{CatalogChange, CatalogItem, CatalogSource},
         codes::{Fault, ResultCode},
         ops::PLATFORM_CALLS,
     },
@@ -89,7 +89,7 @@
         &self,
         prefix: &str,
     ) -> Result<CatalogChange, Fault> {
-        let mut items: Vec<Item> = Vec::new();
+        let mut items: Vec<CatalogItem> = Vec::new();
         let mut at = None;
         let mut after: Option<String> = None;
         loop {
--- a/src/platform/store_json.rs
+++ b/src/platform/store_json.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        catalog::{Cordon, CordonChange, Item, UpstreamRecord},
+        catalog::{CatalogItem, Cordon, CordonChange, UpstreamRecord},
         codes::ResultCode,
         ops::UNREADABLE,
     },
@@ -61,14 +61,14 @@
 }
 
 /// Converts items to the catalog's types, without those that are irrelevant or invalid.
-pub fn translate_all(items: Vec<Value>) -> Vec<Item> {
+pub fn translate_all(items: Vec<Value>) -> Vec<CatalogItem> {
     items.into_iter().filter_map(translate).collect()
 }
 
 /// Converts one item to the catalog's type; none for irrelevant keys and invalid items. A
 /// value that is not text becomes an empty one, which is rejected later as an entry or as a
 /// configuration.
-pub fn translate(item: Value) -> Option<Item> {
+pub fn translate(item: Value) -> Option<CatalogItem> {
     let item: ItemJson = match serde_json::from_value(item) {
         Ok(item) => item,
         Err(error) => {
@@ -81,7 +81,7 @@
         }
     };
     if let Some(zone) = item.private_key.strip_prefix(CORDON_PREFIX) {
-        return cordon_change(&item, zone).map(Item::Cordon);
+        return cordon_change(&item, zone).map(CatalogItem::Cordon);
     }
     let is_config = item.private_key == CONFIG_KEY;
     let id = item.private_key.strip_prefix(REPLICA_PREFIX);
@@ -93,8 +93,8 @@
         _ => None,
     };
     match id {
-        None => text.map(|text| Item::Config { text }),
-        Some(id) => Some(Item::Upstream(UpstreamRecord {
+        None => text.map(|text| CatalogItem::Config { text }),
+        Some(id) => Some(CatalogItem::Upstream(UpstreamRecord {
             id: id.to_owned(),
             revision: item.revision,
             text,
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -4,8 +4,8 @@
 use {
     archmast::{
         catalog::{
-            AlwaysReader, Catalog, CatalogChange, CatalogSource, CordonSnapshot, Item, ReaderRole,
-            UpstreamRecord, UpstreamState, UpstreamUpdate, WatchPacing, follow_store,
+            AlwaysReader, Catalog, CatalogChange, CatalogItem, CatalogSource, CordonSnapshot,
+            ReaderRole, UpstreamRecord, UpstreamState, UpstreamUpdate, WatchPacing, follow_store,
         },
         codes::{Fault, ResultCode},
         platform::{parse_config, parse_replica},
@@ -104,7 +104,7 @@
     let known = vec![record("a", 3, ready()), record("b", 12, ready())];
     offer(&catalog, known, 12, "peer");
     let listing = CatalogChange {
-        items: vec![Item::Upstream(record("c", 9, ready()))],
+        items: vec![CatalogItem::Upstream(record("c", 9, ready()))],
         at: 10,
     };
     catalog.offer_listing(listing, "store");
@@ -225,7 +225,7 @@
 ) -> CatalogChange {
     let text = config(version);
     CatalogChange {
-        items: vec![Item::Config { text }],
+        items: vec![CatalogItem::Config { text }],
         at,
     }
 }
@@ -234,7 +234,7 @@
 async fn the_store_is_followed_through_failures_and_lost_history() {
     let down = || Fault::new(ResultCode::PlatformDown, "503");
     let change = CatalogChange {
-        items: vec![Item::Config { text: config(4) }],
+        items: vec![CatalogItem::Config { text: config(4) }],
         at: 14,
     };
     let store = Arc::new(ScriptedStore {
--- a/tests/catalog_news.rs
+++ b/tests/catalog_news.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast::{
-        catalog::{Catalog, CatalogChange, Item, UpstreamRecord, UpstreamUpdate},
+        catalog::{Catalog, CatalogChange, CatalogItem, UpstreamRecord, UpstreamUpdate},
         platform::{parse_config, parse_replica},
     },
     proptest::prelude::*,
@@ -90,7 +90,7 @@
     fn listing(&self) -> CatalogChange {
         let held = self.held_at(self.at()).into_values().cloned();
         CatalogChange {
-            items: held.map(Item::Upstream).collect(),
+            items: held.map(CatalogItem::Upstream).collect(),
             at: self.at(),
         }
     }
@@ -102,7 +102,7 @@
     ) -> CatalogChange {
         let events = self.events.iter().skip(revision as usize).cloned();
         CatalogChange {
-            items: events.map(Item::Upstream).collect(),
+            items: events.map(CatalogItem::Upstream).collect(),
             at: self.at(),
         }
     }
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast::{
-        catalog::{Catalog, CatalogChange, Cordon, CordonChange, Item},
+        catalog::{Catalog, CatalogChange, CatalogItem, Cordon, CordonChange},
         conf::IniDocument,
         fleet::{HostEntry, HostRole, HostState, Labels, parse_document},
         platform::{parse_config, parse_replica},
@@ -49,7 +49,7 @@
         let zones = self.cordoned_at(at);
         let items = zones.iter().map(|zone| {
             let revision = last(zone).map_or(0, |index| index as u64 + 1);
-            Item::Cordon(CordonChange::Set(Cordon {
+            CatalogItem::Cordon(CordonChange::Set(Cordon {
                 zone: zone.clone(),
                 revision,
             }))
@@ -71,7 +71,7 @@
                 zone: ZONES[zone].to_owned(),
                 revision: (after + index) as u64 + 1,
             };
-            Item::Cordon(match is_set {
+            CatalogItem::Cordon(match is_set {
                 true => CordonChange::Set(cordon),
                 false => CordonChange::Lifted(cordon),
             })
--- a/tests/foreign_text.rs
+++ b/tests/foreign_text.rs
@@ -6,7 +6,7 @@
 
 use {
     archmast::{
-        catalog::{Catalog, CatalogChange, Item, UpstreamRecord},
+        catalog::{Catalog, CatalogChange, CatalogItem, UpstreamRecord},
         peers::PeerMessage,
         platform::{dialect, parse_config, parse_replica},
         wire::{VERSION, decode_payload},
@@ -102,8 +102,8 @@
     id: &str,
     revision: u64,
     text: &str,
-) -> Item {
-    Item::Upstream(UpstreamRecord {
+) -> CatalogItem {
+    CatalogItem::Upstream(UpstreamRecord {
         id: id.to_owned(),
         revision,
         text: Some(text.to_owned()),
@@ -131,7 +131,7 @@
         prop_assert!(known.contains(&"i-b".to_owned()) || id == "i-b");
         prop_assert_eq!(catalog.version().upstreams, 9);
         let gone = UpstreamRecord { id: id.clone(), revision: 10, text: None };
-        let change = CatalogChange { items: vec![Item::Upstream(gone)], at: 10 };
+        let change = CatalogChange { items: vec![CatalogItem::Upstream(gone)], at: 10 };
         catalog.offer_change(change, "store");
         prop_assert!(catalog.upstreams().iter().all(|it| *it.id != *id));
     }
--- a/tests/silent_store.rs
+++ b/tests/silent_store.rs
@@ -15,8 +15,8 @@
 use {
     archmast::{
         catalog::{
-            AlwaysReader, Catalog, CatalogChange, CatalogSource, Item, UpstreamRecord, WatchPacing,
-            follow_store,
+            AlwaysReader, Catalog, CatalogChange, CatalogItem, CatalogSource, UpstreamRecord,
+            WatchPacing, follow_store,
         },
         codes::{Fault, ResultCode},
         conf::{DirectSettings, IniDocument},
@@ -54,12 +54,12 @@
     format!("key-{version}")
 }
 
-fn config(version: u64) -> Item {
+fn config(version: u64) -> CatalogItem {
     let key = key(version);
     let text = format!(
         r#"{{"version":{version},"routes":[],"services":[],"tenants":[{{"name":"lot","api_keys":["{key}"]}}]}}"#
     );
-    Item::Config { text }
+    CatalogItem::Config { text }
 }
 
 fn upstream(
@@ -141,7 +141,7 @@
         let version = *self.version.borrow();
         let stay = (0..STAYING).map(|number| upstream(&format!("stays-{number}"), 1, true));
         let moves = upstream(&moving(version), version, true);
-        let upstreams = stay.chain([moves]).map(Item::Upstream);
+        let upstreams = stay.chain([moves]).map(CatalogItem::Upstream);
         CatalogChange {
             items: upstreams.chain([config(version)]).collect(),
             at: version,
@@ -157,7 +157,7 @@
         let moved = (after + 1..=version).flat_map(|version| {
             let comes = upstream(&moving(version), version, true);
             let gone = upstream(&moving(version - 1), version, false);
-            [Item::Upstream(comes), Item::Upstream(gone)]
+            [CatalogItem::Upstream(comes), CatalogItem::Upstream(gone)]
         });
         CatalogChange {
             items: moved.chain([config(version)]).collect(),
