--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -284,7 +284,7 @@
     fn offer_items(
         &self,
         change: CatalogChange,
-        is_whole: bool,
+        is_snapshot: bool,
         from: &str,
     ) {
         let mut records = Vec::new();
@@ -299,21 +299,21 @@
         let update = UpstreamUpdate {
             records,
             at: change.at,
-            is_whole,
+            is_snapshot,
         };
         let at = update.at;
         self.offer_upstreams(update, from);
-        self.apply_cordons(cordons, at, is_whole, from);
+        self.apply_cordons(cordons, at, is_snapshot, from);
     }
 
     fn apply_cordons(
         &self,
         changes: Vec<CordonChange>,
         at: u64,
-        is_whole: bool,
+        is_snapshot: bool,
         from: &str,
     ) {
-        if is_whole {
+        if is_snapshot {
             let set = changes.into_iter().filter_map(|change| match change {
                 CordonChange::Set(cordon) => Some(cordon),
                 CordonChange::Lifted(_) => None,
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -93,16 +93,16 @@
         &self,
         revision: u64,
     ) -> UpstreamUpdate {
-        let is_whole = revision < self.snapshot_revision;
+        let is_snapshot = revision < self.snapshot_revision;
         let records = self.records.values().map(|sourced| &sourced.record);
-        let sent = records.filter(|record| match is_whole {
+        let sent = records.filter(|record| match is_snapshot {
             true => record.text.is_some(),
             false => record.revision > revision,
         });
         UpstreamUpdate {
             records: sent.cloned().collect(),
             at: self.at,
-            is_whole,
+            is_snapshot,
         }
     }
 
@@ -116,9 +116,9 @@
         let UpstreamUpdate {
             mut records,
             at,
-            is_whole,
+            is_snapshot,
         } = update;
-        if is_whole {
+        if is_snapshot {
             records.extend(self.removals_by(&records, at));
         }
         if remove_most_entries(&self.entries, &records) {
@@ -135,7 +135,7 @@
             .count();
         let has_advanced = at > self.at;
         self.at = self.at.max(at);
-        if is_whole {
+        if is_snapshot {
             self.snapshot_revision = self.snapshot_revision.max(at);
         }
         changed > 0 || has_advanced
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -82,7 +82,7 @@
         let from = address.to_string();
         log::info!(
             from = from.as_str(), after = own_version.upstreams, at = update.upstreams.at,
-            records = update.upstreams.records.len(), whole = update.upstreams.is_whole;
+            records = update.upstreams.records.len(), whole = update.upstreams.is_snapshot;
             "news of the upstreams taken in"
         );
         if let Some(text) = &update.config {
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -60,7 +60,7 @@
     let news = UpstreamUpdate {
         records,
         at,
-        is_whole: false,
+        is_snapshot: false,
     };
     catalog.offer_upstreams(news, from);
 }
@@ -152,7 +152,7 @@
     ];
     offer(&catalog, known, 7, "store");
     let told = catalog.upstream_update_after(3);
-    assert_eq!((told.at, told.is_whole), (7, false));
+    assert_eq!((told.at, told.is_snapshot), (7, false));
     let ids: Vec<_> = told
         .records
         .iter()
--- a/tests/catalog_news.rs
+++ b/tests/catalog_news.rs
@@ -241,7 +241,7 @@
     store.put("comes");
     store.watch(&behind);
     let news = behind.upstream_update_after(third.version().upstreams);
-    assert_eq!((news.records.len(), news.is_whole), (1, false));
+    assert_eq!((news.records.len(), news.is_snapshot), (1, false));
 }
 
 #[test]
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -146,7 +146,7 @@
                 },
             ],
             at: 300,
-            is_whole: false,
+            is_snapshot: false,
         },
     }
 }
