--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -139,13 +139,13 @@
     /// upstreams, because routers of builds without support for cordons do not send any.
     pub fn cordons_revision(&self) -> u64 {
         let state = self.state.lock().expect("catalog lock");
-        state.cordons.at()
+        state.cordons.revision()
     }
 
     /// Whether the cordons are at least as recent as the list of upstreams.
     pub fn cordons_up_to_date(&self) -> bool {
         let state = self.state.lock().expect("catalog lock");
-        state.cordons.at() > 0 && state.cordons.at() >= state.upstreams.at()
+        state.cordons.revision() > 0 && state.cordons.revision() >= state.upstreams.revision()
     }
 
     /// A snapshot of all cordons, for a peer.
@@ -231,7 +231,7 @@
             let mut state = self.state.lock().expect("catalog lock");
             let is_changed = state.upstreams.apply(update, from);
             metrics::gauge!(UNUSABLE_ENTRIES).set(state.upstreams.unusable() as f64);
-            (is_changed, state.upstreams.at())
+            (is_changed, state.upstreams.revision())
         };
         if is_changed {
             self.changed
@@ -298,18 +298,18 @@
         }
         let update = UpstreamUpdate {
             records,
-            at: change.at,
+            revision: change.revision,
             is_snapshot,
         };
-        let at = update.at;
+        let revision = update.revision;
         self.offer_upstreams(update, from);
-        self.apply_cordons(cordons, at, is_snapshot, from);
+        self.apply_cordons(cordons, revision, is_snapshot, from);
     }
 
     fn apply_cordons(
         &self,
         changes: Vec<CordonChange>,
-        at: u64,
+        revision: u64,
         is_snapshot: bool,
         from: &str,
     ) {
@@ -319,11 +319,11 @@
                 CordonChange::Lifted(_) => None,
             });
             let cordons = set.collect();
-            return self.offer_cordons(CordonSnapshot { cordons, at }, from);
+            return self.offer_cordons(CordonSnapshot { cordons, revision }, from);
         }
         let is_changed = {
             let mut state = self.state.lock().expect("catalog lock");
-            state.cordons.apply_changes(changes, at, from)
+            state.cordons.apply_changes(changes, revision, from)
         };
         if is_changed {
             self.changed.send_modify(|_| {});
--- a/src/catalog/catalog_change.rs
+++ b/src/catalog/catalog_change.rs
@@ -12,5 +12,5 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CatalogChange {
     pub items: Vec<CatalogItem>,
-    pub at: u64, // store revision from which the next watch continues
+    pub revision: u64, // store revision from which the next watch continues
 }
--- a/src/catalog/cordon_list.rs
+++ b/src/catalog/cordon_list.rs
@@ -13,13 +13,13 @@
 #[derive(Debug, Default)]
 pub struct CordonList {
     zones: BTreeMap<String, u64>, // revision of the cordon, by zone
-    at: u64,                      // store revision that the list reflects; 0 if none
+    revision: u64,                // store revision that the list reflects; 0 if none
 }
 
 impl CordonList {
     /// The store revision that the list reflects; 0 if none.
-    pub fn at(&self) -> u64 {
-        self.at
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     pub fn zones(&self) -> BTreeSet<String> {
@@ -34,7 +34,7 @@
         });
         CordonSnapshot {
             cordons: cordons.collect(),
-            at: self.at,
+            revision: self.revision,
         }
     }
 
@@ -46,20 +46,20 @@
         snapshot: CordonSnapshot,
         from: &str,
     ) -> bool {
-        if snapshot.at <= self.at {
+        if snapshot.revision <= self.revision {
             return false;
         }
         let before = std::mem::take(&mut self.zones);
         let younger = before
             .iter()
-            .filter(|(_, revision)| **revision > snapshot.at)
+            .filter(|(_, revision)| **revision > snapshot.revision)
             .map(|(zone, revision)| (zone.clone(), *revision));
         self.zones.extend(younger);
         for cordon in snapshot.cordons {
             self.set(cordon, from);
         }
-        self.at = snapshot.at;
-        log_changes(&before, &self.zones, self.at, from);
+        self.revision = snapshot.revision;
+        log_changes(&before, &self.zones, self.revision, from);
         before.keys().ne(self.zones.keys())
     }
 
@@ -68,14 +68,16 @@
     pub fn apply_changes(
         &mut self,
         changes: Vec<CordonChange>,
-        at: u64,
+        revision: u64,
         from: &str,
     ) -> bool {
         let before = self.zones.clone();
         for change in changes {
             match change {
-                CordonChange::Set(cordon) if cordon.revision > self.at => self.set(cordon, from),
-                CordonChange::Lifted(cordon) if cordon.revision > self.at => {
+                CordonChange::Set(cordon) if cordon.revision > self.revision => {
+                    self.set(cordon, from)
+                }
+                CordonChange::Lifted(cordon) if cordon.revision > self.revision => {
                     let is_older = |known: &u64| *known < cordon.revision;
                     if self.zones.get(&cordon.zone).is_some_and(is_older) {
                         self.zones.remove(&cordon.zone);
@@ -84,8 +86,8 @@
                 _ => {}
             }
         }
-        self.at = self.at.max(at);
-        log_changes(&before, &self.zones, self.at, from);
+        self.revision = self.revision.max(revision);
+        log_changes(&before, &self.zones, self.revision, from);
         before.keys().ne(self.zones.keys())
     }
 
--- a/src/catalog/cordon_snapshot.rs
+++ b/src/catalog/cordon_snapshot.rs
@@ -7,5 +7,5 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CordonSnapshot {
     pub cordons: Vec<Cordon>,
-    pub at: u64, // store revision; 0 if the sender has not read any cordons
+    pub revision: u64, // store revision; 0 if the sender has not read any cordons
 }
--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -43,7 +43,7 @@
         }
         let call_start = Instant::now();
         match call_store(&catalog, &*source, pace, failures > 0, reached).await {
-            Ok(at) => {
+            Ok(revision) => {
                 if failures > 0 {
                     log::info!(
                         failures = failures, silent_ms = millis_since(last_answer);
@@ -53,7 +53,7 @@
                 failures = 0;
                 last_answer = Instant::now();
                 duty.went(true);
-                reached = at;
+                reached = revision;
                 sleep(pace.pause).await;
             }
             Err(error) => {
@@ -74,8 +74,8 @@
 /// and the cordons. None if any of these is missing.
 fn reached_through_peers(catalog: &Catalog) -> Option<u64> {
     let version = catalog.version();
-    let at = version.upstreams.min(catalog.cordons_revision());
-    (version.config > 0 && at > 0).then_some(at)
+    let revision = version.upstreams.min(catalog.cordons_revision());
+    (version.config > 0 && revision > 0).then_some(revision)
 }
 
 fn millis_since(start: Instant) -> u64 {
@@ -106,9 +106,9 @@
             true => first_listing(source, pace.first_listing_hedge_delay()).await?,
             false => source.list().await?,
         };
-        let at = listing.at;
+        let revision = listing.revision;
         catalog.offer_listing(listing, "store");
-        return Ok(Some(at));
+        return Ok(Some(revision));
     };
     let time = pace.next_watch(failed_before);
     let answer = timeout(time.limit, source.watch(after, time.wait)).await;
@@ -117,9 +117,9 @@
         log::info!(after = after; "store has discarded its history: listing all items");
         return Ok(None);
     };
-    let at = change.at.max(after);
+    let revision = change.revision.max(after);
     catalog.offer_change(change, "store");
-    Ok(Some(at))
+    Ok(Some(revision))
 }
 
 /// The first listing of a process, without which it cannot serve any request. Starts another
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -20,7 +20,7 @@
     parse: ParseUpstream,
     records: BTreeMap<String, SourcedRecord>, // by id, with those of removed upstreams
     entries: BTreeMap<String, Arc<UpstreamEntry>>, // by id, those in use
-    at: u64,                                  // store revision reflected; 0 if none
+    revision: u64,                            // store revision reflected; 0 if none
     snapshot_revision: u64, // of the last snapshot; the records have all removals after it
     lapses: LapseGrace,
     excluded: Vec<SocketAddr>, // listening addresses of this process
@@ -38,7 +38,7 @@
             parse,
             records: BTreeMap::new(),
             entries: BTreeMap::new(),
-            at: 0,
+            revision: 0,
             snapshot_revision: 0,
             lapses: LapseGrace::default(),
             excluded: Vec::new(),
@@ -60,8 +60,8 @@
     }
 
     /// The store revision that the list reflects; 0 if none.
-    pub fn at(&self) -> u64 {
-        self.at
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// Number of entries in the store that do not describe a usable upstream.
@@ -101,7 +101,7 @@
         });
         UpstreamUpdate {
             records: sent.cloned().collect(),
-            at: self.at,
+            revision: self.revision,
             is_snapshot,
         }
     }
@@ -115,11 +115,11 @@
     ) -> bool {
         let UpstreamUpdate {
             mut records,
-            at,
+            revision,
             is_snapshot,
         } = update;
         if is_snapshot {
-            records.extend(self.removals_by(&records, at));
+            records.extend(self.removals_by(&records, revision));
         }
         if remove_most_entries(&self.entries, &records) {
             log::warn!(
@@ -133,30 +133,30 @@
             .into_iter()
             .filter(|record| self.apply_record(record, &from))
             .count();
-        let has_advanced = at > self.at;
-        self.at = self.at.max(at);
+        let has_advanced = revision > self.revision;
+        self.revision = self.revision.max(revision);
         if is_snapshot {
-            self.snapshot_revision = self.snapshot_revision.max(at);
+            self.snapshot_revision = self.snapshot_revision.max(revision);
         }
         changed > 0 || has_advanced
     }
 
-    /// Removal records for the upstreams up to the revision `at` that a snapshot of that
+    /// Removal records for the upstreams up to `revision` that a snapshot of that
     /// revision does not list.
     fn removals_by(
         &self,
         listed: &[UpstreamRecord],
-        at: u64,
+        revision: u64,
     ) -> Vec<UpstreamRecord> {
         let listed: BTreeSet<&str> = listed.iter().map(|record| &*record.id).collect();
         let known = self.records.values().map(|sourced| &sourced.record);
         known
             .filter(|known| {
-                known.text.is_some() && known.revision <= at && !listed.contains(&*known.id)
+                known.text.is_some() && known.revision <= revision && !listed.contains(&*known.id)
             })
             .map(|known| UpstreamRecord {
                 id: known.id.clone(),
-                revision: at,
+                revision,
                 text: None,
             })
             .collect()
--- a/src/catalog/upstream_update.rs
+++ b/src/catalog/upstream_update.rs
@@ -7,6 +7,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamUpdate {
     pub records: Vec<UpstreamRecord>,
-    pub at: u64,           // store revision reflected after they are applied
+    pub revision: u64,     // store revision reflected after they are applied
     pub is_snapshot: bool, // a snapshot: older upstreams that are missing from it are removed
 }
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -81,7 +81,7 @@
         let update = fetched.catalog;
         let from = address.to_string();
         log::info!(
-            from = from.as_str(), after = own_version.upstreams, at = update.upstreams.at,
+            from = from.as_str(), after = own_version.upstreams, at = update.upstreams.revision,
             records = update.upstreams.records.len(), whole = update.upstreams.is_snapshot;
             "news of the upstreams taken in"
         );
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -90,7 +90,7 @@
         prefix: &str,
     ) -> Result<CatalogChange, Fault> {
         let mut items: Vec<CatalogItem> = Vec::new();
-        let mut at = None;
+        let mut revision = None;
         let mut after: Option<String> = None;
         loop {
             let mut query = vec![("path_prefix", prefix)];
@@ -99,7 +99,7 @@
             let reply = |detail: &str| Fault::new(ResultCode::PlatformReply, detail);
             let page =
                 page.ok_or_else(|| reply("the store answered that the range does not exist"))?;
-            at.get_or_insert(page.at);
+            revision.get_or_insert(page.at);
             let last = last_key(&page.items).map(str::to_owned);
             items.extend(translate_all(page.items));
             if !page.more {
@@ -112,7 +112,7 @@
         }
         Ok(CatalogChange {
             items,
-            at: at.unwrap_or_default(),
+            revision: revision.unwrap_or_default(),
         })
     }
 }
@@ -126,7 +126,7 @@
         let items = replicas.items.into_iter().chain(operator.items);
         Ok(CatalogChange {
             items: items.collect(),
-            at: replicas.at,
+            revision: replicas.revision,
         })
     }
 
@@ -145,7 +145,7 @@
         let reply: Option<WatchJson> = self.get("kv-watch", &query, time).await?;
         Ok(reply.map(|reply| CatalogChange {
             items: translate_all(reply.events),
-            at: reply.at,
+            revision: reply.at,
         }))
     }
 }
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -59,7 +59,7 @@
 ) {
     let news = UpstreamUpdate {
         records,
-        at,
+        revision: at,
         is_snapshot: false,
     };
     catalog.offer_upstreams(news, from);
@@ -105,7 +105,7 @@
     offer(&catalog, known, 12, "peer");
     let listing = CatalogChange {
         items: vec![CatalogItem::Upstream(record("c", 9, ready()))],
-        at: 10,
+        revision: 10,
     };
     catalog.offer_listing(listing, "store");
     assert_eq!(ids(&catalog), ["b", "c"]);
@@ -152,7 +152,7 @@
     ];
     offer(&catalog, known, 7, "store");
     let told = catalog.upstream_update_after(3);
-    assert_eq!((told.at, told.is_snapshot), (7, false));
+    assert_eq!((told.revision, told.is_snapshot), (7, false));
     let ids: Vec<_> = told
         .records
         .iter()
@@ -226,7 +226,7 @@
     let text = config(version);
     CatalogChange {
         items: vec![CatalogItem::Config { text }],
-        at,
+        revision: at,
     }
 }
 
@@ -235,7 +235,7 @@
     let down = || Fault::new(ResultCode::PlatformDown, "503");
     let change = CatalogChange {
         items: vec![CatalogItem::Config { text: config(4) }],
-        at: 14,
+        revision: 14,
     };
     let store = Arc::new(ScriptedStore {
         lists: Mutex::new(VecDeque::from([
@@ -312,7 +312,7 @@
     offer(&catalog, Vec::new(), 40, "peer");
     let cordons = CordonSnapshot {
         cordons: Vec::new(),
-        at: 40,
+        revision: 40,
     };
     catalog.offer_cordons(cordons, "peer");
     let asked = || store.asked.lock().expect("lock").clone();
--- a/tests/catalog_news.rs
+++ b/tests/catalog_news.rs
@@ -91,7 +91,7 @@
         let held = self.held_at(self.at()).into_values().cloned();
         CatalogChange {
             items: held.map(CatalogItem::Upstream).collect(),
-            at: self.at(),
+            revision: self.at(),
         }
     }
 
@@ -103,7 +103,7 @@
         let events = self.events.iter().skip(revision as usize).cloned();
         CatalogChange {
             items: events.map(CatalogItem::Upstream).collect(),
-            at: self.at(),
+            revision: self.at(),
         }
     }
 
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -56,7 +56,7 @@
         });
         CatalogChange {
             items: items.collect(),
-            at: at as u64,
+            revision: at as u64,
         }
     }
 
@@ -78,7 +78,7 @@
         });
         CatalogChange {
             items: items.collect(),
-            at: at as u64,
+            revision: at as u64,
         }
     }
 }
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -145,7 +145,7 @@
                     text: None,
                 },
             ],
-            at: 300,
+            revision: 300,
             is_snapshot: false,
         },
     }
@@ -200,7 +200,7 @@
             zone: "z-1".to_owned(),
             revision: 299,
         }],
-        at: 300,
+        revision: 300,
     };
     let mut bytes = include_bytes!("messages/landed/news").to_vec();
     bytes.extend(encode_frame(&cordons).expect("a frame"));
--- a/tests/silent_store.rs
+++ b/tests/silent_store.rs
@@ -144,7 +144,7 @@
         let upstreams = stay.chain([moves]).map(CatalogItem::Upstream);
         CatalogChange {
             items: upstreams.chain([config(version)]).collect(),
-            at: version,
+            revision: version,
         }
     }
 
@@ -161,7 +161,7 @@
         });
         CatalogChange {
             items: moved.chain([config(version)]).collect(),
-            at: version,
+            revision: version,
         }
     }
 }
@@ -183,7 +183,7 @@
                 Ok(_) => self.changes_after(after),
                 Err(_) => CatalogChange {
                     items: Vec::new(),
-                    at: after,
+                    revision: after,
                 },
             }
         };
