--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -17,12 +17,12 @@
 
 /// Keeps the catalog in step with the store until the process exits: lists all items, then
 /// watches for changes, and lists again when the store has discarded its history. While
-/// `duty` says that other processes read the store, their updates arrive by other means; when
+/// `role` says that other processes read the store, their updates arrive by other means; when
 /// this process takes over, it continues from the revision that those have reached.
 pub async fn follow_store<S: CatalogSource, D: ReaderRole>(
     catalog: Arc<Catalog>,
     source: Arc<S>,
-    duty: Arc<D>,
+    role: Arc<D>,
     pace: WatchPacing,
 ) {
     tokio::spawn(remove_expired_lapsed(Arc::downgrade(&catalog)));
@@ -31,7 +31,7 @@
     let mut last_answer = Instant::now();
     let mut was_inactive = true;
     loop {
-        if !duty.is_reader() {
+        if !role.is_reader() {
             was_inactive = true;
             sleep(ROLE_CHECK_INTERVAL).await;
             continue;
@@ -52,7 +52,7 @@
                 }
                 failures = 0;
                 last_answer = Instant::now();
-                duty.went(true);
+                role.record_call(true);
                 reached = revision;
                 sleep(pace.pause).await;
             }
@@ -63,7 +63,7 @@
                     call_ms = millis_since(call_start), silent_ms = millis_since(last_answer);
                     "store does not answer: {error}"
                 );
-                duty.went(false);
+                role.record_call(false);
                 sleep(pace.pause_after_failure(call_start.elapsed(), rand::random())).await;
             }
         }
--- a/src/catalog/reader_role.rs
+++ b/src/catalog/reader_role.rs
@@ -5,7 +5,7 @@
     fn is_reader(&self) -> bool;
 
     /// Records whether the store answered the last call.
-    fn went(
+    fn record_call(
         &self,
         answered: bool,
     );
@@ -20,7 +20,7 @@
         true
     }
 
-    fn went(
+    fn record_call(
         &self,
         _answered: bool,
     ) {
--- a/src/direct/store_duty.rs
+++ b/src/direct/store_duty.rs
@@ -78,7 +78,7 @@
         mine
     }
 
-    fn went(
+    fn record_call(
         &self,
         answered: bool,
     ) {
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -285,7 +285,7 @@
         self.0.load(Ordering::SeqCst)
     }
 
-    fn went(
+    fn record_call(
         &self,
         _answered: bool,
     ) {
