--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -130,7 +130,7 @@
     }
 
     /// The availability zones that the operator has cordoned: they get no new work.
-    pub fn cordoned(&self) -> BTreeSet<String> {
+    pub fn cordoned_zones(&self) -> BTreeSet<String> {
         let state = self.state.lock().expect("catalog lock");
         state.cordons.zones()
     }
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -52,7 +52,7 @@
             for replica in &restarted {
                 log::info!(replica = &**replica; "replica started again: all of it is new");
             }
-            let cordoned = self.catalog.cordoned();
+            let cordoned = self.catalog.cordoned_zones();
             warn_of_unknown(&cordoned, &entries);
             metrics::gauge!(CORDONED).set(cordoned.len() as f64);
             self.board().set_cordoned(cordoned);
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -73,7 +73,7 @@
             link_bytes: 0,
             accounts: Vec::new(),
             held,
-            cordoned: self.catalog.cordoned().into_iter().collect(),
+            cordoned: self.catalog.cordoned_zones().into_iter().collect(),
         }
     }
 
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -124,7 +124,7 @@
             }
             for router in &routers {
                 let at = router.cordons_revision() as usize;
-                prop_assert_eq!(router.cordoned(), store.cordoned_at(at));
+                prop_assert_eq!(router.cordoned_zones(), store.cordoned_at(at));
             }
         }
     }
@@ -136,7 +136,7 @@
     let catalog = catalog();
     catalog.offer_listing(store.listing(3), "store");
     catalog.offer_change(store.changes(0, 1), "store");
-    assert_eq!(catalog.cordoned(), store.cordoned_at(3));
+    assert_eq!(catalog.cordoned_zones(), store.cordoned_at(3));
 }
 
 #[test]
