--- a/src/catalog/cordon_list.rs
+++ b/src/catalog/cordon_list.rs
@@ -119,16 +119,16 @@
 fn log_changes(
     before: &BTreeMap<String, u64>,
     after: &BTreeMap<String, u64>,
-    at: u64,
+    list_revision: u64,
     from: &str,
 ) {
     for (zone, revision) in after.iter().filter(|(zone, _)| !before.contains_key(*zone)) {
         log::warn!(
-            zone = zone.as_str(), revision = *revision, at = at, from = from;
+            zone = zone.as_str(), revision = *revision, at = list_revision, from = from;
             "zone cordoned: it gets no new work"
         );
     }
     for zone in before.keys().filter(|zone| !after.contains_key(*zone)) {
-        log::warn!(zone = zone.as_str(), at = at, from = from; "zone uncordoned: it gets new work");
+        log::warn!(zone = zone.as_str(), at = list_revision, from = from; "zone uncordoned: it gets new work");
     }
 }
