--- a/src/catalog/upstream_entry.rs
+++ b/src/catalog/upstream_entry.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
     pub id: Arc<str>,
-    pub born: Option<u64>, // start time in Unix milliseconds; none if replicas never restart
+    pub started_unix_ms: Option<u64>, // start time in Unix milliseconds; none if replicas never restart
     pub service: Arc<str>,
     pub address: SocketAddr,
     pub zone: Arc<str>,
@@ -22,9 +22,9 @@
     /// A hash of the id and the start time, which identifies this incarnation of the replica
     /// in messages between routers. Messages about an earlier incarnation do not match it.
     pub fn start_hash(&self) -> u32 {
-        match self.born {
+        match self.started_unix_ms {
             None => short_name(&self.id),
-            Some(born) => stable_hash(&(&*self.id, born)) as u32,
+            Some(started) => stable_hash(&(&*self.id, started)) as u32,
         }
     }
 
@@ -33,6 +33,6 @@
         &self,
         other: &Self,
     ) -> bool {
-        self.id == other.id && self.born == other.born
+        self.id == other.id && self.started_unix_ms == other.started_unix_ms
     }
 }
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -47,7 +47,7 @@
     metrics::counter!(NOTICES, "says" => notice.kind()).increment(1);
     log::info!(
         replica = &*replica.id,
-        born = replica.born,
+        born = replica.started_unix_ms,
         service = &*replica.service,
         leaves = notice.leaves,
         rest_ms = notice.rest.as_millis() as u64,
--- a/src/peers/leaving_gossip.rs
+++ b/src/peers/leaving_gossip.rs
@@ -64,7 +64,7 @@
         for replica in newly_leaving {
             log::info!(
                 replica = &*replica.id,
-                born = replica.born,
+                born = replica.started_unix_ms,
                 teller = message.reporter.to_string().as_str();
                 "a fellow heard that a replica leaves"
             );
--- a/src/platform/replica_json.rs
+++ b/src/platform/replica_json.rs
@@ -56,7 +56,7 @@
     };
     Ok(UpstreamEntry {
         id: id.into(),
-        born: entry.born,
+        started_unix_ms: entry.born,
         service: entry.service.into(),
         address: entry.address,
         zone: entry.zone.into(),
--- a/src/policy/notices/notice_book.rs
+++ b/src/policy/notices/notice_book.rs
@@ -50,7 +50,7 @@
         replica: &UpstreamEntry,
     ) -> bool {
         let mut words = self.words_of(replica).iter();
-        words.any(|word| word.born == replica.born && word.was_heard_here)
+        words.any(|word| word.born == replica.started_unix_ms && word.was_heard_here)
     }
 
     /// Whether a replica said that it leaves.
@@ -84,7 +84,7 @@
         }
         let starts: HashMap<&str, Option<u64>> = listed
             .iter()
-            .map(|entry| (&*entry.id, entry.born))
+            .map(|entry| (&*entry.id, entry.started_unix_ms))
             .collect();
         self.words.retain(|id, words| {
             let listed = starts.get(&**id);
@@ -104,7 +104,7 @@
         replica: &UpstreamEntry,
     ) -> impl Iterator<Item = &SaidWord> {
         let words = self.words_of(replica).iter();
-        words.filter(move |word| word.binds(now, replica.born))
+        words.filter(move |word| word.binds(now, replica.started_unix_ms))
     }
 
     fn words_of(
@@ -119,9 +119,11 @@
         replica: &UpstreamEntry,
     ) -> &mut SaidWord {
         let words = self.words.entry(replica.id.clone()).or_default();
-        let known = words.iter().position(|word| word.born == replica.born);
+        let known = words
+            .iter()
+            .position(|word| word.born == replica.started_unix_ms);
         let index = known.unwrap_or_else(|| {
-            words.push(SaidWord::of(replica.born));
+            words.push(SaidWord::of(replica.started_unix_ms));
             words.len() - 1
         });
         &mut words[index]
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -142,7 +142,7 @@
     let entries = ids.iter().enumerate().map(|(number, id)| {
         Arc::new(UpstreamEntry {
             id: id.as_str().into(),
-            born: None,
+            started_unix_ms: None,
             service: "model".into(),
             address: SocketAddr::from(([127, 0, 0, 1], 9)),
             zone: format!("zone-{}", number % ZONES).into(),
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -55,7 +55,7 @@
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: id.into(),
-        born: Some(born),
+        started_unix_ms: Some(born),
         service: "model".into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z".into(),
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -185,7 +185,7 @@
 fn replica() -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: "i-a".into(),
-        born: None,
+        started_unix_ms: None,
         service: "s".into(),
         address: "10.0.0.1:80".parse().expect("an address"),
         zone: "z".into(),
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -24,7 +24,7 @@
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: id.into(),
-        born,
+        started_unix_ms: born,
         service: "s".into(),
         address: ([127, 0, 0, 1], 9000).into(),
         zone: "z".into(),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -58,7 +58,7 @@
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: id.into(),
-        born: None,
+        started_unix_ms: None,
         service: "model".into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: zone.into(),
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -39,7 +39,7 @@
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: id.into(),
-        born: Some(born),
+        started_unix_ms: Some(born),
         service: "model".into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z".into(),
@@ -224,7 +224,9 @@
         let text = format!(
             r#"{{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1{born}}}"#
         );
-        parse_replica("i-1", &text).map(|entry| entry.born).ok()
+        parse_replica("i-1", &text)
+            .map(|entry| entry.started_unix_ms)
+            .ok()
     };
     assert_eq!(
         entry(r#","born":1775873740123"#),
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -316,7 +316,7 @@
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: index.to_string().into(),
-        born,
+        started_unix_ms: born,
         service: "model".into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z".into(),
