--- a/src/direct/events_relay.rs
+++ b/src/direct/events_relay.rs
@@ -185,7 +185,7 @@
         let exchange = self.exchange();
         let gateway = exchange.gateway.clone();
         let entry = exchange.run.as_ref().map(|run| run.entry.clone());
-        let aim = exchange.call.route.pause_aim;
+        let aim = exchange.call.route.target_pause;
         self.watch = entry
             .zip(aim)
             .map(|(entry, aim)| StreamWatch::new(gateway, entry, aim));
@@ -234,7 +234,7 @@
             .exchange()
             .call
             .route
-            .pause_aim
+            .target_pause
             .unwrap_or(DEFAULT_PAUSE);
         (pause * 5).max(LEAST_GAP)
     }
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -224,7 +224,7 @@
         if !again {
             return left;
         }
-        let aim = self.call.route.aim;
+        let aim = self.call.route.target_latency;
         let patience = if self.call.route.kind.is_stream() {
             (aim + expected * 2).max(LEAST_FIRST_EVENT)
         } else {
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -38,7 +38,7 @@
             engine: call.engine,
             prompt: call.prompt.as_ref(),
             aim: call.service_aim,
-            pause_aim: call.route.pause_aim,
+            pause_aim: call.route.target_pause,
             standing,
             tried: &self.tried,
             regions: call.regions.as_ref(),
@@ -67,8 +67,8 @@
                 let sent = sent.map(|(shape, engine)| SentPrompt {
                     shape,
                     engine,
-                    aim: call.route.aim,
-                    pause_aim: call.route.pause_aim,
+                    aim: call.route.target_latency,
+                    pause_aim: call.route.target_pause,
                     reading,
                     front_ms,
                 });
--- a/src/direct/request_reader.rs
+++ b/src/direct/request_reader.rs
@@ -82,7 +82,9 @@
         target: target(&head.uri),
         engine: details.and_then(|service| service.engine),
         max_connections: details.map_or(1, |service| service.max_connections),
-        service_aim: table.shortest_aim(&service).unwrap_or(route.aim),
+        service_aim: table
+            .shortest_target_latency(&service)
+            .unwrap_or(route.target_latency),
         prompt: (gateway.dialect.prompt)(&head.headers),
         headers: passed_on(gateway, head.headers, account.as_deref()),
         body,
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -11,8 +11,8 @@
     pub path_prefix: String, // begins and ends with a slash
     pub kind: RouteKind,
     pub timeout: Duration,               // longest time that a request is held
-    pub aim: Duration,                   // target latency of the answer or first stream event
-    pub pause_aim: Option<Duration>,     // target for the longest gap between stream events
+    pub target_latency: Duration,        // for the answer or first stream event
+    pub target_pause: Option<Duration>,  // longest pause between stream events that is in time
     pub priority: u32,                   // 0 is the most urgent
     pub shares: Vec<WeightedService>,    // traffic split over services; at least one
     pub max_attempts: u32,               // replicas that one request may be sent to
--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -11,8 +11,8 @@
     pub limits: RequestLimits,
     routes: HashMap<String, Vec<Arc<Route>>>, // by host, longest prefix first
     services: HashMap<Arc<str>, Service>,
-    shortest_aims: HashMap<Arc<str>, Duration>, // by service
-    accounts: HashMap<String, Arc<str>>,        // account names, by API key
+    shortest_target_latencies: HashMap<Arc<str>, Duration>, // by service
+    accounts: HashMap<String, Arc<str>>,                    // account names, by API key
     has_accounts: bool,
     account_regions: HashMap<Arc<str>, AllowedRegions>, // of restricted accounts, by name
 }
@@ -26,7 +26,7 @@
         services: Vec<Service>,
         accounts: Vec<AccountEntry>,
     ) -> Self {
-        let shortest_aims = shortest_aims(&routes);
+        let shortest_target_latencies = shortest_target_latencies(&routes);
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
             let host = route.host.clone();
@@ -49,7 +49,7 @@
             version,
             limits,
             routes: by_host,
-            shortest_aims,
+            shortest_target_latencies,
             services: services
                 .into_iter()
                 .map(|service| (service.name.clone(), service))
@@ -124,20 +124,22 @@
     }
 
     /// The shortest target latency among the routes that a service serves.
-    pub fn shortest_aim(
+    pub fn shortest_target_latency(
         &self,
         service: &str,
     ) -> Option<Duration> {
-        self.shortest_aims.get(service).copied()
+        self.shortest_target_latencies.get(service).copied()
     }
 }
 
-fn shortest_aims(routes: &[Route]) -> HashMap<Arc<str>, Duration> {
+fn shortest_target_latencies(routes: &[Route]) -> HashMap<Arc<str>, Duration> {
     let mut shortest: HashMap<Arc<str>, Duration> = HashMap::new();
     for route in routes {
         for share in &route.shares {
-            let aim = shortest.entry(share.service.clone()).or_insert(route.aim);
-            *aim = route.aim.min(*aim);
+            let target = shortest
+                .entry(share.service.clone())
+                .or_insert(route.target_latency);
+            *target = route.target_latency.min(*target);
         }
     }
     shortest
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -31,7 +31,7 @@
     let stream = table.route("one.example", "/a/x").expect("a route");
     assert_eq!(stream.kind, RouteKind::Stream { resumable: true });
     assert_eq!(stream.shares.len(), 2);
-    assert_eq!(stream.pause_aim, Some(Duration::from_millis(200)));
+    assert_eq!(stream.target_pause, Some(Duration::from_millis(200)));
     let once = table.route("one.example", "/b/").expect("a route");
     assert_eq!(once.kind, RouteKind::Once);
     assert_eq!(once.timeout, Duration::from_micros(800_500));
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -19,8 +19,8 @@
         path_prefix: prefix.to_owned(),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(1),
-        aim: Duration::from_millis(name.len() as u64 * 100),
-        pause_aim: None,
+        target_latency: Duration::from_millis(name.len() as u64 * 100),
+        target_pause: None,
         priority: 1,
         shares: shares
             .iter()
@@ -111,14 +111,14 @@
 fn the_shortest_aim_counts_for_a_service() {
     let table = table();
     assert_eq!(
-        table.shortest_aim("first"),
+        table.shortest_target_latency("first"),
         Some(Duration::from_millis(100))
     );
     assert_eq!(
-        table.shortest_aim("second"),
+        table.shortest_target_latency("second"),
         Some(Duration::from_millis(300))
     );
-    assert_eq!(table.shortest_aim("third"), None);
+    assert_eq!(table.shortest_target_latency("third"), None);
 }
 
 #[test]
