--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -139,9 +139,9 @@
         service: part.service.into(),
         weight: part.weight,
     });
-    let mut shares: Vec<WeightedService> = split.collect();
-    if let (true, Some(service)) = (shares.is_empty(), route.service) {
-        shares.push(WeightedService {
+    let mut services: Vec<WeightedService> = split.collect();
+    if let (true, Some(service)) = (services.is_empty(), route.service) {
+        services.push(WeightedService {
             service: service.into(),
             weight: 1.0,
         });
@@ -155,7 +155,7 @@
         target_latency: millis(route.target_latency_ms.unwrap_or(DEFAULT_TARGET_LATENCY_MS))?,
         target_pause: route.itl_target_ms.map(millis).transpose()?,
         priority: route.priority,
-        shares,
+        services,
         max_attempts: route.max_attempts.unwrap_or(1).max(1),
         public: route.public,
         regions: regions(route.allowed_regions),
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -14,7 +14,7 @@
     pub target_latency: Duration,        // for the answer or first stream event
     pub target_pause: Option<Duration>,  // longest pause between stream events that is in time
     pub priority: u32,                   // 0 is the most urgent
-    pub shares: Vec<WeightedService>,    // traffic split over services; at least one
+    pub services: Vec<WeightedService>,  // traffic split over services; at least one
     pub max_attempts: u32,               // replicas that one request may be sent to
     pub public: bool,                    // needs no API key
     pub regions: Option<AllowedRegions>, // none: no restriction
@@ -26,15 +26,21 @@
         &self,
         draw: f64,
     ) -> Option<&Arc<str>> {
-        let total: f64 = self.shares.iter().map(|share| share.weight).sum();
+        let total: f64 = self.services.iter().map(|service| service.weight).sum();
         let mut remaining = draw * total;
-        for share in &self.shares {
-            remaining -= share.weight;
+        for service in &self.services {
+            remaining -= service.weight;
             if remaining < 0.0 {
-                return Some(&share.service);
+                return Some(&service.service);
             }
         }
-        let weighted = self.shares.iter().rev().find(|share| share.weight > 0.0);
-        weighted.or(self.shares.first()).map(|share| &share.service)
+        let weighted = self
+            .services
+            .iter()
+            .rev()
+            .find(|service| service.weight > 0.0);
+        weighted
+            .or(self.services.first())
+            .map(|service| &service.service)
     }
 }
--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -135,9 +135,9 @@
 fn shortest_target_latencies(routes: &[Route]) -> HashMap<Arc<str>, Duration> {
     let mut shortest: HashMap<Arc<str>, Duration> = HashMap::new();
     for route in routes {
-        for share in &route.shares {
+        for service in &route.services {
             let target = shortest
-                .entry(share.service.clone())
+                .entry(service.service.clone())
                 .or_insert(route.target_latency);
             *target = route.target_latency.min(*target);
         }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -30,7 +30,7 @@
     assert_eq!(table.version, 7);
     let stream = table.route("one.example", "/a/x").expect("a route");
     assert_eq!(stream.kind, RouteKind::Stream { resumable: true });
-    assert_eq!(stream.shares.len(), 2);
+    assert_eq!(stream.services.len(), 2);
     assert_eq!(stream.target_pause, Some(Duration::from_millis(200)));
     let once = table.route("one.example", "/b/").expect("a route");
     assert_eq!(once.kind, RouteKind::Once);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -22,7 +22,7 @@
         target_latency: Duration::from_millis(name.len() as u64 * 100),
         target_pause: None,
         priority: 1,
-        shares: shares
+        services: shares
             .iter()
             .map(|(service, weight)| WeightedService {
                 service: (*service).into(),
