--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -126,7 +126,7 @@
 fn route(route: RouteJson) -> Result<Route, Fault> {
     let kind = match route.kind.as_str() {
         "idempotent" => RouteKind::Idempotent,
-        "non_idempotent" => RouteKind::Once,
+        "non_idempotent" => RouteKind::NonIdempotent,
         "streaming" => RouteKind::Stream {
             resumable: route.resumable,
         },
--- a/src/routing/route_kind.rs
+++ b/src/routing/route_kind.rs
@@ -4,7 +4,7 @@
     /// May run more than once.
     Idempotent,
     /// Runs at most once for each request that a caller sends.
-    Once,
+    NonIdempotent,
     /// Answered with a stream of events, which may continue at another replica if
     /// `resumable`.
     Stream { resumable: bool },
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -33,7 +33,7 @@
     assert_eq!(stream.services.len(), 2);
     assert_eq!(stream.target_pause, Some(Duration::from_millis(200)));
     let once = table.route("one.example", "/b/").expect("a route");
-    assert_eq!(once.kind, RouteKind::Once);
+    assert_eq!(once.kind, RouteKind::NonIdempotent);
     assert_eq!(once.timeout, Duration::from_micros(800_500));
     assert!(once.public);
     let engine = table.service("s").and_then(|service| service.engine);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -126,5 +126,5 @@
     assert!(RouteKind::Idempotent.may_repeat());
     assert!(RouteKind::Stream { resumable: true }.may_repeat());
     assert!(!RouteKind::Stream { resumable: false }.may_repeat());
-    assert!(!RouteKind::Once.may_repeat());
+    assert!(!RouteKind::NonIdempotent.may_repeat());
 }
