--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -168,7 +168,7 @@
             kv_capacity_tokens: tokens as u64,
             kv_bytes_per_token: engine.kv_bytes,
             link_mbps: engine.link_mbps,
-            moves: engine.moves,
+            can_transfer_kv: engine.moves,
         })
     });
     Ok(Service {
--- a/src/policy/direct/placement/choosing/offer.rs
+++ b/src/policy/direct/placement/choosing/offer.rs
@@ -126,7 +126,7 @@
     engine: EngineSpec,
     tokens: u32,
 ) -> Option<f64> {
-    let told = engine.moves && engine.kv_bytes_per_token > 0.0 && engine.link_mbps > 0.0;
+    let told = engine.can_transfer_kv && engine.kv_bytes_per_token > 0.0 && engine.link_mbps > 0.0;
     let bits = f64::from(tokens) * engine.kv_bytes_per_token * 8.0;
     told.then(|| FETCH_SETUP_MS + bits / engine.link_mbps / 1000.0)
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -44,7 +44,7 @@
     kv_capacity_tokens: 232_000,
     kv_bytes_per_token: 300_000.0,
     link_mbps: 1_000_000.0,
-    moves: true,
+    can_transfer_kv: true,
 };
 
 /// How many there are of everything.
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -31,7 +31,7 @@
     kv_capacity_tokens: 1_000_000,
     kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
-    moves: false,
+    can_transfer_kv: false,
 };
 
 /// Engines of the usual pace.
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -29,14 +29,14 @@
     kv_capacity_tokens: 100_000,
     kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
-    moves: false,
+    can_transfer_kv: false,
 };
 
 /// An engine that hands prompts over to another.
 const ABLE: EngineSpec = EngineSpec {
     kv_bytes_per_token: 300_000.0,
     link_mbps: 1_000_000.0,
-    moves: true,
+    can_transfer_kv: true,
     ..ENGINE
 };
 
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -25,7 +25,7 @@
     kv_capacity_tokens: MEMORY,
     kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
-    moves: false,
+    can_transfer_kv: false,
 };
 const PEER: Teller = Teller {
     scope: TellerScope::Router,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -26,7 +26,7 @@
     kv_capacity_tokens: 600_000,
     kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
-    moves: false,
+    can_transfer_kv: false,
 };
 const PAUSE_AIM: Duration = Duration::from_millis(300);
 const TICK: Duration = Duration::from_millis(5);
