--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -39,7 +39,7 @@
                 self.warn_of_regions();
             }
             if let Some(table) = self.catalog.config() {
-                self.shares().set_capacity(table.limits.tokens_per_s);
+                self.shares().set_capacity(table.limits.engine_tokens_per_s);
             }
             let limits = self.start_limits();
             let entries = self.catalog.upstreams();
--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -201,7 +201,7 @@
         max_body_bytes: limits.max_body_bytes.unwrap_or(default.max_body_bytes),
         header_timeout: time(limits.header_timeout_ms, default.header_timeout)?,
         idle_timeout: time(limits.idle_timeout_ms, default.idle_timeout)?,
-        tokens_per_s: limits.tokens_per_s,
+        engine_tokens_per_s: limits.tokens_per_s,
     })
 }
 
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -47,7 +47,7 @@
             .is_some_and(|service| service.engine.is_none())
     );
     assert_eq!(table.account("k2").map(|name| &**name), Some("lot"));
-    assert_eq!(table.limits.tokens_per_s, Some(390_000.0));
+    assert_eq!(table.limits.engine_tokens_per_s, Some(390_000.0));
 }
 
 #[test]
