--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -96,7 +96,7 @@
             return HashMap::new();
         };
         let limits = table.services().filter_map(|service| {
-            let limit = bounds.limit(service.slow_start_per_s, service.slow_start)?;
+            let limit = bounds.limit(service.slow_start_per_s, service.slow_start_duration)?;
             Some((service.name.clone(), limit))
         });
         limits.collect()
--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -176,7 +176,7 @@
         max_connections: service.max_connections.unwrap_or(DEFAULT_MAX_CONNECTIONS),
         engine,
         slow_start_per_s: service.cold_per_s,
-        slow_start: millis(service.cold_start_s * 1000.0)?,
+        slow_start_duration: millis(service.cold_start_s * 1000.0)?,
     })
 }
 
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -51,7 +51,7 @@
         max_connections: 7,
         engine: None,
         slow_start_per_s: 0.0,
-        slow_start: Duration::ZERO,
+        slow_start_duration: Duration::ZERO,
     };
     let account = AccountEntry {
         name: "lot".into(),
