--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -163,7 +163,7 @@
         entry: &UpstreamEntry,
     ) -> bool {
         let region = || self.regions.get(&*entry.zone).map(String::as_str);
-        regions.is_none_or(|allowed| allowed.permit(region()))
+        regions.is_none_or(|allowed| allowed.contains(region()))
     }
 
     /// Whether a replica's zone gets no new work.
--- a/src/routing/allowed_regions.rs
+++ b/src/routing/allowed_regions.rs
@@ -13,7 +13,7 @@
 
 impl AllowedRegions {
     /// Whether the region is allowed. An unknown region (none) is not.
-    pub fn permit(
+    pub fn contains(
         &self,
         region: Option<&str>,
     ) -> bool {
@@ -21,7 +21,7 @@
     }
 
     /// The regions that both allow. None stands for no restriction.
-    pub fn both(
+    pub fn intersection(
         one: Option<&Self>,
         other: Option<&Self>,
     ) -> Option<Self> {
--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -109,7 +109,7 @@
         account: Option<&str>,
     ) -> Option<AllowedRegions> {
         let of_account = account.and_then(|name| self.account_regions.get(name));
-        AllowedRegions::both(route.regions.as_ref(), of_account)
+        AllowedRegions::intersection(route.regions.as_ref(), of_account)
     }
 
     /// Whether any route or account is restricted to regions.
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -66,7 +66,7 @@
     let allowed = |path, account, region| {
         let route = table.route("one.example", path).expect("a route");
         let regions = table.regions(route, account);
-        regions.is_none_or(|regions| regions.permit(region))
+        regions.is_none_or(|regions| regions.contains(region))
     };
     let [north, west, south] = ["north", "west", "south"].map(Some);
     for (path, account, expected) in [
