--- a/src/policy/direct/memory/memory_budget.rs
+++ b/src/policy/direct/memory/memory_budget.rs
@@ -1,4 +1,4 @@
-/// How many bytes may be held for one holder, and for all of a kind together.
+/// Limits in bytes on the memory held for one request or answer, and for all of them together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryBudget {
     pub one: u64,
@@ -6,10 +6,10 @@
 }
 
 impl MemoryBudget {
-    /// Whether a holder may hold `own` bytes while the others hold `others`.
+    /// Whether one request or answer may hold `own` bytes while the others hold `others`.
     ///
-    /// No holder has more than is left free: many slow ones get less each, and whoever comes
-    /// next still finds room. One that is alone may have all that one may have.
+    /// Besides its own limit, it may hold no more than is left free: many slow ones get less
+    /// each, and the next one still finds free memory. A single one may use its whole limit.
     pub fn permits(
         self,
         own: u64,
--- a/src/policy/direct/memory/mod.rs
+++ b/src/policy/direct/memory/mod.rs
@@ -1,5 +1,5 @@
-//! What a router holds for callers and replicas that are slow to read or to send: how much
-//! one of them may take, and when one that takes too much is given up.
+//! Memory that a router holds for callers and replicas that read or send slowly: the limit for
+//! each request or answer, and when an answer over its limit is aborted.
 
 mod memory_budget;
 mod unread_answer;
--- a/src/policy/direct/memory/unread_answer.rs
+++ b/src/policy/direct/memory/unread_answer.rs
@@ -1,16 +1,16 @@
 use {super::MemoryBudget, std::time::Duration};
 
-/// Callers give a stream up after a gap of two seconds; one that took nothing for as long
-/// has no claim to more of the router's memory.
-const UNREAD: Duration = Duration::from_secs(2);
+/// How long a caller may read nothing before its answer may be aborted. Callers abandon a
+/// stream after a gap of two seconds, so one that reads nothing for as long gets no more memory.
+const MAX_UNREAD_TIME: Duration = Duration::from_secs(2);
 
-/// Whether an answer is given up whose caller took nothing for `untaken`: that alone is no
-/// reason while the budget permits what is held for it.
+/// Whether to abort an answer of which the caller has read nothing for `unread_for`. It is kept
+/// as long as the budget permits the `own` bytes that are held for it.
 pub fn is_given_up(
     budget: MemoryBudget,
     own: u64,
     others: u64,
-    untaken: Duration,
+    unread_for: Duration,
 ) -> bool {
-    untaken >= UNREAD && !budget.permits(own, others)
+    unread_for >= MAX_UNREAD_TIME && !budget.permits(own, others)
 }
--- a/src/policy/direct/mod.rs
+++ b/src/policy/direct/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions of the direct form, in which routers carry requests themselves.
+//! Decisions of the direct form, in which routers send requests to replicas themselves.
 
 pub mod memory;
 pub mod placement;
--- a/src/policy/direct/processor/lag_gauge.rs
+++ b/src/policy/direct/processor/lag_gauge.rs
@@ -1,42 +1,41 @@
 use std::time::Duration;
 
-/// Weight of a new sample that is shorter than what is believed.
-const FALL: f64 = 0.3;
+/// Weight of a new sample that is below the current estimate.
+const DECREASE_WEIGHT: f64 = 0.3;
 
-/// A timer this late means that the process stood still, and that what it knows
-/// is as old: it counts at once.
-const STOOD_STILL: Duration = Duration::from_secs(1);
+/// A timer this late means that the process was suspended and that its state is equally old, so
+/// it counts at once, without a second late timer.
+const SUSPENDED: Duration = Duration::from_secs(1);
 
-/// How far a process is behind its own timers: how long what arrives waits for
-/// the processor. Rises with the second late timer in a row, since one alone is
-/// one long piece of work (some 190 ms at the start of a host with 0.19 of a
-/// core), not a shortage; falls slowly.
+/// Estimates how late the process runs its timers, which is how long new work waits for the CPU.
+/// It rises with the second late timer in a row, since a single one may be one long computation
+/// (some 190 ms at the start of a host with 0.19 of a core) and no overload; it falls slowly.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LagGauge {
     lag: Duration,
-    last: Duration, // how late the last timer was
+    last_late: Duration, // how late the last timer was
 }
 
 impl LagGauge {
-    /// A timer fired this much late.
+    /// Records that a timer fired `late` after its time.
     pub fn sample(
         &mut self,
         late: Duration,
     ) {
-        let lasting = if late >= STOOD_STILL {
+        let sustained = if late >= SUSPENDED {
             late
         } else {
-            late.min(self.last)
+            late.min(self.last_late)
         };
-        self.last = late;
-        self.lag = if lasting > self.lag {
-            lasting
+        self.last_late = late;
+        self.lag = if sustained > self.lag {
+            sustained
         } else {
-            self.lag - (self.lag - lasting).mul_f64(FALL)
+            self.lag - (self.lag - sustained).mul_f64(DECREASE_WEIGHT)
         };
     }
 
-    /// What is believed now.
+    /// The current estimate.
     pub fn lag(&self) -> Duration {
         self.lag
     }
--- a/src/policy/direct/processor/mod.rs
+++ b/src/policy/direct/processor/mod.rs
@@ -1,4 +1,5 @@
-//! A router short of processor: how that shows, and who takes its callers over.
+//! CPU overload of a router: how it is measured, when the router pauses, and which neighbour
+//! takes over its connections.
 
 mod busy_gauge;
 mod hand_on;
--- a/src/policy/direct/slow_start/mod.rs
+++ b/src/policy/direct/slow_start/mod.rs
@@ -1,7 +1,7 @@
-//! Replicas that have just started bear few requests a second and collapse beyond. How
-//! many the fleet may send is bounded, summed over all routers, in touch with each other
-//! or not; so one router of a replica's zone sends there and the others do not. Routers
-//! that each kept a bound of their own would send several times that together.
+//! Slow start: replicas that have just started sustain few requests a second and collapse above
+//! that. The limit holds for the sum over all routers, whether or not they reach each other, so
+//! only one router of a replica's zone sends to it. With a limit for each router, all of them
+//! together would send several times the limit.
 
 mod start_limit;
 mod start_pace;
--- a/src/policy/direct/slow_start/start_limit.rs
+++ b/src/policy/direct/slow_start/start_limit.rs
@@ -1,26 +1,27 @@
 use std::time::Duration;
 
-/// Routers that may take themselves for the one that sends to a replica, at the same
-/// moment: the fleet in two parts, or one that has just taken over from another.
-const OWNERS: f64 = 2.0;
+/// Routers that may consider themselves the only sender to a replica at the same moment: during a
+/// partition of the fleet into two, or when one has just taken over from another.
+const MAX_SENDERS: f64 = 2.0;
 
-/// What the operator's bound leaves beyond what a replica says that it bears.
+/// Margin that the operator allows above the rate that replicas declare for their slow start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StartBounds {
-    pub overage: f64,   // factor
-    pub tolerance: f64, // requests
+    pub overage: f64,   // factor on the declared rate
+    pub tolerance: f64, // additional requests a second
 }
 
-/// What one router sends to a replica of a service that has just started.
+/// Limit on what one router sends to a replica that has just started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StartLimit {
-    pub per_second: u32, // by one router
-    pub lasts: Duration, // how long replicas are slow after a start
+    pub per_second: u32, // requests
+    pub lasts: Duration, // how long a replica's slow start takes
 }
 
 impl StartBounds {
-    /// The limit where replicas bear `per_second` requests; none where that is 0, which
-    /// is no bound. Half of what all may send: two that send at once keep the bound.
+    /// The limit for replicas that declare `per_second` requests a second; `None` for 0, which
+    /// stands for no limit. It is half of what all routers may send together, so that two
+    /// routers that send at once stay within that.
     pub fn limit(
         &self,
         per_second: f64,
@@ -29,12 +30,12 @@
         if per_second <= 0.0 {
             return None;
         }
-        let all = per_second * self.overage + self.tolerance;
-        let each = (all / OWNERS)
+        let total = per_second * self.overage + self.tolerance;
+        let per_router = (total / MAX_SENDERS)
             .floor()
-            .max(if all >= 1.0 { 1.0 } else { 0.0 });
+            .max(if total >= 1.0 { 1.0 } else { 0.0 });
         Some(StartLimit {
-            per_second: each.min(f64::from(u32::MAX)) as u32,
+            per_second: per_router.min(f64::from(u32::MAX)) as u32,
             lasts,
         })
     }
--- a/src/policy/direct/slow_start/start_pace.rs
+++ b/src/policy/direct/slow_start/start_pace.rs
@@ -3,61 +3,62 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// The time in which sends are counted: a second, and what a send may be late after it
-/// was counted.
+/// Period over which sends are counted: a second, plus the longest delay between counting a send
+/// and making it.
 const WINDOW: Duration = Duration::from_secs(1).saturating_add(StartPace::LATEST);
 
-/// One replica's slow start, and what this router sent there of late.
+/// The slow start of one replica, and this router's recent sends to it.
 #[derive(Debug, Clone, Default)]
 pub struct StartPace {
-    slow_until: Moment,      // as it was told
-    doubted_until: Moment,   // it may have started again, and nothing was told yet
-    sends: VecDeque<Moment>, // within the window, while it was slow
+    slow_until: Moment,      // as reported by the replica
+    suspected_until: Moment, // it may have restarted and not reported since
+    sends: VecDeque<Moment>, // within the window, during slow start
 }
 
 impl StartPace {
-    /// A send that leaves later than this after it was counted is not made: sends that
-    /// waited for connections would leave together.
+    /// The longest delay between counting a send and making it. Later sends are dropped, as
+    /// sends that waited for connections would leave in a burst.
     pub const LATEST: Duration = Duration::from_millis(100);
 
-    /// The replica says how much longer it is slow; nothing before counts.
+    /// Sets the remaining time of slow start as reported by the replica, in place of earlier
+    /// reports and assumptions.
     pub fn told(
         &mut self,
         now: Moment,
         left: Duration,
     ) {
         self.slow_until = now + left;
-        self.doubted_until = Moment::ZERO;
+        self.suspected_until = Moment::ZERO;
     }
 
-    /// The replica may have started again: it counts as slow for this long, unless it is
-    /// told otherwise.
+    /// Assumes that the replica may have restarted: it counts as slow for `time`, unless it
+    /// reports otherwise.
     pub fn doubt(
         &mut self,
         now: Moment,
         time: Duration,
     ) {
-        self.doubted_until = self.doubted_until.max(now + time);
+        self.suspected_until = self.suspected_until.max(now + time);
     }
 
-    /// Whether it is slow, or may be.
+    /// Whether the replica is in slow start, or may be.
     pub fn is_slow(
         &self,
         now: Moment,
     ) -> bool {
-        now < self.slow_until.max(self.doubted_until)
+        now < self.slow_until.max(self.suspected_until)
     }
 
-    /// How much longer it is slow, or may be.
+    /// How much longer the replica is in slow start, or may be.
     pub fn left(
         &self,
         now: Moment,
     ) -> Duration {
-        let until = self.slow_until.max(self.doubted_until);
+        let until = self.slow_until.max(self.suspected_until);
         until.saturating_sub(now)
     }
 
-    /// Whether one more may be sent.
+    /// Whether one more request may be sent under a limit of `per_second`.
     pub fn has_room(
         &self,
         now: Moment,
@@ -67,7 +68,7 @@
         recent.count() < per_second as usize
     }
 
-    /// One more is sent.
+    /// Counts a request as sent.
     pub fn sent(
         &mut self,
         now: Moment,
--- a/src/policy/direct/slow_start/zone_routers.rs
+++ b/src/policy/direct/slow_start/zone_routers.rs
@@ -3,62 +3,63 @@
     std::time::Duration,
 };
 
-/// A router that has been up for less does not send to replicas that have just started:
-/// it may not know its fellows yet, nor they it. Routers that start together find each
-/// other within some five of their questions, 200 ms apart.
-const SETTLED: Duration = Duration::from_secs(2);
+/// Uptime below which a router does not send to replicas in slow start, as it and its peers may
+/// not know each other yet. Routers that start together discover each other within some five
+/// queries, 200 ms apart.
+const MIN_UPTIME: Duration = Duration::from_secs(2);
 
-/// What a router knows of its fellows is gone by for this long.
-const BELIEVED: Duration = Duration::from_millis(500);
+/// A view of the peers older than this is not used.
+const MAX_VIEW_AGE: Duration = Duration::from_millis(500);
 
-/// The routers of the own zone, as this router sees them: who of them sends to a replica
-/// of the zone that has just started. All draw the same one by hash.
+/// This router's view of the routers in its zone. It decides which of them sends to a replica of
+/// the zone in slow start: all pick the same one by rendezvous hashing.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneRouters {
-    own: u64,          // hash of this router's address
-    fellows: Vec<u64>, // of those that were heard of lately
-    known: usize,      // fellows that were heard of in a longer time
-    seen: Moment,      // when this was so
+    own: u64,        // hash of this router's address
+    peers: Vec<u64>, // address hashes of the other routers heard from recently
+    known: usize,    // how many others were heard from within a longer time
+    as_of: Moment,
 }
 
 impl ZoneRouters {
-    /// Those that were heard of lately, and how many were in a longer time.
+    /// The view as of `now`. `peers` are the address hashes of the other routers heard from
+    /// recently, `known` counts those heard from within a longer time.
     pub fn new(
         now: Moment,
         own: u64,
-        fellows: Vec<u64>,
+        peers: Vec<u64>,
         known: usize,
     ) -> Self {
         Self {
             own,
-            fellows,
+            peers,
             known,
-            seen: now,
+            as_of: now,
         }
     }
 
-    /// Whether this router is the one that sends to a replica of its zone, by the hash of
-    /// the replica's id. Not while it hears of no more than half of the zone: cut off, it
-    /// would be one of many that each believe to be alone.
+    /// Whether this router is the one that sends to a replica of its zone, given the hash of
+    /// the replica's id. False while it hears from no more than half of the zone's routers: many
+    /// routers that are cut off from each other would otherwise each consider themselves alone.
     pub fn owns(
         &self,
         now: Moment,
         replica: u64,
     ) -> bool {
-        let hears_most = (self.fellows.len() + 1) * 2 > self.known.max(self.fellows.len()) + 1;
-        hears_most && self.draws(now, replica)
+        let is_majority = (self.peers.len() + 1) * 2 > self.known.max(self.peers.len()) + 1;
+        is_majority && self.draws(now, replica)
     }
 
-    /// Whether this router is drawn for a replica of its zone of all that were heard of
-    /// lately. Where routers do not hear of each other, more than one may be.
+    /// Whether this router ranks highest for a replica of its zone among the routers heard from
+    /// recently. Where routers do not hear from each other, several may rank highest.
     pub fn draws(
         &self,
         now: Moment,
         replica: u64,
     ) -> bool {
-        let is_settled = now >= SETTLED && now.saturating_sub(self.seen) <= BELIEVED;
+        let is_valid = now >= MIN_UPTIME && now.saturating_sub(self.as_of) <= MAX_VIEW_AGE;
         let weight = mix(self.own, replica);
-        let mut others = self.fellows.iter().map(|fellow| mix(*fellow, replica));
-        is_settled && !others.any(|other| other > weight)
+        let mut others = self.peers.iter().map(|peer| mix(*peer, replica));
+        is_valid && !others.any(|other| other > weight)
     }
 }
--- a/src/policy/direct/teller.rs
+++ b/src/policy/direct/teller.rs
@@ -1,15 +1,15 @@
-/// Who told of loads: a router of the own zone, or another zone as a whole.
+/// Origin of a report on loads or usage: a router of this zone, or another zone as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Teller {
     pub scope: TellerScope,
-    pub name: u32, // short name of the router or zone: a later report replaces its last one
-    pub source: u64, // of the process that counts; another one counts from another beginning
+    pub name: u32, // hash of the router's address or the zone's name; a newer report replaces it
+    pub source: u64, // identifies the process that counts; another one counts from zero again
 }
 
-/// Whose loads they are.
+/// Whose figures a report holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TellerScope {
-    /// One router of the own zone.
+    /// One router of this zone.
     Router,
     /// All routers of another zone.
     Zone,
