--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of requests under which replicas ended.
+//! Exchange between routers of the evidence against requests.
 
 use {
     super::{EndNote, Hold, RequestDigest, SuspectBook, SuspectNote, suspect::Suspect},
@@ -6,38 +6,39 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// How often what was learnt is told: a datagram may be lost.
-const TELLINGS: u8 = 2;
+/// How often each update is sent, as a datagram may be lost.
+const SENDS_PER_UPDATE: u8 = 2;
 
-/// Requests that are told of at once, in some four datagrams.
-const MOST_TOLD: usize = 32;
+/// Requests on which updates are sent at once, in some four datagrams.
+const MAX_UPDATES_AT_ONCE: usize = 32;
 
 impl SuspectBook {
-    /// Something was learnt of a request at this router.
-    pub(super) fn note_news(
+    /// Queues an update on a request about which this router learnt something, for the
+    /// routers of this zone and for other zones.
+    pub(super) fn queue_update(
         &mut self,
         request: RequestDigest,
     ) {
-        self.news.insert(request, TELLINGS);
-        self.zone_news.insert(request, TELLINGS);
+        self.updates.insert(request, SENDS_PER_UPDATE);
+        self.zone_updates.insert(request, SENDS_PER_UPDATE);
     }
 
-    /// Takes in what others know. Gives the requests that are held back by it and were
-    /// not before.
+    /// Merges what other routers know. Returns the requests that are held back because of
+    /// that and were not before, or are held back for more crashes than before.
     pub fn hear(
         &mut self,
         now: Moment,
         scope: TellerScope,
         notes: &[SuspectNote],
     ) -> Vec<(RequestDigest, Hold)> {
-        let heard = notes.iter().filter_map(|note| {
-            let hold = self.hear_one(now, scope, note)?;
+        let newly_held = notes.iter().filter_map(|note| {
+            let hold = self.merge_one(now, scope, note)?;
             Some((note.request, hold))
         });
-        heard.collect()
+        newly_held.collect()
     }
 
-    fn hear_one(
+    fn merge_one(
         &mut self,
         now: Moment,
         scope: TellerScope,
@@ -47,47 +48,47 @@
         let suspect = self.suspects.entry(note.request);
         let suspect = suspect.or_insert_with(|| Suspect::new(note.account));
         let before = suspect.hold();
-        let lacks_excuse = note
+        let is_cleared_here = note
             .ends
             .iter()
-            .any(|end| suspect.excuses(end.key, end.is_excused));
+            .any(|end| suspect.has_cleared(end.key, end.is_excused));
         let ends = note.ends.iter().map(|end| end.heard(now));
-        let news = ends.filter(|end| suspect.take(*end)).count();
-        let hold = self.settle(note.request);
-        if lacks_excuse {
-            self.note_news(note.request);
+        let learnt = ends.filter(|end| suspect.record(*end)).count();
+        let hold = self.refresh_hold(note.request);
+        if is_cleared_here {
+            self.queue_update(note.request);
         }
-        if news > 0 && scope == TellerScope::Router {
-            self.zone_news.insert(note.request, TELLINGS);
+        if learnt > 0 && scope == TellerScope::Router {
+            self.zone_updates.insert(note.request, SENDS_PER_UPDATE);
         }
         hold.filter(|hold| before.is_none_or(|before| before.ends < hold.ends))
     }
 
-    /// What the routers of the own zone are told now: what was learnt here.
+    /// The next updates to send to the routers of this zone: what this router learnt.
     pub fn take_news(
         &mut self,
         now: Moment,
     ) -> Vec<SuspectNote> {
-        let told = take_told(&mut self.news);
-        self.notes(now, &told)
+        let due = take_due(&mut self.updates);
+        self.notes(now, &due)
     }
 
-    /// What other zones are told now: what was learnt in this one.
+    /// The next updates to send to other zones: what the routers of this zone learnt.
     pub fn take_zone_news(
         &mut self,
         now: Moment,
     ) -> Vec<SuspectNote> {
-        let told = take_told(&mut self.zone_news);
-        self.notes(now, &told)
+        let due = take_due(&mut self.zone_updates);
+        self.notes(now, &due)
     }
 
-    /// Requests that are to be told again and again, for routers that start: those that
-    /// are held back, or were.
+    /// The requests that are held back or were. They are sent repeatedly, for routers that
+    /// have just started.
     pub fn lasting(&self) -> &BTreeSet<RequestDigest> {
-        &self.lasting
+        &self.with_hold
     }
 
-    /// What is known of these requests.
+    /// What is known of these requests, to be sent to other routers.
     pub fn notes(
         &self,
         now: Moment,
@@ -109,14 +110,14 @@
     }
 }
 
-/// The requests whose turn it is, each once less from now on.
-fn take_told(news: &mut BTreeMap<RequestDigest, u8>) -> Vec<RequestDigest> {
-    let told: Vec<RequestDigest> = news.keys().copied().take(MOST_TOLD).collect();
-    for request in &told {
-        if let Some(left) = news.get_mut(request) {
-            *left -= 1;
+/// The next requests to send updates on, each with one send fewer remaining from now on.
+fn take_due(updates: &mut BTreeMap<RequestDigest, u8>) -> Vec<RequestDigest> {
+    let due: Vec<RequestDigest> = updates.keys().copied().take(MAX_UPDATES_AT_ONCE).collect();
+    for request in &due {
+        if let Some(remaining) = updates.get_mut(request) {
+            *remaining -= 1;
         }
     }
-    news.retain(|_, left| *left > 0);
-    told
+    updates.retain(|_, remaining| *remaining > 0);
+    due
 }
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -1,10 +1,10 @@
-//! Requests under which replicas ended: which these are, and how long each is held back.
+//! Requests during which replicas crashed: which these are, and how long each is held back.
 //!
-//! A request is known again by its digest, whatever the id of the try. What speaks
-//! against it are runs that were under way when their replica ended, at whichever router;
-//! routers tell each other of them, and a whole answer anywhere speaks for it, for a while.
+//! A request is recognised by its digest, whatever its request id. Evidence against it are
+//! attempts that were running when their replica crashed, at any router. Routers exchange this
+//! evidence, and a complete answer at any router clears the request for a while.
 
-mod answered;
+mod answered_requests;
 mod book_notes;
 mod hold;
 mod request_digest;
--- a/src/policy/direct/suspects/request_digest.rs
+++ b/src/policy/direct/suspects/request_digest.rs
@@ -4,16 +4,16 @@
     std::{fmt, str::FromStr},
 };
 
-/// Hexadecimal digits in which it is written.
-const DIGITS: usize = 16;
+/// Length of the text form.
+const HEX_DIGITS: usize = 16;
 
-/// What makes two tries the same request, whatever their ids: method, path and query,
-/// client account and body. The same at every router.
+/// Identifies equal requests, whatever their request ids: a hash of method, path and query, client
+/// account and body. It is the same at every router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest(pub u64);
 
 impl RequestDigest {
-    /// The digest of a request that was read whole.
+    /// The digest of a request whose body was read completely.
     pub fn new(
         method: &str,
         target: &str,
@@ -27,9 +27,9 @@
 impl FromStr for RequestDigest {
     type Err = ();
 
-    /// Reads the 16 hexadecimal digits in which logs name it.
+    /// Parses the 16 hexadecimal digits that logs show.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let is_hex = text.len() == DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let is_hex = text.len() == HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let number = is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten();
         number.map(Self).ok_or(())
     }
--- a/src/policy/direct/suspects/run_end.rs
+++ b/src/policy/direct/suspects/run_end.rs
@@ -1,23 +1,23 @@
 use {super::ToldMoment, crate::policy::Moment, std::time::Duration};
 
-/// A run that had brought events for longer than this when its replica ended was no cause
-/// of that: five times the longest time (102 ms) that was seen between the beginning of a
-/// run that ends its replica and that end.
-const EARLY: Duration = Duration::from_millis(500);
+/// An attempt that had sent events for longer than this when its replica crashed is unlikely to be
+/// the cause: five times the longest time (102 ms) that was seen from the start of an attempt that
+/// crashes its replica to that crash.
+const EARLY_WINDOW: Duration = Duration::from_millis(500);
 
-/// A run of a request that was under way when its replica ended.
+/// An attempt at a request that was running when its replica crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunEnd {
-    pub key: u32,          // drawn by the router that saw it
-    pub replica: u32,      // that ended, short name of its start
-    pub began: ToldMoment, // sent to the replica
-    pub ended: ToldMoment, // with the replica
-    pub is_early: bool,    // it had brought no event, or not for long
-    pub is_excused: bool,  // the request got a whole answer since
+    pub key: u32,          // random, drawn by the router that saw the crash
+    pub replica: u32,      // hash of the id and start of the replica
+    pub began: ToldMoment, // when the request was sent to the replica
+    pub ended: ToldMoment, // when the replica crashed
+    pub is_early: bool,    // no event had arrived, or only for a short time
+    pub is_excused: bool,  // the request got a complete answer since
 }
 
 impl RunEnd {
-    /// A run that this router saw end now.
+    /// An attempt whose replica crashed `now`, as seen by this router.
     pub fn seen(
         key: u32,
         replica: u32,
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -4,30 +4,30 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// Ends that are remembered of one request.
-const MOST_ENDS: usize = 8;
+/// Crashes that are remembered for one request.
+const MAX_CRASHES: usize = 8;
 
-/// Runs are one after the other also where one seems to begin this much before the other
-/// ended: a report takes as long from router to router, so that ends are heard of late.
-const TOLD_LATE: Duration = Duration::from_millis(100);
+/// How long before the crash of one attempt the next may seem to begin and still count as later:
+/// crashes are dated late by as long as a report takes from router to router.
+const REPORT_DELAY: Duration = Duration::from_millis(100);
 
-/// Ends of one replica within this time of each other are the same: it takes longer to come
-/// back, and routers see and tell it at different moments.
-const ONE_END: Duration = Duration::from_millis(800);
+/// Crashes of one replica within this time are the same crash: a restart takes longer, and routers
+/// see and report one crash at different moments.
+const SAME_CRASH: Duration = Duration::from_millis(800);
 
-/// Ends of runs that had brought events for long, of which each counts as one early end.
-const LATE_ENDS: usize = 2;
+/// How many crashes count as one early crash, if the attempts had already sent events for long.
+const LATE_PER_EARLY: usize = 2;
 
-/// A request under which replicas ended.
+/// A request during which replicas crashed.
 #[derive(Debug, Clone)]
 pub(super) struct Suspect {
-    pub account: u32,          // short name
-    pub ends: Vec<RunEnd>,     // by when the replica ended
+    pub account: u32,          // hash of its name
+    pub ends: Vec<RunEnd>,     // ordered by the time of the crash
     pub trial: Option<Moment>, // when it was last let through after a hold
 }
 
 impl Suspect {
-    /// A request that nothing speaks against.
+    /// A request without any crash.
     pub fn new(account: u32) -> Self {
         Self {
             account,
@@ -36,22 +36,22 @@
         }
     }
 
-    /// Takes in an end. Whether that is news.
-    pub fn take(
+    /// Records a crash, or that a known one is excused. Returns whether that is new.
+    pub fn record(
         &mut self,
         end: RunEnd,
     ) -> bool {
         if let Some(known) = self.ends.iter_mut().find(|known| known.key == end.key) {
-            let is_news = end.is_excused && !known.is_excused;
+            let is_new = end.is_excused && !known.is_excused;
             known.is_excused |= end.is_excused;
-            return is_news;
+            return is_new;
         }
         self.ends.push(end);
         self.ends.sort_by_key(|end| (end.ended, end.key));
         if !end.is_excused {
             self.trial = None;
         }
-        if self.ends.len() > MOST_ENDS {
+        if self.ends.len() > MAX_CRASHES {
             let least = (0..self.ends.len())
                 .min_by_key(|index| (Reverse(self.ends[*index].is_excused), *index));
             self.ends.remove(least.expect("more than none"));
@@ -59,16 +59,16 @@
         true
     }
 
-    /// It got a whole answer: what was known against it counts no more. Whether there
-    /// was anything.
-    pub fn excuse(&mut self) -> bool {
+    /// Clears the request after a complete answer: earlier crashes no longer count. Returns
+    /// whether any did.
+    pub fn clear(&mut self) -> bool {
         self.trial = None;
         let counted = self.ends.iter_mut().filter(|end| !end.is_excused);
         counted.map(|end| end.is_excused = true).count() > 0
     }
 
-    /// Whether an end that another router counts, or does not, is known to be excused.
-    pub fn excuses(
+    /// Whether a crash is excused here that another router still counts.
+    pub fn has_cleared(
         &self,
         key: u32,
         is_excused_there: bool,
@@ -77,38 +77,38 @@
         !is_excused_there && known.is_some_and(|known| known.is_excused)
     }
 
-    /// Whether something speaks against it.
+    /// Whether any crash counts against the request.
     pub fn is_suspected(&self) -> bool {
         self.ends.iter().any(|end| !end.is_excused)
     }
 
-    /// When the last replica ended under it.
-    pub fn last_end(&self) -> ToldMoment {
+    /// When the last replica crashed while running it.
+    pub fn last_crash(&self) -> ToldMoment {
         let last = self.ends.last();
         last.map_or(Moment::ZERO.into(), |end| end.ended)
     }
 
-    /// The hold that follows from its ends.
+    /// The hold that follows from its crashes.
     pub fn hold(&self) -> Option<Hold> {
         let counted = self.ends.iter().filter(|end| !end.is_excused);
         let since = counted.clone().next_back()?.ended;
-        let early = one_after_the_other(counted.clone().filter(|end| end.is_early));
-        let all = one_after_the_other(counted);
-        Hold::after(early.max(all / LATE_ENDS), since)
+        let early = count_consecutive(counted.clone().filter(|end| end.is_early));
+        let all = count_consecutive(counted);
+        Hold::after(early.max(all / LATE_PER_EARLY), since)
     }
 }
 
-/// The most runs that followed each other. Replicas that end together, each under a copy
-/// of one request, say no more against it than one; nor does one replica under several.
-fn one_after_the_other<'e>(ends: impl Iterator<Item = &'e RunEnd>) -> usize {
+/// The number of crashes whose attempts followed each other. Replicas that crash together, each
+/// while running a copy of the request, count once, and so does one replica that runs several.
+fn count_consecutive<'e>(ends: impl Iterator<Item = &'e RunEnd>) -> usize {
     let mut counted: Vec<&RunEnd> = Vec::new();
     for end in ends {
         let follows = counted
             .last()
-            .is_none_or(|last| end.began.plus(TOLD_LATE) >= last.ended);
+            .is_none_or(|last| end.began.plus(REPORT_DELAY) >= last.ended);
         let is_known = counted
             .iter()
-            .any(|known| known.replica == end.replica && known.ended.plus(ONE_END) >= end.ended);
+            .any(|known| known.replica == end.replica && known.ended.plus(SAME_CRASH) >= end.ended);
         if follows && !is_known {
             counted.push(end);
         }
--- a/src/policy/direct/suspects/suspect_book.rs
+++ b/src/policy/direct/suspects/suspect_book.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Hold, RequestDigest, RunEnd, answered::Answered, suspect::Suspect},
+    super::{Hold, RequestDigest, RunEnd, answered_requests::AnsweredRequests, suspect::Suspect},
     crate::policy::Moment,
     std::{
         collections::{BTreeMap, BTreeSet, HashMap},
@@ -7,58 +7,58 @@
     },
 };
 
-/// Requests that are remembered, and of one client account: some 300 bytes each.
-const MOST: usize = 4096;
-const MOST_OF_ACCOUNT: usize = 512;
+/// Requests that are remembered, in all and for one client account, at some 300 bytes each.
+const MAX_REQUESTS: usize = 4096;
+const MAX_PER_ACCOUNT: usize = 512;
 
-/// A request that is not held back is forgotten this long after the last replica ended
-/// under it, and one that was once held back after the second time.
-const FORGOTTEN: Duration = Duration::from_secs(600);
-const HELD_FORGOTTEN: Duration = Duration::from_secs(3600);
+/// How long a request is remembered after the last crash of a replica that was running it: the
+/// second time if its crashes were enough for a hold.
+const RETENTION: Duration = Duration::from_secs(600);
+const HELD_RETENTION: Duration = Duration::from_secs(3600);
 
-/// A request that is held back, for operators.
+/// A request that is held back, as operators are shown it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldRequest {
     pub request: RequestDigest,
-    pub account: u32, // short name
+    pub account: u32, // hash of its name
     pub hold: Hold,
 }
 
-/// The requests under which replicas ended, at any router.
+/// The requests during which replicas crashed, at any router.
 #[derive(Debug, Default)]
 pub struct SuspectBook {
     pub(super) suspects: HashMap<RequestDigest, Suspect>,
-    pub(super) news: BTreeMap<RequestDigest, u8>, // learnt here: tellings that are left
-    pub(super) zone_news: BTreeMap<RequestDigest, u8>, // learnt in the zone
-    pub(super) lasting: BTreeSet<RequestDigest>,  // with enough ends to be held back
-    answers: Answered,                            // given here
-    let_through: BTreeSet<RequestDigest>,         // by the operator
+    pub(super) updates: BTreeMap<RequestDigest, u8>, // learnt here, by remaining sends
+    pub(super) zone_updates: BTreeMap<RequestDigest, u8>, // learnt in this zone, by remaining sends
+    pub(super) with_hold: BTreeSet<RequestDigest>,   // with enough crashes for a hold
+    answered: AnsweredRequests,                      // at this router
+    exempt: BTreeSet<RequestDigest>,                 // never held back, as the operator set
 }
 
 impl SuspectBook {
-    /// A book that knows nothing against any request.
-    pub fn new(let_through: BTreeSet<RequestDigest>) -> Self {
+    /// Without any crash so far. Requests in `exempt` are never held back.
+    pub fn new(exempt: BTreeSet<RequestDigest>) -> Self {
         Self {
-            let_through,
+            exempt,
             ..Self::default()
         }
     }
 
-    /// Requests that the operator lets through whatever ended under them.
+    /// Sets the requests that are never held back, by the operator's choice.
     pub fn let_through(
         &mut self,
         requests: BTreeSet<RequestDigest>,
     ) {
-        self.let_through = requests;
+        self.exempt = requests;
     }
 
     /// Whether any request may be held back.
     pub fn holds_any(&self) -> bool {
-        !self.lasting.is_empty()
+        !self.with_hold.is_empty()
     }
 
-    /// A replica ended under a request that this router had sent there. The hold that
-    /// follows, if one does.
+    /// Records that a replica crashed while it ran a request of this router. Returns the hold
+    /// that follows, if any.
     pub fn ended(
         &mut self,
         now: Moment,
@@ -66,17 +66,17 @@
         account: u32,
         mut end: RunEnd,
     ) -> Option<Hold> {
-        end.is_excused |= self.answers.is_answered(now, request);
-        self.make_room(account, request);
+        end.is_excused |= self.answered.is_answered(now, request);
+        self.evict_for(account, request);
         let suspect = self.suspects.entry(request);
         let suspect = suspect.or_insert_with(|| Suspect::new(account));
-        suspect.take(end);
-        self.note_news(request);
-        self.settle(request)
+        suspect.record(end);
+        self.queue_update(request);
+        self.refresh_hold(request)
     }
 
-    /// How long a request is still held back. One whose hold is over is tried: others
-    /// like it wait for that.
+    /// How long a request is still held back; `None` lets it through. The first one let through
+    /// after a hold is a trial, for whose end others with the same digest wait.
     pub fn held_back(
         &mut self,
         now: Moment,
@@ -84,7 +84,7 @@
     ) -> Option<Duration> {
         let suspect = self.suspects.get_mut(&request)?;
         let hold = suspect.hold()?;
-        if self.let_through.contains(&request) {
+        if self.exempt.contains(&request) {
             return None;
         }
         let left = hold.left(now, suspect.trial);
@@ -94,33 +94,34 @@
         left
     }
 
-    /// A request got a whole answer. Whether something had spoken against it.
+    /// Records that a request got a complete answer. Returns whether crashes had counted
+    /// against it.
     pub fn answered(
         &mut self,
         now: Moment,
         request: RequestDigest,
     ) -> bool {
-        self.answers.note(now, request);
+        self.answered.record(now, request);
         let suspect = self.suspects.get_mut(&request);
-        let is_news = suspect.is_some_and(Suspect::excuse);
-        if is_news {
-            self.settle(request);
-            self.note_news(request);
+        let is_cleared = suspect.is_some_and(Suspect::clear);
+        if is_cleared {
+            self.refresh_hold(request);
+            self.queue_update(request);
         }
-        is_news
+        is_cleared
     }
 
-    /// The requests that are held back now, but for those let through.
+    /// The requests that are held back now, without the exempt ones.
     pub fn held(
         &self,
         now: Moment,
     ) -> Vec<HeldRequest> {
-        let held = self.lasting.iter().filter_map(|request| {
+        let held = self.with_hold.iter().filter_map(|request| {
             let suspect = self.suspects.get(request)?;
             let hold = suspect
                 .hold()
                 .filter(|hold| hold.left(now, None).is_some())?;
-            let is_held = !self.let_through.contains(request);
+            let is_held = !self.exempt.contains(request);
             is_held.then_some(HeldRequest {
                 request: *request,
                 account: suspect.account,
@@ -130,45 +131,46 @@
         held.collect()
     }
 
-    /// Forgets what is old.
+    /// Removes requests whose retention time is over.
     pub fn forget_old(
         &mut self,
         now: Moment,
     ) {
-        let lasting = &self.lasting;
+        let with_hold = &self.with_hold;
         self.suspects.retain(|request, suspect| {
-            let kept = match lasting.contains(request) {
-                true => HELD_FORGOTTEN,
-                false => FORGOTTEN,
+            let retention = match with_hold.contains(request) {
+                true => HELD_RETENTION,
+                false => RETENTION,
             };
-            !suspect.last_end().plus(kept).left(now).is_zero()
+            !suspect.last_crash().plus(retention).left(now).is_zero()
         });
         let known = &self.suspects;
-        self.lasting.retain(|request| known.contains_key(request));
+        self.with_hold.retain(|request| known.contains_key(request));
     }
 
-    /// Sorts a request in anew after something was learnt of it. Gives its hold.
-    pub(super) fn settle(
+    /// Computes a request's hold anew after a change, and returns it.
+    pub(super) fn refresh_hold(
         &mut self,
         request: RequestDigest,
     ) -> Option<Hold> {
         let suspect = self.suspects.get(&request)?;
         let hold = suspect.hold();
         match hold {
-            Some(_) => self.lasting.insert(request),
-            None => self.lasting.remove(&request),
+            Some(_) => self.with_hold.insert(request),
+            None => self.with_hold.remove(&request),
         };
         hold
     }
 
-    /// Makes room for one more request of an account: its own are forgotten first, or
-    /// those of the account that has the most, from the one that least speaks against.
-    pub(super) fn make_room(
+    /// Evicts a request if there is no place for one more of this account: one of its own if
+    /// it is at its limit, else one of the account that has the most. The request with the
+    /// least evidence against it goes first.
+    pub(super) fn evict_for(
         &mut self,
         account: u32,
         request: RequestDigest,
     ) {
-        if self.suspects.contains_key(&request) || self.suspects.len() < MOST_OF_ACCOUNT {
+        if self.suspects.contains_key(&request) || self.suspects.len() < MAX_PER_ACCOUNT {
             return;
         }
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
@@ -177,18 +179,23 @@
         }
         let most = counts.iter().max_by_key(|(_, count)| **count);
         let full = match most {
-            _ if counts.get(&account) >= Some(&MOST_OF_ACCOUNT) => account,
-            Some((most, _)) if self.suspects.len() >= MOST => *most,
+            _ if counts.get(&account) >= Some(&MAX_PER_ACCOUNT) => account,
+            Some((most, _)) if self.suspects.len() >= MAX_REQUESTS => *most,
             _ => return,
         };
         let of_account = self.suspects.iter().filter(|(_, it)| it.account == full);
         let least = of_account.min_by_key(|(request, suspect)| {
             let ends = suspect.hold().map_or(0, |hold| hold.ends);
-            (ends, suspect.is_suspected(), suspect.last_end(), **request)
+            (
+                ends,
+                suspect.is_suspected(),
+                suspect.last_crash(),
+                **request,
+            )
         });
         if let Some(request) = least.map(|(request, _)| *request) {
             self.suspects.remove(&request);
-            self.lasting.remove(&request);
+            self.with_hold.remove(&request);
         }
     }
 }
--- a/src/policy/direct/suspects/suspect_note.rs
+++ b/src/policy/direct/suspects/suspect_note.rs
@@ -4,28 +4,28 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a router knows of a request under which replicas ended, for other routers. Notes
-/// add up in any order, and a note that comes twice says nothing more.
+/// What a router knows of a request during which replicas crashed, as sent to other routers. These
+/// messages may be merged in any order and more than once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectNote {
     pub request: RequestDigest,
-    pub account: u32, // short name
+    pub account: u32, // hash of its name
     pub ends: Vec<EndNote>,
 }
 
-/// One end of a run, with ages, since moments of two processes cannot be compared.
+/// One crash, with ages in place of moments, since moments of two processes cannot be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndNote {
     pub key: u32,
-    pub replica: u32,  // short name of its start
-    pub began_ms: u32, // ago
-    pub ended_ms: u32, // ago
+    pub replica: u32,  // hash of the id and start of the replica
+    pub began_ms: u32, // how long ago the request was sent to the replica
+    pub ended_ms: u32, // how long ago the replica crashed
     pub is_early: bool,
     pub is_excused: bool,
 }
 
 impl EndNote {
-    /// An end as it is told now.
+    /// A crash as it is sent to other routers now.
     pub fn new(
         now: Moment,
         end: &RunEnd,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The end as it is known when this is heard.
+    /// The crash, if the message was received at `now`.
     pub fn heard(
         &self,
         now: Moment,
--- a/src/policy/direct/suspects/told_moment.rs
+++ b/src/policy/direct/suspects/told_moment.rs
@@ -1,12 +1,12 @@
 use {crate::policy::Moment, std::time::Duration};
 
-/// A moment that another router may have told: by this process's clock, in milliseconds,
-/// and negative before its start, so that the order of what was before it stays.
+/// A moment that another router may have reported: in milliseconds by this process's clock,
+/// negative before its start, so that the order of earlier events is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ToldMoment(i64);
 
 impl ToldMoment {
-    /// So long before a moment.
+    /// The moment `ago_ms` before `now`.
     pub fn before(
         now: Moment,
         ago_ms: u32,
@@ -23,7 +23,7 @@
         ago.clamp(0, u32::MAX.into()) as u32
     }
 
-    /// So long after it.
+    /// The moment `time` later.
     pub fn plus(
         self,
         time: Duration,
@@ -31,7 +31,7 @@
         Self(self.0 + time.as_millis() as i64)
     }
 
-    /// How long it is until then; zero once it is past.
+    /// The time until this moment; zero once it has passed.
     pub fn left(
         self,
         now: Moment,
