--- a/src/policy/direct/shares/account_usage.rs
+++ b/src/policy/direct/shares/account_usage.rs
@@ -3,15 +3,15 @@
     std::{ops::AddAssign, time::Duration},
 };
 
-/// What one account asked for and got of late, in tokens; both fade.
+/// The tokens that one account recently requested and was allocated, both with exponential decay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    pub asked: f32,
-    pub got: f32,
+    pub asked: f32, // tokens requested
+    pub got: f32,   // tokens allocated
 }
 
 impl AccountUsage {
-    /// Fades by a factor.
+    /// Multiplies both by a factor.
     pub fn fade(
         &mut self,
         factor: f32,
@@ -20,7 +20,7 @@
         self.got *= factor;
     }
 
-    /// What is left of it after some time.
+    /// The usage decayed over `age`, with `window` as the time constant.
     pub fn faded(
         mut self,
         age: Duration,
--- a/src/policy/direct/shares/division.rs
+++ b/src/policy/direct/shares/division.rs
@@ -1,32 +1,33 @@
 use {
-    super::{AccountShare, AccountUsage, GivenLately, Standing, fair_level},
+    super::{AccountShare, AccountUsage, RecentAllocations, Standing, fair_level},
     crate::policy::Moment,
     std::{collections::HashMap, time::Duration},
 };
 
-/// An account that got less than this part of what it asked, and is given less than this
-/// part of its share now, is behind.
-const BEHIND: f32 = 0.5;
+/// An account is under its share if it was allocated less than this part of the tokens it
+/// requested, and recently less than this part of its fair share.
+const UNDER: f32 = 0.5;
 
-/// How far above the level an account may be and still count as within.
-const SLACK: f32 = 1.05;
+/// Factor by which an account may exceed the fair level and still count as within its share.
+const TOLERANCE: f32 = 1.05;
 
-/// An account that is given less than this part of its share now is not over it, whatever
-/// it had before: when the level falls, as replicas are lost or other accounts begin to
-/// ask, it would be shut out while others are served.
-const LEAST_LATELY: f32 = 0.5;
+/// An account that is recently allocated less than this part of its fair share is not over it,
+/// whatever it had before. Otherwise it would be shut out while others are served when the level
+/// falls, as replicas are lost or other accounts begin to send requests.
+const MIN_RECENT: f32 = 0.5;
 
-/// What all replicas make in a window, divided among accounts by what they ask.
+/// Max-min fair division of the tokens that all replicas produce in a window, among accounts by
+/// the tokens that they request.
 #[derive(Debug)]
 pub struct Division {
     usage: HashMap<u32, AccountUsage>,
     pub window: Duration,
     pub divided: f32, // tokens
-    pub level: f32,   // tokens that each account may have; infinite where all get what they ask
+    pub level: f32,   // tokens that each account may have; infinite if all requests can be met
 }
 
 impl Division {
-    /// Divides some tokens among accounts that asked for and got this much in a window.
+    /// Divides `divided` tokens among accounts with this usage in a window.
     pub fn new(
         window: Duration,
         usage: HashMap<u32, AccountUsage>,
@@ -41,17 +42,17 @@
         }
     }
 
-    /// What each account asked for and got.
+    /// The usage of each account.
     pub fn usage(&self) -> impl Iterator<Item = (u32, AccountUsage)> {
         self.usage.iter().map(|(account, usage)| (*account, *usage))
     }
 
-    /// How an account stands that now asks for `asking` tokens, which are counted
-    /// as asked already.
+    /// The share of an account that now requests `asking` tokens, which its usage already
+    /// contains.
     pub fn share(
         &self,
         now: Moment,
-        given: &GivenLately,
+        given: &RecentAllocations,
         account: u32,
         asking: f32,
     ) -> AccountShare {
@@ -72,15 +73,15 @@
         lately: f32,
         asking: f32,
     ) -> Standing {
-        let bound = self.level * SLACK;
-        if usage.got > bound && lately >= LEAST_LATELY {
+        let bound = self.level * TOLERANCE;
+        if usage.got > bound && lately >= MIN_RECENT {
             let factor = usage.got / bound.max(1.0);
             let wait = self.window.mul_f32(factor.ln());
             return Standing::Over { wait, factor };
         }
         let asked_before = usage.asked - asking;
-        let is_behind = usage.got < asked_before * BEHIND && lately < BEHIND;
-        if is_behind {
+        let is_under = usage.got < asked_before * UNDER && lately < UNDER;
+        if is_under {
             Standing::Behind
         } else {
             Standing::Within
--- a/src/policy/direct/shares/fair_level.rs
+++ b/src/policy/direct/shares/fair_level.rs
@@ -1,19 +1,18 @@
-/// The level L of a max-min division: every account gets the lesser of what it
-/// asks and L, and together they get `capacity`. Infinite where all can have
-/// what they ask.
+/// The level L of a max-min fair division: every account gets the lesser of what it requests and
+/// L, and together they get `capacity`. Infinite if the capacity is enough for all requests.
 pub fn fair_level(
     mut asked: Vec<f32>,
     capacity: f32,
 ) -> f32 {
     asked.sort_by(f32::total_cmp);
-    let mut left = capacity;
+    let mut remaining = capacity;
     let mut accounts = asked.len() as f32;
     for ask in asked {
-        let even = left / accounts;
+        let even = remaining / accounts;
         if ask > even {
             return even.max(0.0);
         }
-        left -= ask;
+        remaining -= ask;
         accounts -= 1.0;
     }
     f32::INFINITY
--- a/src/policy/direct/shares/mod.rs
+++ b/src/policy/direct/shares/mod.rs
@@ -1,19 +1,20 @@
-//! Which client accounts have had their share of what all replicas make, over
-//! the whole fleet and the last seconds.
+//! Fair shares of client accounts: which accounts have used up their max-min share of the tokens
+//! that all replicas produce, over the whole fleet and a sliding window of some seconds.
 
 mod account_share;
 mod account_usage;
 mod division;
 mod fair_level;
-mod given_lately;
+mod placement_rate;
+mod recent_allocations;
+mod reported_usage;
 mod retry_window;
-mod room_evidence;
 mod share_book;
 mod standing;
-mod told_usage;
 
 pub use {
     account_share::AccountShare, account_usage::AccountUsage, division::Division,
-    fair_level::fair_level, given_lately::GivenLately, retry_window::RetryWindow,
-    room_evidence::RoomEvidence, share_book::ShareBook, standing::Standing, told_usage::ToldUsage,
+    fair_level::fair_level, placement_rate::PlacementRate, recent_allocations::RecentAllocations,
+    reported_usage::ReportedUsage, retry_window::RetryWindow, share_book::ShareBook,
+    standing::Standing,
 };
--- a/src/policy/direct/shares/retry_window.rs
+++ b/src/policy/direct/shares/retry_window.rs
@@ -3,20 +3,20 @@
     std::{collections::HashMap, collections::VecDeque, time::Duration},
 };
 
-/// Bounds repeats to a part of a service's requests in every window, so that
-/// all routers together keep the fleet's bound without asking each other.
+/// Limits the retries of each service to a fraction of its requests in every window, so that all
+/// routers together keep the fleet's limit without asking each other.
 #[derive(Debug)]
 pub struct RetryWindow {
     window: Duration,
-    ratio: f64, // repeats per request
-    extra: f64, // repeats that the whole fleet may make beyond that
+    ratio: f64, // retries per request
+    extra: f64, // retries that the whole fleet may make in a window beyond that
     services: HashMap<String, Counts>,
 }
 
 #[derive(Debug, Default)]
 struct Counts {
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 impl RetryWindow {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Changes the bounds; what was counted stays.
+    /// Changes the limits and keeps the counts.
     pub fn set_bounds(
         &mut self,
         window: Duration,
@@ -58,7 +58,7 @@
         drop_old(&mut counts.requests, now, window);
     }
 
-    /// Takes a repeat if one is left for this one of `routers` routers.
+    /// Takes a retry if the limit leaves one for this router, one of `routers` in the fleet.
     pub fn take(
         &mut self,
         now: Moment,
@@ -69,12 +69,12 @@
         let extra = self.extra / routers.max(1) as f64;
         let counts = self.counts(service);
         drop_old(&mut counts.requests, now, window);
-        drop_old(&mut counts.repeats, now, window);
+        drop_old(&mut counts.retries, now, window);
         let allowed = ratio * counts.requests.len() as f64 + extra;
-        if counts.repeats.len() as f64 + 1.0 > allowed {
+        if counts.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        counts.repeats.push_back(now);
+        counts.retries.push_back(now);
         true
     }
 
--- a/src/policy/direct/shares/share_book.rs
+++ b/src/policy/direct/shares/share_book.rs
@@ -1,30 +1,32 @@
 use {
-    super::{AccountShare, AccountUsage, Division, GivenLately, RoomEvidence, ToldUsage},
+    super::{
+        AccountShare, AccountUsage, Division, PlacementRate, RecentAllocations, ReportedUsage,
+    },
     crate::policy::{Moment, Teller, TellerScope},
     std::{collections::HashMap, time::Duration},
 };
 
-/// Usage fades by this factor at each step, so that a window's worth remains.
+/// Usage decays exponentially in steps of this length, with the window as the time constant.
 const STEP: Duration = Duration::from_millis(100);
 
-/// Accounts with less than this are not kept, in tokens.
-const NEGLIGIBLE: f32 = 1.0;
+/// Accounts with fewer tokens than this are dropped.
+const NEGLIGIBLE_TOKENS: f32 = 1.0;
 
-/// What accounts asked for and got, here and at the peers.
+/// The tokens that accounts requested and were allocated, at this router and at its peers.
 #[derive(Debug)]
 pub struct ShareBook {
     window: Duration,
-    peer_age: Duration, // older reports of peers are ignored
-    capacity: f32,      // tokens a second that the operator says all replicas make; 0 if untold
-    own: HashMap<u32, AccountUsage>,
-    told: ToldUsage,
-    faded: Moment,
-    lately: GivenLately,
-    room: RoomEvidence,
+    peer_age: Duration,              // older reports of peers are ignored
+    capacity: f32,                   // declared, in tokens a second of all replicas; 0 if unset
+    own: HashMap<u32, AccountUsage>, // of this router
+    reported: ReportedUsage,
+    decayed: Moment, // when `own` was last decayed
+    recent: RecentAllocations,
+    placements: PlacementRate,
 }
 
 impl ShareBook {
-    /// An empty book.
+    /// Without any usage. Reports of peers count for `peer_age`.
     pub fn new(
         window: Duration,
         peer_age: Duration,
@@ -34,14 +36,14 @@
             peer_age,
             capacity: 0.0,
             own: HashMap::new(),
-            told: ToldUsage::default(),
-            faded: Moment::ZERO,
-            lately: GivenLately::default(),
-            room: RoomEvidence::default(),
+            reported: ReportedUsage::default(),
+            decayed: Moment::ZERO,
+            recent: RecentAllocations::default(),
+            placements: PlacementRate::default(),
         }
     }
 
-    /// Changes the bounds; what was counted stays.
+    /// Changes the window and the age of reports, and keeps the usage.
     pub fn set_window(
         &mut self,
         window: Duration,
@@ -51,7 +53,7 @@
         self.peer_age = peer_age;
     }
 
-    /// What the operator says that all replicas make, in tokens a second.
+    /// Sets what all replicas produce as the operator declares it, in tokens a second.
     pub fn set_capacity(
         &mut self,
         tokens_per_second: Option<f64>,
@@ -59,7 +61,7 @@
         self.capacity = tokens_per_second.map_or(0.0, |tokens| tokens as f32);
     }
 
-    /// How long what peers told is believed.
+    /// Sets for how long reports of peers count.
     pub fn set_peer_age(
         &mut self,
         peer_age: Duration,
@@ -67,7 +69,7 @@
         self.peer_age = peer_age;
     }
 
-    /// An account asked for this many tokens.
+    /// Records that an account requested this many tokens.
     pub fn ask(
         &mut self,
         now: Moment,
@@ -78,7 +80,7 @@
         self.own.entry(account).or_default().asked += tokens;
     }
 
-    /// An account was given this many tokens.
+    /// Records that an account was allocated this many tokens.
     pub fn give(
         &mut self,
         now: Moment,
@@ -89,7 +91,7 @@
         self.own.entry(account).or_default().got += tokens;
     }
 
-    /// Tokens that were given did not come: they count no more.
+    /// Records that allocated tokens were not produced: they no longer count.
     pub fn take_back(
         &mut self,
         account: u32,
@@ -100,142 +102,142 @@
         }
     }
 
-    /// What others asked for and gave, of some accounts.
+    /// Records the usage of some accounts that another router or zone reports.
     pub fn hear(
         &mut self,
         now: Moment,
         teller: Teller,
         usage: &[(u32, AccountUsage)],
     ) {
-        self.told.hear(now, teller, usage, self.peer_age);
+        self.reported.record(now, teller, usage, self.peer_age);
     }
 
-    /// Who told this is gone.
+    /// Removes all that a router or zone reported, as it is gone.
     pub fn forget(
         &mut self,
         name: u32,
     ) {
-        self.told.forget(name);
+        self.reported.remove(name);
     }
 
-    /// This router's own usage, to be told to peers. Asked for at each report, also where
-    /// no request comes: what accounts are given is noted at the level of the time.
+    /// This router's own usage, to be reported to peers. Called for each report, also without
+    /// any requests, so that recent allocations are counted at the fair level of their time.
     pub fn own(
         &mut self,
         now: Moment,
     ) -> &HashMap<u32, AccountUsage> {
-        self.fade(now);
-        self.note_given(now);
+        self.decay(now);
+        self.update_recent(now);
         &self.own
     }
 
-    /// How an account stands that now asks for `asking` tokens, which are counted
-    /// as asked already.
+    /// The share of an account that now requests `asking` tokens, which are already recorded.
     pub fn share(
         &mut self,
         now: Moment,
         account: u32,
         asking: f32,
     ) -> AccountShare {
-        self.note_given(now);
+        self.update_recent(now);
         let division = self.division(now);
-        division.share(now, &self.lately, account, asking)
+        division.share(now, &self.recent, account, asking)
     }
 
-    /// What is divided now, and how each account stands that asked of late.
+    /// The current division, and the share of each account that recently sent requests.
     pub fn shares(
         &mut self,
         now: Moment,
     ) -> (Division, Vec<AccountShare>) {
-        self.note_given(now);
+        self.update_recent(now);
         let division = self.division(now);
         let accounts = division.usage().map(|(account, _)| account);
         let shares = accounts
-            .map(|account| division.share(now, &self.lately, account, 0.0))
+            .map(|account| division.share(now, &self.recent, account, 0.0))
             .collect();
         (division, shares)
     }
 
-    /// What is divided now, among all accounts that asked of late.
+    /// The current division among all accounts that recently sent requests.
     pub fn division(
         &mut self,
         now: Moment,
     ) -> Division {
         let usage = self.fleet_usage(now);
-        let given = usage.values().map(|usage| usage.got).sum();
-        Division::new(self.window, usage, self.divided(now, given))
+        let allocated = usage.values().map(|usage| usage.got).sum();
+        Division::new(self.window, usage, self.divisible(now, allocated))
     }
 
-    fn note_given(
+    fn update_recent(
         &mut self,
         now: Moment,
     ) {
-        if self.lately.is_due(now, STEP) {
+        if self.recent.is_due(now, STEP) {
             let division = self.division(now);
-            self.lately.note(now, &division);
+            self.recent.update(now, &division);
         }
     }
 
-    /// A request of an account that was not over its share was placed, or there was no
-    /// room for it.
+    /// Counts a request of an account that was not over its share: it was placed on a replica,
+    /// or refused for lack of capacity.
     pub fn count_room(
         &mut self,
         now: Moment,
         is_placed: bool,
     ) {
-        self.room.count(now, is_placed);
+        self.placements.count(now, is_placed);
     }
 
-    /// What is divided among accounts: what was given in a window, and what the operator
-    /// says that the replicas make beyond that, as far as requests find room. What was
-    /// refused in a window in which little was given makes nobody go over a share that
-    /// there is; where replicas make less than that, as some are lost, nobody may have
-    /// what they do not make.
-    fn divided(
+    /// The tokens to divide among accounts: those allocated in a window, plus the rest of the
+    /// declared capacity as far as requests are placed. So no account counts as over its share
+    /// after a window in which little was allocated although capacity is there, and no tokens
+    /// are divided that replicas do not produce because some are lost.
+    fn divisible(
         &self,
         now: Moment,
-        given: f32,
+        allocated: f32,
     ) -> f32 {
-        let beyond = self.capacity * self.window.as_secs_f32() - given;
-        given + beyond.max(0.0) * self.room.spare(now)
+        let rest = self.capacity * self.window.as_secs_f32() - allocated;
+        allocated + rest.max(0.0) * self.placements.spare(now)
     }
 
-    /// What each account asked for and got over the fleet.
+    /// The usage of each account over the fleet.
     pub fn fleet_usage(
         &mut self,
         now: Moment,
     ) -> HashMap<u32, AccountUsage> {
-        let mut sum = self.told.sum(now, self.peer_age, self.window).clone();
+        let mut sum = self.reported.sum(now, self.peer_age, self.window).clone();
         add_usage(&mut sum, &self.own);
         sum
     }
 
-    /// What each account asked for and got in this zone.
+    /// The usage of each account in this zone.
     pub fn zone_usage(
         &mut self,
         now: Moment,
     ) -> HashMap<u32, AccountUsage> {
-        self.fade(now);
+        self.decay(now);
         let routers = |scope| scope == TellerScope::Router;
-        let mut sum = self.told.sum_of(now, self.peer_age, self.window, routers);
+        let mut sum = self
+            .reported
+            .sum_of(now, self.peer_age, self.window, routers);
         add_usage(&mut sum, &self.own);
         sum
     }
 
-    fn fade(
+    fn decay(
         &mut self,
         now: Moment,
     ) {
-        let steps = now.saturating_sub(self.faded).as_millis() / STEP.as_millis();
+        let steps = now.saturating_sub(self.decayed).as_millis() / STEP.as_millis();
         if steps == 0 {
             return;
         }
         let passed = STEP.saturating_mul(u32::try_from(steps).unwrap_or(u32::MAX));
-        self.faded += passed;
+        self.decayed += passed;
         let factor = (-passed.as_secs_f32() / self.window.as_secs_f32()).exp();
         self.own.retain(|_, usage| {
             usage.fade(factor);
-            usage.asked > NEGLIGIBLE || usage.got > NEGLIGIBLE
+            usage.asked > NEGLIGIBLE_TOKENS || usage.got > NEGLIGIBLE_TOKENS
         });
     }
 }
--- a/src/policy/direct/shares/standing.rs
+++ b/src/policy/direct/shares/standing.rs
@@ -1,15 +1,16 @@
 use std::time::Duration;
 
-/// How an account stands to its max-min share of what was given lately.
+/// How an account's recent usage compares to its max-min fair share.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum Standing {
-    /// It had `factor` times its share; within it again after `wait` if nothing
-    /// is given.
+    /// It was allocated `factor` times its share. If nothing more is allocated, it is within
+    /// its share again after `wait`.
     Over { wait: Duration, factor: f32 },
     /// It is within its share.
     #[default]
     Within,
-    /// It was refused more than it got, and is given less than half its share now.
+    /// It was allocated less than half of what it requested, and now gets less than half of
+    /// its share.
     Behind,
 }
 
