--- a/src/policy/clock/incarnation.rs
+++ b/src/policy/clock/incarnation.rs
@@ -3,15 +3,16 @@
     std::fmt,
 };
 
-/// One life of a process on a host. A restarted process has a higher one.
+/// Identifies one run of a process on a host, from start to exit. A restarted process has a higher
+/// one.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// From the wall clock at start in milliseconds and a random number that
-    /// tells two starts within one millisecond apart.
+    /// Combines the wall clock at start, in milliseconds, with a random number that
+    /// distinguishes two starts within one millisecond.
     pub fn new(
         unix_millis: u64,
         random: u16,
--- a/src/policy/clock/mod.rs
+++ b/src/policy/clock/mod.rs
@@ -1,4 +1,4 @@
-//! Time: moments, starts of processes, and processes that stood still.
+//! Moments, incarnations of processes, and detection of processes that were suspended.
 
 mod incarnation;
 mod moment;
--- a/src/policy/clock/moment.rs
+++ b/src/policy/clock/moment.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-/// A point in time: how long the process has been up, by its monotonic clock.
+/// A point in time: the process's uptime by its monotonic clock.
 ///
-/// Moments of two processes cannot be compared; messages carry durations.
+/// Moments of two processes cannot be compared, so messages carry durations.
 pub type Moment = Duration;
--- a/src/policy/clock/standstill.rs
+++ b/src/policy/clock/standstill.rs
@@ -3,24 +3,24 @@
     std::time::Duration,
 };
 
-/// What is heard this soon after a standstill may have waited for the process since before
-/// its end: some five reports of another router.
-const MAY_BE_OLD: Duration = Duration::from_millis(50);
+/// Messages received this soon after a pause may have been queued since before its end, so they
+/// confirm nothing: some five reports of another router.
+const QUEUED_MESSAGES: Duration = Duration::from_millis(50);
 
-/// A process that hears of nobody goes by what it knows again after this long: with the
-/// store and all others gone, nobody has anything newer.
-const LONGEST: Duration = Duration::from_millis(1000);
+/// A process that receives no confirmation uses its state again after this long: with the store and
+/// all other processes gone, nobody has anything newer.
+const MAX_UNCONFIRMED: Duration = Duration::from_millis(1000);
 
-/// Notices that the process stood still, frozen, stopped or suspended with its machine,
-/// and that what it knows has to be confirmed before it is gone by.
+/// Detects that the process was stopped, or suspended with its machine. Its state may be outdated
+/// then, and must be confirmed before it is used again.
 #[derive(Debug, Clone, Copy)]
 pub struct Standstill {
     detector: PauseDetector,
-    unconfirmed: Option<Moment>, // since the end of the standstill
+    unconfirmed: Option<Moment>, // since the end of this pause
 }
 
 impl Standstill {
-    /// A process that starts now and does not stand still for longer than `limit`.
+    /// For a process that starts now. Pauses longer than `limit` count.
     pub fn new(
         limit: Duration,
         now: Moment,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// To be called far more often than the limit, and before anything is gone by: how
-    /// long the process stood still, if it just did.
+    /// Returns the length of the pause that just ended, if there was one. Must be called far more
+    /// often than the limit, and before any state is used.
     pub fn look(
         &mut self,
         now: Moment,
@@ -44,23 +44,23 @@
         pause
     }
 
-    /// Another process, or the store, has nothing newer than this one.
+    /// Records that another process or the store has nothing newer than this process.
     pub fn confirm(
         &mut self,
         now: Moment,
     ) {
         let since = self.unconfirmed.map(|since| now.saturating_sub(since));
-        if since.is_some_and(|since| since >= MAY_BE_OLD) {
+        if since.is_some_and(|since| since >= QUEUED_MESSAGES) {
             self.unconfirmed = None;
         }
     }
 
-    /// Whether what is known has to be confirmed first.
+    /// Whether the state must be confirmed before it is used.
     pub fn is_unconfirmed(
         &self,
         now: Moment,
     ) -> bool {
         let since = self.unconfirmed.map(|since| now.saturating_sub(since));
-        since.is_some_and(|since| since < LONGEST)
+        since.is_some_and(|since| since < MAX_UNCONFIRMED)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! Decisions: order, shares, demand, grants, totals, membership, at most once.
+//! Decision logic: request order, fair shares, demand, grants, totals, membership, and execution
+//! at most once.
 //!
-//! Nothing in here does I/O, reads a clock, draws a random number or locks. What both
-//! forms of the product decide by stands beside the rooms of the granted and the direct
-//! form.
+//! Nothing in here does I/O, reads a clock, draws a random number or locks. `direct` serves
+//! routers that send requests to replicas themselves; `granted` serves routers and sidecars,
+//! where sidecars grant their upstream's capacity. The other modules serve both.
 
 mod clock;
 mod direct;
--- a/src/policy/notices/asked_rest.rs
+++ b/src/policy/notices/asked_rest.rs
@@ -1,13 +1,14 @@
 use std::time::Duration;
 
-/// A longer rest than this is taken for this long. A refusal speaks of a passing lack of
-/// room; to take a replica out for longer is for the operator, who has drains and cordons,
-/// and would look into a replica that gets nothing for half a minute. One that still lacks
-/// room then turns one request of each router away, unrun, and is left alone anew.
-const LONGEST_REST: Duration = Duration::from_secs(30);
+/// Longer times are cut to this. A refusal means a temporary lack of capacity; to take a replica
+/// out for longer is up to the operator, who has drains and cordons, and would investigate a
+/// replica that gets nothing for half a minute. One that still lacks capacity then refuses one
+/// request of each router without running it, and gets no more for a while again.
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
-/// The time that a refusal's `Retry-After` asks for: plain decimal seconds. Nothing else is
-/// an answer to how long, not even a date: a replica's clock is not this host's.
+/// Parses the `Retry-After` of a refusal: decimal seconds, with or without a fraction. Returns
+/// `None` for anything else. A date is not accepted, as a replica's clock may differ from this
+/// host's.
 pub fn asked_rest(text: &str) -> Option<Duration> {
     let text = text.trim();
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
@@ -17,6 +18,6 @@
     }
     let seconds: f64 = text.parse().ok()?;
     Some(Duration::from_secs_f64(
-        seconds.min(LONGEST_REST.as_secs_f64()),
+        seconds.min(MAX_BACKOFF.as_secs_f64()),
     ))
 }
--- /dev/null
+++ b/src/policy/notices/incarnation_notice.rs
@@ -0,0 +1,108 @@
+use {super::ReplicaNotice, crate::policy::Moment, std::time::Duration};
+
+/// Up to this difference between the clocks of hosts, incarnations of replicas can be told apart.
+const CLOCK_SKEW: Duration = Duration::from_millis(500);
+
+/// How long a notice may apply to the next incarnation. Clocks with a larger difference must not
+/// shut a replica out for longer; by then the list of upstreams is up to date.
+const NEXT_INCARNATION_TIME: Duration = Duration::from_secs(60);
+
+/// What one incarnation of a replica announced.
+#[derive(Debug, Clone, Copy)]
+pub struct IncarnationNotice {
+    pub born: Option<u64>, // start time of the incarnation that was listed then
+    pub leaves: bool,
+    pub was_received_here: bool, // that it leaves, and not only by a peer
+    backoff_until: Moment,       // it wants no requests until then
+    said_ms: u64,                // the last notice, unix milliseconds
+    unlisted_since: Option<Moment>,
+}
+
+impl IncarnationNotice {
+    /// Without any notice yet of the incarnation that is listed.
+    pub fn of(born: Option<u64>) -> Self {
+        Self {
+            born,
+            leaves: false,
+            was_received_here: false,
+            backoff_until: Moment::ZERO,
+            said_ms: 0,
+            unlisted_since: None,
+        }
+    }
+
+    /// Records a notice of the replica. Returns whether it changes anything.
+    pub fn record(
+        &mut self,
+        now: Moment,
+        unix_ms: u64,
+        notice: ReplicaNotice,
+    ) -> bool {
+        let begins_backoff = !notice.rest.is_zero() && self.backoff_left(now).is_zero();
+        let is_change = begins_backoff || (notice.leaves && !self.leaves);
+        self.leaves |= notice.leaves;
+        self.was_received_here |= notice.leaves;
+        self.backoff_until = self.backoff_until.max(now + notice.rest);
+        self.said_ms = unix_ms;
+        is_change
+    }
+
+    /// Records that a peer was told that the replica leaves. Returns whether this was unknown.
+    pub fn record_peer_leaving(
+        &mut self,
+        unix_ms: u64,
+    ) -> bool {
+        self.said_ms = self.said_ms.max(unix_ms);
+        !std::mem::replace(&mut self.leaves, true)
+    }
+
+    /// How much longer it wants no requests.
+    pub fn backoff_left(
+        &self,
+        now: Moment,
+    ) -> Duration {
+        self.backoff_until.saturating_sub(now)
+    }
+
+    /// Sets whether its incarnation is listed.
+    pub fn set_listed(
+        &mut self,
+        now: Moment,
+        is_listed: bool,
+    ) {
+        self.unlisted_since = match is_listed {
+            true => None,
+            false => self.unlisted_since.or(Some(now)),
+        };
+    }
+
+    /// For how long its incarnation has not been listed.
+    pub fn unlisted_for(
+        &self,
+        now: Moment,
+    ) -> Duration {
+        let since = self.unlisted_since;
+        since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
+    }
+
+    /// Whether it applies to the incarnation of its replica with this start time.
+    pub fn applies_to(
+        &self,
+        now: Moment,
+        born: Option<u64>,
+    ) -> bool {
+        self.born == born || self.applies_to_next(now, born)
+    }
+
+    /// Whether it applies to another incarnation, which has just been listed. If that one had
+    /// started before the notice was received, it was the one that sent it.
+    fn applies_to_next(
+        &self,
+        now: Moment,
+        born: Option<u64>,
+    ) -> bool {
+        let sent_by_next = born
+            .is_none_or(|born| born <= self.said_ms.saturating_add(CLOCK_SKEW.as_millis() as u64));
+        sent_by_next && self.unlisted_for(now) < NEXT_INCARNATION_TIME
+    }
+}
--- a/src/policy/notices/mod.rs
+++ b/src/policy/notices/mod.rs
@@ -1,9 +1,9 @@
-//! What replicas say of themselves in their answers: that they leave, or that they want
-//! nothing for a while. It binds the process that was told, whatever the list says.
+//! What replicas announce in the headers of their answers: that they are leaving, or that they
+//! want no requests for a while. It is obeyed whatever the list of upstreams says.
 
 mod asked_rest;
 mod notice_book;
 mod replica_notice;
-mod said_word;
+mod incarnation_notice;
 
 pub use {asked_rest::asked_rest, notice_book::NoticeBook, replica_notice::ReplicaNotice};
--- a/src/policy/notices/notice_book.rs
+++ b/src/policy/notices/notice_book.rs
@@ -1,26 +1,26 @@
 use {
-    super::{ReplicaNotice, said_word::SaidWord},
+    super::{ReplicaNotice, incarnation_notice::IncarnationNotice},
     crate::{catalog::UpstreamEntry, policy::Moment},
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// How long a replica's word is kept while it is not listed: entries lapse with the store
-/// and return, and their replicas have said what they said.
-const KEPT_UNLISTED: Duration = Duration::from_secs(600);
+/// How long a notice is kept while its replica is not listed. Entries lapse when the store fails
+/// and return later, and the notices of their replicas are still in force then.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
 
-/// What replicas said of themselves to this process.
+/// The notices that replicas gave to this process.
 ///
-/// A word is kept for the start of the replica that was listed when it was said, and binds
-/// that start only: one that has started again has said nothing yet. Where the list is
-/// behind, it may have been the next start that said it; see [`SaidWord::binds`].
+/// A notice applies to the incarnation of the replica that was listed when it was given, and to
+/// that one only: a replica that has restarted has given none yet. If the list was outdated, the
+/// notice may have come from the next incarnation; see [`IncarnationNotice::applies_to`].
 #[derive(Debug, Default)]
 pub struct NoticeBook {
-    words: HashMap<Arc<str>, Vec<SaidWord>>, // by replica, one for each start of it
+    notices: HashMap<Arc<str>, Vec<IncarnationNotice>>, // by replica, one for each incarnation
 }
 
 impl NoticeBook {
-    /// A replica said this in an answer, at `unix_ms` by this host's clock. True if it is
-    /// news: that it leaves, or a rest where none was under way.
+    /// Records a notice of a replica, received at `unix_ms` by this host's clock. Returns
+    /// whether it changes anything: the replica leaves, or begins a time without requests.
     pub fn hear(
         &mut self,
         now: Moment,
@@ -31,26 +31,26 @@
         if notice.is_empty() {
             return false;
         }
-        self.word_mut(replica).hear(now, unix_ms, notice)
+        self.notice_mut(replica).record(now, unix_ms, notice)
     }
 
-    /// A fellow heard that a replica leaves, at `unix_ms` by this host's clock. True if it
-    /// is news.
+    /// Records that a peer was told that a replica leaves, at `unix_ms` by this host's clock.
+    /// Returns whether this was unknown.
     pub fn hear_of_leaving(
         &mut self,
         unix_ms: u64,
         replica: &UpstreamEntry,
     ) -> bool {
-        self.word_mut(replica).hear_of_leaving(unix_ms)
+        self.notice_mut(replica).record_peer_leaving(unix_ms)
     }
 
-    /// Whether a replica said to this process that it leaves.
+    /// Whether a replica told this process itself that it leaves.
     pub fn heard_leaving_here(
         &self,
         replica: &UpstreamEntry,
     ) -> bool {
-        let mut words = self.words_of(replica).iter();
-        words.any(|word| word.born == replica.born && word.was_heard_here)
+        let mut notices = self.notices_of(replica).iter();
+        notices.any(|notice| notice.born == replica.born && notice.was_received_here)
     }
 
     /// Whether a replica said that it leaves.
@@ -59,71 +59,75 @@
         now: Moment,
         replica: &UpstreamEntry,
     ) -> bool {
-        self.binding(now, replica).any(|word| word.leaves)
+        self.applicable(now, replica).any(|notice| notice.leaves)
     }
 
-    /// What is left of the rest that a replica asked for.
+    /// How much longer a replica wants no requests.
     pub fn rest_left(
         &self,
         now: Moment,
         replica: &UpstreamEntry,
     ) -> Duration {
-        let left = self.binding(now, replica).map(|word| word.rest_left(now));
+        let left = self
+            .applicable(now, replica)
+            .map(|notice| notice.backoff_left(now));
         left.max().unwrap_or_default()
     }
 
-    /// Takes in who is listed. What others said is forgotten after a while, and rests
+    /// Sets which replicas are listed. Notices of others are dropped after a while, and those
     /// that are over at once.
     pub fn set_listed(
         &mut self,
         now: Moment,
         listed: &[Arc<UpstreamEntry>],
     ) {
-        if self.words.is_empty() {
+        if self.notices.is_empty() {
             return;
         }
         let starts: HashMap<&str, Option<u64>> = listed
             .iter()
             .map(|entry| (&*entry.id, entry.born))
             .collect();
-        self.words.retain(|id, words| {
+        self.notices.retain(|id, notices| {
             let listed = starts.get(&**id);
-            words.retain_mut(|word| {
-                word.set_listed(now, listed == Some(&word.born));
-                word.unlisted_for(now) <= KEPT_UNLISTED
-                    && (word.leaves || !word.rest_left(now).is_zero())
+            notices.retain_mut(|notice| {
+                notice.set_listed(now, listed == Some(&notice.born));
+                notice.unlisted_for(now) <= UNLISTED_RETENTION
+                    && (notice.leaves || !notice.backoff_left(now).is_zero())
             });
-            !words.is_empty()
+            !notices.is_empty()
         });
     }
 
-    /// The words that bind a replica's present start.
-    fn binding(
+    /// The notices that apply to a replica's present incarnation.
+    fn applicable(
         &self,
         now: Moment,
         replica: &UpstreamEntry,
-    ) -> impl Iterator<Item = &SaidWord> {
-        let words = self.words_of(replica).iter();
-        words.filter(move |word| word.binds(now, replica.born))
+    ) -> impl Iterator<Item = &IncarnationNotice> {
+        let notices = self.notices_of(replica).iter();
+        notices.filter(move |notice| notice.applies_to(now, replica.born))
     }
 
-    fn words_of(
+    fn notices_of(
         &self,
         replica: &UpstreamEntry,
-    ) -> &[SaidWord] {
-        self.words.get(&replica.id).map_or(&[], Vec::as_slice)
+    ) -> &[IncarnationNotice] {
+        self.notices.get(&replica.id).map_or(&[], Vec::as_slice)
     }
 
-    fn word_mut(
+    fn notice_mut(
         &mut self,
         replica: &UpstreamEntry,
-    ) -> &mut SaidWord {
-        let words = self.words.entry(replica.id.clone()).or_default();
-        let known = words.iter().position(|word| word.born == replica.born);
+    ) -> &mut IncarnationNotice {
+        let notices = self.notices.entry(replica.id.clone()).or_default();
+        let known = notices
+            .iter()
+            .position(|notice| notice.born == replica.born);
         let index = known.unwrap_or_else(|| {
-            words.push(SaidWord::of(replica.born));
-            words.len() - 1
+            notices.push(IncarnationNotice::of(replica.born));
+            notices.len() - 1
         });
-        &mut words[index]
+        &mut notices[index]
     }
 }
--- a/src/policy/notices/replica_notice.rs
+++ b/src/policy/notices/replica_notice.rs
@@ -1,15 +1,15 @@
 use std::time::Duration;
 
-/// What the head of an answer says of the replica that gave it.
+/// What the headers of an answer say about the replica that sent it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaNotice {
     pub leaves: bool,   // it takes no new work, for good
-    pub rest: Duration, // it wants nothing from this process for so long; zero if it did not ask
+    pub rest: Duration, // it wants no requests of this process for so long; zero if not stated
 }
 
 impl ReplicaNotice {
-    /// What a replica said: that it leaves, and the rest that it asked for as it turned a
-    /// request away.
+    /// A notice of whether the replica leaves, and for how long it wants no requests, if it
+    /// stated that when it refused one.
     pub fn new(
         leaves: bool,
         rest: Option<Duration>,
@@ -20,12 +20,12 @@
         }
     }
 
-    /// What it says, for metrics.
+    /// The kind of notice, as a label in metrics.
     pub fn kind(&self) -> &'static str {
         if self.leaves { "leaves" } else { "rests" }
     }
 
-    /// Whether it says nothing.
+    /// Whether the notice says nothing.
     pub fn is_empty(&self) -> bool {
         !self.leaves && self.rest.is_zero()
     }
--- a/src/policy/rendezvous.rs
+++ b/src/policy/rendezvous.rs
@@ -1,7 +1,7 @@
 use rendezvous_hash::{DefaultNodeHasher, RendezvousNodes};
 
-/// Orders nodes for a key so that every process derives the same order and a
-/// node that comes or goes moves only its own keys.
+/// Orders nodes for a key by rendezvous hashing: every process derives the same order, and a node
+/// that is added or removed moves only its own keys.
 pub fn rendezvous<'n>(
     key: &str,
     nodes: impl Iterator<Item = &'n str>,
--- a/src/policy/short_name.rs
+++ b/src/policy/short_name.rs
@@ -1,10 +1,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Odd constants of a 64-bit finalizer (the one of SplitMix64).
+/// Multipliers of the SplitMix64 finalizer.
 const FACTORS: (u64, u64) = (0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb);
 
-/// A short name for messages between routers, of a replica, an account, a
-/// service or an availability zone. The same in every process.
+/// A 32-bit hash that stands for the name of a replica, account, service or availability zone in
+/// messages between routers. It is the same in every process.
 pub fn short_name(name: &str) -> u32 {
     stable_hash(&name) as u32
 }
@@ -16,8 +16,8 @@
     hasher.finish()
 }
 
-/// Two numbers that are hashes already, made one without hashing both anew: a choice
-/// among 160 replicas needs 320 of them.
+/// Combines two hashes without hashing both again, which is cheap enough for a choice among 160
+/// replicas that needs 320 combinations.
 pub fn mix(
     left: u64,
     right: u64,
