--- a/src/policy/granted/exchange/attempts.rs
+++ b/src/policy/granted/exchange/attempts.rs
@@ -1,9 +1,9 @@
 use {crate::codes::Ran, crate::policy::RouterExchange};
 
-/// What all attempts at one request together say about whether it ran.
+/// Whether a request ran, as far as all attempts at it tell.
 ///
-/// A later "not run" speaks for its own attempt only: an earlier one with an
-/// unknown outcome may have run all the same.
+/// A "not run" concerns its own attempt only: an earlier one with an unknown outcome may still
+/// have run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Attempts {
     count: u32,
@@ -11,12 +11,12 @@
 }
 
 impl Attempts {
-    /// Attempts that have ended.
+    /// The number of attempts that have ended.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Takes in how an attempt ended.
+    /// Records how an attempt ended.
     pub fn ended(
         &mut self,
         state: RouterExchange,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// What the caller may be told, given what the last step says.
+    /// What to tell the caller, given the result of the last attempt.
     pub fn ran(
         &self,
         last: Ran,
--- a/src/policy/granted/exchange/key_memory.rs
+++ b/src/policy/granted/exchange/key_memory.rs
@@ -10,22 +10,21 @@
 /// What is known of a request's idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyVerdict {
-    Fresh,      // remembered now as running
-    InProgress, // a request with this key runs
+    Fresh,      // unknown before, remembered now as running
+    InProgress, // a request with this key is running
     Ran,        // a request with this key ran, or may have
-    Unsure,     // started too recently, or the memory is full
+    Unsure,     // the process started too recently, or remembers as many keys as it may
 }
 
-/// The idempotency keys a sidecar remembers.
+/// The idempotency keys that a sidecar remembers.
 ///
-/// The memory ends with the process and after a stated time. A process that
-/// started less than `quarantine` ago may have forgotten a run, so it takes no
-/// keyed request that may not be repeated.
+/// They are lost when the process ends, and dropped after a set time. A process that started less
+/// than `quarantine` ago may have lost a key, so it reports new keys as unsure.
 #[derive(Debug, Clone)]
 pub struct KeyMemory {
     keys: HashMap<(AccountId, String), KeyState>,
     ended: VecDeque<(Moment, (AccountId, String))>, // oldest first
-    memory: Duration,
+    memory: Duration, // how long a key is remembered after its request ended
     quarantine: Duration,
     max_keys: usize,
 }
@@ -37,7 +36,7 @@
 }
 
 impl KeyMemory {
-    /// An empty memory.
+    /// Without any keys.
     pub fn new(
         memory: Duration,
         quarantine: Duration,
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Asks about a key and, if it is fresh, remembers it as running.
+    /// Looks up a key and, if it is fresh, remembers it as running.
     pub fn begin(
         &mut self,
         now: Moment,
@@ -73,7 +72,7 @@
         KeyVerdict::Fresh
     }
 
-    /// The request with this key ended; it ran, or may have.
+    /// Records that the request with this key ended, and that it ran or may have run.
     pub fn ran(
         &mut self,
         now: Moment,
@@ -85,7 +84,7 @@
         self.ended.push_back((now, entry));
     }
 
-    /// The request with this key certainly did not run.
+    /// Drops a key whose request certainly did not run.
     pub fn not_run(
         &mut self,
         account: AccountId,
--- a/src/policy/granted/exchange/mod.rs
+++ b/src/policy/granted/exchange/mod.rs
@@ -1,4 +1,5 @@
-//! One request between router and sidecar: attempts, repeats, at most once.
+//! The exchange of one request between router and sidecar: attempts, retries, and execution at most
+//! once.
 
 mod attempts;
 mod finished;
--- a/src/policy/granted/exchange/retry_budget.rs
+++ b/src/policy/granted/exchange/retry_budget.rs
@@ -1,12 +1,11 @@
-/// The most retries that may be saved up, in requests.
-const BURST: f64 = 10.0;
+/// Retries that may be saved up at most.
+const MAX_SAVED: f64 = 10.0;
 
-/// Bounds retries to a fraction of requests, so that failures cannot multiply
-/// the load.
+/// Limits retries to a fraction of requests, so that failures cannot multiply the load.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    fraction: f64,
-    saved: f64, // retries that may be made now
+    fraction: f64, // retries per request
+    saved: f64,    // retries that may be made now
 }
 
 impl RetryBudget {
@@ -14,16 +13,16 @@
     pub fn new(fraction: f64) -> Self {
         Self {
             fraction,
-            saved: BURST * fraction.min(1.0),
+            saved: MAX_SAVED * fraction.min(1.0),
         }
     }
 
     /// Counts a first attempt.
     pub fn request(&mut self) {
-        self.saved = (self.saved + self.fraction).min(BURST);
+        self.saved = (self.saved + self.fraction).min(MAX_SAVED);
     }
 
-    /// Takes one retry, if there is one left.
+    /// Takes one retry. Returns whether there was one left.
     pub fn take(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
--- a/src/policy/granted/exchange/router_exchange.rs
+++ b/src/policy/granted/exchange/router_exchange.rs
@@ -1,24 +1,24 @@
 use crate::codes::{Ran, ResultCode};
 
-/// What a router observes while a request is with a sidecar.
+/// What a router observes of a request that it sends to a sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEvent {
     Sending,            // from here on bytes may reach the sidecar
-    NotRun(ResultCode), // the sidecar says it has not started it, and never will
-    Begun,              // the sidecar says the upstream answers
-    Whole,              // the end marker, length and digest in order
-    Failed(ResultCode), // the sidecar says the upstream failed
+    NotRun(ResultCode), // the sidecar reports that it has not started it and never will
+    Begun,              // the sidecar reports that the upstream answers
+    Whole,              // the end marker came, length and digest are correct
+    Failed(ResultCode), // the sidecar reports that the upstream failed
     Mismatch,           // the answer is not this request's, or is damaged
-    Lost,               // the connection, or patience, ended first
+    Lost,               // the connection or the allowed time ended first
 }
 
-/// A router's knowledge of one attempt. Only a sidecar's own word, or never
-/// having sent anything, proves that a request did not run.
+/// What a router knows of one attempt at a request. Only a report of the sidecar, or having sent
+/// nothing at all, proves that the request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RouterExchange {
     Unsent,
     Sent,
-    Answering, // part of the answer may be with the caller
+    Answering, // the caller may have part of the answer
     Ended(Ran, ResultCode),
     Delivered,
 }
@@ -44,13 +44,13 @@
             }
             (_, AnswerEvent::Lost) => Self::Ended(Ran::Unknown, ResultCode::AnswerCut),
             (_, AnswerEvent::Failed(code)) => Self::Ended(Ran::Unknown, code),
-            // A sidecar that says anything else contradicts itself.
+            // Any other event contradicts what the sidecar reported before.
             _ => Self::Ended(Ran::Unknown, ResultCode::AnswerMismatch),
         }
     }
 
-    /// Whether another attempt is safe: it did not run, or it may run twice
-    /// and the caller has seen nothing of an answer.
+    /// Whether another attempt is safe: the caller has seen nothing of an answer, and the
+    /// request did not run or may run twice.
     pub fn may_retry(
         self,
         repeatable: bool,
--- a/src/policy/granted/exchange/sidecar_exchange.rs
+++ b/src/policy/granted/exchange/sidecar_exchange.rs
@@ -1,16 +1,16 @@
-/// A sidecar's side of one request. It may say "not run" only before it has
-/// begun to send the request upstream, or when the upstream refused the
-/// connection, and then never starts it.
+/// A sidecar's state of one request. The sidecar may report "not run" only before it has begun to
+/// send the request upstream, or when the upstream refused the connection, and never starts the
+/// request after that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum SidecarExchange {
     Received,
-    HandedBack, // said "not run"; final
+    HandedBack, // reported "not run"; final
     Started,    // bytes may have reached the upstream
     Ended,
 }
 
 impl SidecarExchange {
-    /// Decides to send the request upstream. False if it was handed back.
+    /// Starts to send the request upstream. Returns false if it was handed back.
     pub fn start(&mut self) -> bool {
         let may_start = *self == Self::Received;
         if may_start {
@@ -19,7 +19,7 @@
         may_start
     }
 
-    /// Decides to hand the request back. False if it has started.
+    /// Hands the request back. Returns false if it has started.
     pub fn hand_back(&mut self) -> bool {
         let may_hand_back = *self == Self::Received;
         if may_hand_back {
@@ -28,7 +28,8 @@
         may_hand_back
     }
 
-    /// The upstream refused the connection, so nothing reached it.
+    /// Records that the upstream refused the connection, so that nothing reached it. Returns
+    /// whether the request had started.
     pub fn refused_by_upstream(&mut self) -> bool {
         let was_started = *self == Self::Started;
         if was_started {
@@ -37,7 +38,7 @@
         was_started
     }
 
-    /// The upstream's answer ended, in whatever way.
+    /// Records that the upstream's answer ended, in whatever way.
     pub fn end(&mut self) {
         if *self == Self::Started {
             *self = Self::Ended;
--- a/src/policy/granted/fleet/config_gate.rs
+++ b/src/policy/granted/fleet/config_gate.rs
@@ -3,15 +3,15 @@
 /// What to do with a revision that was offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    Fetch,    // newer than all seen
+    Fetch,    // newer than the one in force
     InForce,  // the one in force
-    Older,    // never goes back
-    Rejected, // was found invalid before
+    Older,    // than the one in force: ignored
+    Rejected, // found invalid before
     Conflict, // the number of the one in force, with other bytes
 }
 
-/// Decides which configuration may come into force. Order is the platform's
-/// revision number, so that no stale reader can bring an old one back.
+/// Decides which configuration may come into force. Configurations are ordered by the platform's
+/// revision number, so that an outdated reader cannot bring an old one back.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigGate {
     in_force: Option<(Revision, String)>, // with its digest
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Brings a valid configuration into force. False if that would go back.
+    /// Brings a valid configuration into force. Returns false for a revision that is not newer
+    /// than the one in force.
     pub fn accept(
         &mut self,
         revision: Revision,
@@ -62,7 +63,7 @@
         newer
     }
 
-    /// Remembers an invalid configuration, so that it is refused only once.
+    /// Remembers an invalid configuration, so that it is fetched and refused only once.
     pub fn reject(
         &mut self,
         revision: Revision,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Peers send a digest's first digits only; these are compared.
+/// Compares the digits that both have, as peers send only the first digits of a digest.
 fn same_digest(
     known: &str,
     offered: &str,
--- a/src/policy/granted/fleet/membership.rs
+++ b/src/policy/granted/fleet/membership.rs
@@ -1,15 +1,15 @@
 use {crate::policy::Incarnation, std::collections::HashMap};
 
-/// What a peer's first message says about its incarnation.
+/// How the incarnation in a peer's first message compares to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sighting {
     New,
     Same,
     Restarted,
-    Stale, // an earlier life: its messages count for nothing
+    Stale, // an earlier incarnation: its messages are ignored
 }
 
-/// The peers heard from, and which life of each is the newest.
+/// The peers that sent messages, and the newest incarnation of each.
 #[derive(Debug, Clone, Default)]
 pub struct Membership {
     peers: HashMap<String, Peer>,
@@ -22,7 +22,7 @@
 }
 
 impl Membership {
-    /// Takes in that a peer was heard from.
+    /// Records a peer's first message on a connection.
     pub fn sight(
         &mut self,
         host: &str,
@@ -42,7 +42,7 @@
         sighting
     }
 
-    /// Takes in that a peer says it is leaving.
+    /// Records that a peer announced that it is leaving.
     pub fn leave(
         &mut self,
         host: &str,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes in that a peer takes work again.
+    /// Records that a peer takes work again.
     pub fn come_back(
         &mut self,
         host: &str,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Whether a peer has said, in its newest life, that it is leaving.
+    /// Whether a peer's newest incarnation announced that it is leaving.
     pub fn is_leaving(
         &self,
         host: &str,
@@ -70,7 +70,7 @@
         self.peers.get(host).is_some_and(|peer| peer.leaving)
     }
 
-    /// The newest life of a peer.
+    /// The newest incarnation of a peer.
     pub fn incarnation(
         &self,
         host: &str,
@@ -78,7 +78,7 @@
         self.peers.get(host).map(|peer| peer.incarnation)
     }
 
-    /// Forgets peers that are not in this list any more.
+    /// Removes peers that are no longer listed.
     pub fn retain(
         &mut self,
         listed: impl Fn(&str) -> bool,
--- a/src/policy/granted/fleet/mod.rs
+++ b/src/policy/granted/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Which hosts and which configuration a process of the granted form goes by.
+//! Which hosts a process of the granted form works with, and which configuration it uses.
 
 mod config_gate;
 mod host_set;
--- a/src/policy/granted/fleet/reach.rs
+++ b/src/policy/granted/fleet/reach.rs
@@ -3,20 +3,21 @@
     std::time::Duration,
 };
 
-/// Demand that stays unserved this long widens the reach.
-const WIDEN_AFTER: Duration = Duration::from_millis(250);
+/// How long a request must wait before the router connects to more sidecars, and how long it waits
+/// between two such steps.
+const GROW_AFTER: Duration = Duration::from_millis(250);
 
-/// How many sidecars a router connects to: few, and more while its requests
-/// wait unserved, so that capacity is never idle while work waits.
+/// The subset of sidecars that a router connects to: few, and more while its requests wait
+/// unserved, so that no capacity is idle while work waits.
 #[derive(Debug, Clone, Copy)]
 pub struct Reach {
-    initial: usize, // 0 for all
-    current: usize,
+    initial: usize, // size; 0 for all sidecars
+    current: usize, // size
     changed: Moment,
 }
 
 impl Reach {
-    /// Begins with `initial` sidecars, or with all for 0.
+    /// Begins with `initial` sidecars, or with all of them for 0.
     pub fn new(initial: usize) -> Self {
         Self {
             initial,
@@ -25,8 +26,8 @@
         }
     }
 
-    /// Doubles the reach while the oldest request has waited for long.
-    /// True when it grew.
+    /// Doubles the subset if the oldest request has waited for long and not all of the `known`
+    /// sidecars are in it. Returns whether it grew.
     pub fn adapt(
         &mut self,
         now: Moment,
@@ -34,8 +35,8 @@
         known: usize,
     ) -> bool {
         let may_grow = self.initial > 0 && self.current < known;
-        let settled = now.saturating_sub(self.changed) >= WIDEN_AFTER;
-        if !may_grow || !settled || oldest_wait < WIDEN_AFTER {
+        let is_due = now.saturating_sub(self.changed) >= GROW_AFTER;
+        if !may_grow || !is_due || oldest_wait < GROW_AFTER {
             return false;
         }
         self.current *= 2;
@@ -43,7 +44,7 @@
         true
     }
 
-    /// The sidecars to connect to: the router's own zone first, each zone in
+    /// The sidecars to connect to: those of the router's own zone first, then all others, both in
     /// rendezvous order. `sidecars` are pairs of host and zone.
     pub fn select<'s>(
         &self,
--- a/src/policy/granted/mod.rs
+++ b/src/policy/granted/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions of the granted form, in which sidecars own the capacity of their upstreams.
+//! Decisions of the granted form, in which sidecars own the capacity of their upstreams and grant
+//! it to routers.
 
 mod dispatch;
 mod exchange;
--- a/src/policy/granted/waiting/account_queue.rs
+++ b/src/policy/granted/waiting/account_queue.rs
@@ -7,14 +7,14 @@
     },
 };
 
-/// How many of the most urgent requests are looked at for a cached prefix.
+/// How many of the most urgent requests are searched for a cached prefix.
 const PREFIX_CANDIDATES: usize = 16;
 
 /// Requests by deadline and id.
 type Bucket = BTreeMap<(Moment, u64), WaitingRequest>;
 
-/// One account's waiting requests at a router, most urgent first, kept apart
-/// by the set of hosts that may serve them.
+/// The requests of one account that wait at a router, by deadline, in a bucket for each set of
+/// hosts that may serve them.
 #[derive(Debug, Clone, Default)]
 pub struct AccountQueue {
     buckets: HashMap<HostSet, Bucket>,
@@ -24,7 +24,7 @@
 }
 
 impl AccountQueue {
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.arrivals.len()
     }
@@ -64,8 +64,8 @@
         Some(request)
     }
 
-    /// Takes the best request that a host may serve: the most urgent, or one
-    /// whose prefix the host served last and that is at most `slack` younger.
+    /// Removes and returns the best request that a host may serve: the most urgent one, or one
+    /// whose prefix the host served last and that arrived at most `slack` after it.
     pub fn take_for(
         &mut self,
         host: &str,
@@ -86,7 +86,7 @@
         self.remove(&hosts, deadline, id)
     }
 
-    /// What waits for a host.
+    /// The demand for a host; `None` if nothing waits for it.
     pub fn demand_for(
         &self,
         host: &str,
@@ -109,12 +109,12 @@
         demand
     }
 
-    /// Hosts that at least one waiting request may run on, with repeats.
+    /// Hosts that at least one waiting request may run on; some may come more than once.
     pub fn hosts(&self) -> impl Iterator<Item = &Arc<str>> {
         self.buckets.keys().flat_map(|hosts| hosts.iter())
     }
 
-    /// Arrival of the oldest request.
+    /// When the oldest request arrived.
     pub fn oldest(&self) -> Option<Moment> {
         self.arrivals.values().next().copied()
     }
@@ -127,7 +127,7 @@
             .max_by_key(|request| (request.deadline, request.id))
     }
 
-    /// Requests whose patience is over.
+    /// Requests whose deadline has passed.
     pub fn overdue(
         &self,
         now: Moment,
--- a/src/policy/granted/waiting/drain_rate.rs
+++ b/src/policy/granted/waiting/drain_rate.rs
@@ -4,58 +4,57 @@
 };
 
 /// Starts that are remembered.
-const SAMPLES: usize = 32;
+const MAX_SAMPLES: usize = 32;
 
-/// Starts needed before the rate is trusted.
-const TRUSTED: usize = 8;
+/// Starts needed before the rate is used.
+const MIN_SAMPLES: usize = 8;
 
-/// The shortest and longest waits that a refusal names.
+/// Shortest and longest `Retry-After` of a refusal.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 
-/// How fast an account's requests leave the queue of one router.
+/// The rate at which an account's requests leave the queue of one router.
 #[derive(Debug, Clone, Default)]
 pub struct DrainRate {
     starts: VecDeque<Moment>,
 }
 
 impl DrainRate {
-    /// Notes that a request left the queue for an upstream.
+    /// Records that a request left the queue for an upstream.
     pub fn started(
         &mut self,
         now: Moment,
     ) {
-        if self.starts.len() == SAMPLES {
+        if self.starts.len() == MAX_SAMPLES {
             self.starts.pop_front();
         }
         self.starts.push_back(now);
     }
 
-    /// Forgets the past, when the queue has been empty.
+    /// Clears the samples, after the queue has been empty.
     pub fn reset(&mut self) {
         self.starts.clear();
     }
 
-    /// How long the request behind `ahead` others will wait; none while too
-    /// few have started to tell.
+    /// How long the request behind `ahead` others will wait; `None` with too few samples.
     pub fn wait(
         &self,
         now: Moment,
         ahead: usize,
     ) -> Option<Duration> {
-        if self.starts.len() < TRUSTED {
+        if self.starts.len() < MIN_SAMPLES {
             return None;
         }
         let span = now.saturating_sub(*self.starts.front()?);
         Some(span.mul_f64(ahead as f64 / self.starts.len() as f64))
     }
 
-    /// When a refused caller should come back.
+    /// After how long a refused caller should retry.
     pub fn retry_after(
         &self,
         now: Moment,
         ahead: usize,
     ) -> Duration {
-        let (least, most) = RETRY_BOUNDS;
-        self.wait(now, ahead).unwrap_or(least).clamp(least, most)
+        let (min, max) = RETRY_BOUNDS;
+        self.wait(now, ahead).unwrap_or(min).clamp(min, max)
     }
 }
--- a/src/policy/granted/waiting/mod.rs
+++ b/src/policy/granted/waiting/mod.rs
@@ -1,4 +1,4 @@
-//! How requests wait at a router until a sidecar grants one of them.
+//! The queues in which requests wait at a router until a sidecar grants one of them.
 
 mod account_queue;
 mod drain_rate;
--- a/src/policy/granted/waiting/prefix_memory.rs
+++ b/src/policy/granted/waiting/prefix_memory.rs
@@ -4,13 +4,12 @@
 };
 
 /// Prefixes that are remembered.
-const BOUND: usize = 4096;
+const MAX_PREFIXES: usize = 4096;
 
-/// A hash of a model and the first bytes of a prompt.
+/// A hash of a model's name and the first bytes of a prompt.
 pub type PrefixHash = u32;
 
-/// Which sidecar last served a prompt prefix: a hint that its engine may still
-/// have it cached.
+/// Remembers which host last served a prompt prefix, as its engine may still have it cached.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixMemory {
     served: HashMap<PrefixHash, Arc<str>>, // by which host
@@ -18,7 +17,7 @@
 }
 
 impl PrefixMemory {
-    /// Notes that a host serves a prefix now.
+    /// Records that a host serves a prefix now.
     pub fn served(
         &mut self,
         prefix: PrefixHash,
@@ -27,7 +26,7 @@
         if self.served.insert(prefix, host.clone()).is_none() {
             self.order.push_back(prefix);
         }
-        if self.order.len() > BOUND
+        if self.order.len() > MAX_PREFIXES
             && let Some(oldest) = self.order.pop_front()
         {
             self.served.remove(&oldest);
--- a/src/policy/granted/waiting/waiting_request.rs
+++ b/src/policy/granted/waiting/waiting_request.rs
@@ -9,7 +9,7 @@
     pub id: u64, // in order of arrival
     pub account: AccountId,
     pub arrived: Moment,
-    pub deadline: Moment, // end of its patience
+    pub deadline: Moment, // by which it must have started
     pub bytes: u64,       // held in memory
     pub hosts: HostSet,   // that may serve it, sorted
     pub prefix: Option<PrefixHash>,
--- a/src/policy/granted/waiting/waiting_room.rs
+++ b/src/policy/granted/waiting/waiting_room.rs
@@ -4,16 +4,16 @@
     std::{collections::BTreeMap, sync::Arc, time::Duration},
 };
 
-/// What may wait at one router.
+/// Limits on what may wait at one router.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingBounds {
     pub requests: usize,
     pub bytes: u64,
     pub per_account: usize, // requests
-    pub refuse_early: bool, // when patience cannot be met
+    pub refuse_early: bool, // at arrival, if the request is not expected to start in time
 }
 
-/// A request that is given up, with why and when its caller should come back.
+/// A request that is dropped from the queue, and the answer to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Shed {
     pub id: u64,
@@ -21,7 +21,7 @@
     pub retry_after: Duration,
 }
 
-/// The requests that wait at a router, per client account.
+/// The requests that wait at a router, in a queue for each client account.
 #[derive(Debug, Clone)]
 pub struct WaitingRoom {
     queues: BTreeMap<AccountId, AccountQueue>,
@@ -33,7 +33,7 @@
 }
 
 impl WaitingRoom {
-    /// An empty room.
+    /// Without any requests.
     pub fn new(
         bounds: WaitingBounds,
         prefix_slack: Duration,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn len(&self) -> usize {
         self.requests
     }
@@ -58,13 +58,13 @@
         self.requests == 0
     }
 
-    /// Bytes held by the requests that wait.
+    /// Bytes of memory held by the waiting requests.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Adds a request. Gives those that are given up for it: itself, or the
-    /// least urgent ones of the account that holds most.
+    /// Adds a request. Returns the requests that are dropped for it: itself, or the least
+    /// urgent ones of the account that holds most.
     pub fn push(
         &mut self,
         now: Moment,
@@ -72,14 +72,14 @@
     ) -> Vec<Shed> {
         let queue = self.queues.entry(request.account).or_default();
         let waiting = queue.len();
-        let shed_code = if waiting >= self.bounds.per_account {
+        let refusal = if waiting >= self.bounds.per_account {
             Some(ResultCode::TooManyWaiting)
-        } else if self.bounds.refuse_early && outlasts_patience(queue, now, &request) {
+        } else if self.bounds.refuse_early && misses_deadline(queue, now, &request) {
             Some(ResultCode::PatienceTooShort)
         } else {
             None
         };
-        if let Some(code) = shed_code {
+        if let Some(code) = refusal {
             return vec![shed(&request, queue, now, code)];
         }
         self.requests += 1;
@@ -88,8 +88,8 @@
         self.shed_excess(now)
     }
 
-    /// Puts a request back that a sidecar handed back before starting it.
-    /// It keeps its place and is never refused.
+    /// Puts back a request that a sidecar returned before starting it. It keeps its place and
+    /// is never refused.
     pub fn push_back(
         &mut self,
         request: WaitingRequest,
@@ -102,7 +102,7 @@
             .push(request);
     }
 
-    /// Takes the request that answers a host's grant to an account.
+    /// Removes and returns the request to send for a grant of a host to an account.
     pub fn take_for(
         &mut self,
         now: Moment,
@@ -120,7 +120,7 @@
         Some(request)
     }
 
-    /// Notes that a host serves a prefix without a wait.
+    /// Records that a host serves a request's prefix, for a request that did not wait.
     pub fn note_prefix(
         &mut self,
         request: &WaitingRequest,
@@ -139,7 +139,7 @@
         self.prefixes.host(request.prefix?)
     }
 
-    /// Removes a request whose caller is gone.
+    /// Removes a request whose caller is gone. Returns whether it was waiting.
     pub fn remove(
         &mut self,
         request: &WaitingRequest,
@@ -155,17 +155,16 @@
         removed.is_some()
     }
 
-    /// Gives up what cannot start within its patience any more. Each gets its
-    /// answer at once.
+    /// Drops the requests whose deadline has passed, and returns them to be answered at once.
     pub fn give_up(
         &mut self,
         now: Moment,
     ) -> Vec<Shed> {
-        let mut given_up = Vec::new();
+        let mut dropped = Vec::new();
         let mut requests = Vec::new();
         for queue in self.queues.values() {
             for request in queue.overdue(now) {
-                given_up.push(shed(&request, queue, now, ResultCode::PatienceOver));
+                dropped.push(shed(&request, queue, now, ResultCode::PatienceOver));
                 requests.push(request);
             }
         }
@@ -173,8 +172,8 @@
             self.remove(request);
         }
         self.queues
-            .retain(|_, queue| !queue.is_empty() || recently_drained(queue, now));
-        given_up
+            .retain(|_, queue| !queue.is_empty() || drains_fast(queue, now));
+        dropped
     }
 
     /// Whether an account has requests waiting.
@@ -204,7 +203,7 @@
             .map_or(Duration::ZERO, |oldest| now.saturating_sub(oldest))
     }
 
-    /// Everything that waits, emptied out: the router answers and stops.
+    /// Drops all waiting requests with this code, as the router stops.
     pub fn drain_all(
         &mut self,
         now: Moment,
@@ -219,8 +218,8 @@
             .iter()
             .filter_map(|request| {
                 let queue = self.queues.get(&request.account)?;
-                let given_up = shed(request, queue, now, code);
-                self.remove(request).then_some(given_up)
+                let dropped = shed(request, queue, now, code);
+                self.remove(request).then_some(dropped)
             })
             .collect()
     }
@@ -229,20 +228,21 @@
         &mut self,
         now: Moment,
     ) -> Vec<Shed> {
-        let mut given_up = Vec::new();
+        let mut dropped = Vec::new();
         while self.requests > self.bounds.requests || self.bytes > self.bounds.bytes {
-            let Some(request) = self.victim() else {
+            let Some(request) = self.excess_request() else {
                 break;
             };
             let queue = &self.queues[&request.account];
-            given_up.push(shed(&request, queue, now, ResultCode::TooManyWaiting));
+            dropped.push(shed(&request, queue, now, ResultCode::TooManyWaiting));
             self.remove(&request);
         }
-        given_up
+        dropped
     }
 
-    /// The least urgent request of the account that holds most.
-    fn victim(&self) -> Option<WaitingRequest> {
+    /// The least urgent request of the account that holds most, in bytes or requests, whichever
+    /// limit is exceeded.
+    fn excess_request(&self) -> Option<WaitingRequest> {
         let by_bytes = self.bytes > self.bounds.bytes;
         let fullest = self.queues.values().max_by_key(|queue| {
             let requests = queue.len() as u64;
@@ -252,19 +252,20 @@
     }
 }
 
-fn outlasts_patience(
+fn misses_deadline(
     queue: &AccountQueue,
     now: Moment,
     request: &WaitingRequest,
 ) -> bool {
-    let patience = request.deadline.saturating_sub(now);
+    let time_left = request.deadline.saturating_sub(now);
     queue
         .drain
         .wait(now, queue.len() + 1)
-        .is_some_and(|wait| wait > patience)
+        .is_some_and(|wait| wait > time_left)
 }
 
-fn recently_drained(
+/// Whether the queue's rate is worth keeping although the queue is empty.
+fn drains_fast(
     queue: &AccountQueue,
     now: Moment,
 ) -> bool {
