--- a/src/policy/clock/mod.rs
+++ b/src/policy/clock/mod.rs
@@ -1,4 +1,4 @@
-//! Moments, incarnations of processes, and detection of processes that were suspended.
+//! Moments, incarnations of processes, and detection that the process was suspended.
 
 mod incarnation;
 mod moment;
--- a/src/policy/clock/pause_detector.rs
+++ b/src/policy/clock/pause_detector.rs
@@ -1,6 +1,6 @@
 use {crate::policy::Moment, std::time::Duration};
 
-/// Detects that the process did not run for a while: a frozen machine or a stopped process.
+/// Detects that the process was suspended: stopped, stalled or frozen with its machine.
 #[derive(Debug, Clone, Copy)]
 pub struct PauseDetector {
     limit: Duration,
@@ -8,7 +8,7 @@
 }
 
 impl PauseDetector {
-    /// A detector for pauses longer than `limit`. It must be called far more often than that.
+    /// A detector for suspensions longer than `limit`. It must be called far more often.
     pub fn new(
         limit: Duration,
         now: Moment,
@@ -16,7 +16,7 @@
         Self { limit, last: now }
     }
 
-    /// Returns the length of the pause that just ended, if there was one.
+    /// Returns the length of the suspension that just ended, if there was one.
     pub fn tick(
         &mut self,
         now: Moment,
--- a/src/policy/clock/standstill.rs
+++ b/src/policy/clock/standstill.rs
@@ -3,7 +3,7 @@
     std::time::Duration,
 };
 
-/// Messages received this soon after a pause may have been queued since before its end, so they
+/// Messages received this soon after a suspension may have been queued before its end, so they
 /// confirm nothing: some five reports of another router.
 const QUEUED_MESSAGES: Duration = Duration::from_millis(50);
 
@@ -11,16 +11,16 @@
 /// all other processes gone, nobody has anything newer.
 const MAX_UNCONFIRMED: Duration = Duration::from_millis(1000);
 
-/// Detects that the process was stopped, or suspended with its machine. Its state may be outdated
-/// then, and must be confirmed before it is used again.
+/// Detects that the process was suspended: stopped, stalled or frozen with its machine. Its state
+/// may be outdated then, and must be confirmed before it is used again.
 #[derive(Debug, Clone, Copy)]
 pub struct Standstill {
     detector: PauseDetector,
-    unconfirmed: Option<Moment>, // since the end of this pause
+    unconfirmed: Option<Moment>, // since the end of this suspension
 }
 
 impl Standstill {
-    /// For a process that starts now. Pauses longer than `limit` count.
+    /// A guard for a process that starts now, against suspensions longer than `limit`.
     pub fn new(
         limit: Duration,
         now: Moment,
@@ -31,17 +31,17 @@
         }
     }
 
-    /// Returns the length of the pause that just ended, if there was one. Must be called far more
-    /// often than the limit, and before any state is used.
+    /// Returns the length of the suspension that just ended, if there was one. Must be called
+    /// far more often than the limit, and before any state is used.
     pub fn look(
         &mut self,
         now: Moment,
     ) -> Option<Duration> {
-        let pause = self.detector.tick(now);
-        if pause.is_some() {
+        let suspension = self.detector.tick(now);
+        if suspension.is_some() {
             self.unconfirmed = Some(now);
         }
-        pause
+        suspension
     }
 
     /// Records that another process or the store has nothing newer than this process.
--- a/src/policy/direct/shares/reported_usage.rs
+++ b/src/policy/direct/shares/reported_usage.rs
@@ -29,9 +29,9 @@
 }
 
 impl ReportedUsage {
-    /// Records a report on some accounts, and removes what its reporter said earlier than `age`
-    /// ago.
-    pub fn record(
+    /// Applies a report on some accounts, and removes what the same reporter sent more than
+    /// `age` ago.
+    pub fn apply_report(
         &mut self,
         now: Moment,
         teller: Teller,
--- a/src/policy/direct/shares/share_book.rs
+++ b/src/policy/direct/shares/share_book.rs
@@ -102,14 +102,15 @@
         }
     }
 
-    /// Records the usage of some accounts that another router or zone reports.
+    /// Applies a report of another router or zone on the usage of some accounts.
     pub fn hear(
         &mut self,
         now: Moment,
         teller: Teller,
         usage: &[(u32, AccountUsage)],
     ) {
-        self.reported.record(now, teller, usage, self.peer_age);
+        self.reported
+            .apply_report(now, teller, usage, self.peer_age);
     }
 
     /// Removes all that a router or zone reported, as it is gone.
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -13,8 +13,8 @@
 const MAX_UPDATES_AT_ONCE: usize = 32;
 
 impl SuspectBook {
-    /// Queues an update on a request about which this router learnt something, for the
-    /// routers of this zone and for other zones.
+    /// Queues an update on a request of which this router got new evidence, for the routers of
+    /// this zone and for other zones.
     pub(super) fn queue_update(
         &mut self,
         request: RequestDigest,
@@ -23,8 +23,8 @@
         self.zone_updates.insert(request, SENDS_PER_UPDATE);
     }
 
-    /// Merges what other routers know. Returns the requests that are held back because of
-    /// that and were not before, or are held back for more crashes than before.
+    /// Applies reports of other routers. Returns the requests that are held back because of
+    /// them and were not before, or are held back for more crashes than before.
     pub fn hear(
         &mut self,
         now: Moment,
@@ -32,13 +32,13 @@
         notes: &[SuspectNote],
     ) -> Vec<(RequestDigest, Hold)> {
         let newly_held = notes.iter().filter_map(|note| {
-            let hold = self.merge_one(now, scope, note)?;
+            let hold = self.apply_one(now, scope, note)?;
             Some((note.request, hold))
         });
         newly_held.collect()
     }
 
-    fn merge_one(
+    fn apply_one(
         &mut self,
         now: Moment,
         scope: TellerScope,
@@ -53,18 +53,18 @@
             .iter()
             .any(|end| suspect.has_cleared(end.key, end.is_excused));
         let ends = note.ends.iter().map(|end| end.heard(now));
-        let learnt = ends.filter(|end| suspect.record(*end)).count();
+        let added = ends.filter(|end| suspect.record(*end)).count();
         let hold = self.refresh_hold(note.request);
         if is_cleared_here {
             self.queue_update(note.request);
         }
-        if learnt > 0 && scope == TellerScope::Router {
+        if added > 0 && scope == TellerScope::Router {
             self.zone_updates.insert(note.request, SENDS_PER_UPDATE);
         }
         hold.filter(|hold| before.is_none_or(|before| before.ends < hold.ends))
     }
 
-    /// The next updates to send to the routers of this zone: what this router learnt.
+    /// The next updates to send to the routers of this zone: evidence of this router.
     pub fn take_news(
         &mut self,
         now: Moment,
@@ -73,7 +73,7 @@
         self.notes(now, &due)
     }
 
-    /// The next updates to send to other zones: what the routers of this zone learnt.
+    /// The next updates to send to other zones: evidence of the routers of this zone.
     pub fn take_zone_news(
         &mut self,
         now: Moment,
--- a/src/policy/direct/suspects/suspect_book.rs
+++ b/src/policy/direct/suspects/suspect_book.rs
@@ -28,8 +28,8 @@
 #[derive(Debug, Default)]
 pub struct SuspectBook {
     pub(super) suspects: HashMap<RequestDigest, Suspect>,
-    pub(super) updates: BTreeMap<RequestDigest, u8>, // learnt here, by remaining sends
-    pub(super) zone_updates: BTreeMap<RequestDigest, u8>, // learnt in this zone, by remaining sends
+    pub(super) updates: BTreeMap<RequestDigest, u8>, // of this router, with remaining sends
+    pub(super) zone_updates: BTreeMap<RequestDigest, u8>, // of this zone, with remaining sends
     pub(super) with_hold: BTreeSet<RequestDigest>,   // with enough crashes for a hold
     answered: AnsweredRequests,                      // at this router
     exempt: BTreeSet<RequestDigest>,                 // never held back, as the operator set
--- a/src/policy/notices/incarnation_notice.rs
+++ b/src/policy/notices/incarnation_notice.rs
@@ -31,14 +31,14 @@
         }
     }
 
-    /// Records a notice of the replica. Returns whether it changes anything.
-    pub fn record(
+    /// Applies a notice of the replica. Returns whether it changes anything.
+    pub fn apply(
         &mut self,
         now: Moment,
         unix_ms: u64,
         notice: ReplicaNotice,
     ) -> bool {
-        let begins_backoff = !notice.rest.is_zero() && self.backoff_left(now).is_zero();
+        let begins_backoff = !notice.rest.is_zero() && self.backoff_remaining(now).is_zero();
         let is_change = begins_backoff || (notice.leaves && !self.leaves);
         self.leaves |= notice.leaves;
         self.was_received_here |= notice.leaves;
@@ -47,8 +47,8 @@
         is_change
     }
 
-    /// Records that a peer was told that the replica leaves. Returns whether this was unknown.
-    pub fn record_peer_leaving(
+    /// Applies a peer's message that the replica leaves. Returns whether this was unknown.
+    pub fn apply_peer_leaving(
         &mut self,
         unix_ms: u64,
     ) -> bool {
@@ -56,8 +56,8 @@
         !std::mem::replace(&mut self.leaves, true)
     }
 
-    /// How much longer it wants no requests.
-    pub fn backoff_left(
+    /// The remaining time for which it wants no requests.
+    pub fn backoff_remaining(
         &self,
         now: Moment,
     ) -> Duration {
--- a/src/policy/notices/notice_book.rs
+++ b/src/policy/notices/notice_book.rs
@@ -19,8 +19,8 @@
 }
 
 impl NoticeBook {
-    /// Records a notice of a replica, received at `unix_ms` by this host's clock. Returns
-    /// whether it changes anything: the replica leaves, or begins a time without requests.
+    /// Applies a notice of a replica, received at `unix_ms` by this host's clock. Returns
+    /// whether it changes anything: the replica leaves, or a backoff begins.
     pub fn hear(
         &mut self,
         now: Moment,
@@ -31,17 +31,17 @@
         if notice.is_empty() {
             return false;
         }
-        self.notice_mut(replica).record(now, unix_ms, notice)
+        self.notice_mut(replica).apply(now, unix_ms, notice)
     }
 
-    /// Records that a peer was told that a replica leaves, at `unix_ms` by this host's clock.
+    /// Applies a peer's message that a replica leaves, as of `unix_ms` by this host's clock.
     /// Returns whether this was unknown.
     pub fn hear_of_leaving(
         &mut self,
         unix_ms: u64,
         replica: &UpstreamEntry,
     ) -> bool {
-        self.notice_mut(replica).record_peer_leaving(unix_ms)
+        self.notice_mut(replica).apply_peer_leaving(unix_ms)
     }
 
     /// Whether a replica told this process itself that it leaves.
@@ -62,16 +62,16 @@
         self.applicable(now, replica).any(|notice| notice.leaves)
     }
 
-    /// How much longer a replica wants no requests.
+    /// The remaining time for which a replica wants no requests.
     pub fn rest_left(
         &self,
         now: Moment,
         replica: &UpstreamEntry,
     ) -> Duration {
-        let left = self
+        let remaining = self
             .applicable(now, replica)
-            .map(|notice| notice.backoff_left(now));
-        left.max().unwrap_or_default()
+            .map(|notice| notice.backoff_remaining(now));
+        remaining.max().unwrap_or_default()
     }
 
     /// Sets which replicas are listed. Notices of others are dropped after a while, and those
@@ -93,7 +93,7 @@
             notices.retain_mut(|notice| {
                 notice.set_listed(now, listed == Some(&notice.born));
                 notice.unlisted_for(now) <= UNLISTED_RETENTION
-                    && (notice.leaves || !notice.backoff_left(now).is_zero())
+                    && (notice.leaves || !notice.backoff_remaining(now).is_zero())
             });
             !notices.is_empty()
         });
