--- a/src/policy/granted/totals/keeper.rs
+++ b/src/policy/granted/totals/keeper.rs
@@ -4,13 +4,13 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// An account without work for this many times the grace is forgotten.
-const FORGET_AFTER_GRACES: u32 = 200;
+/// An account is dropped after this many times the idle grace without work.
+const RETENTION_GRACES: u32 = 200;
 
-/// The accounts whose fleet totals this router sums.
+/// The accounts for which this router sums the service that all sidecars report.
 ///
-/// Totals are advice: nothing waits for a keeper, and a new one rebuilds from
-/// the next reports.
+/// Totals are advisory: nothing waits for them, and another router that takes an account over
+/// rebuilds its total from the next reports.
 #[derive(Debug, Clone)]
 pub struct Keeper {
     accounts: HashMap<AccountId, KeptAccount>,
@@ -19,7 +19,7 @@
 }
 
 impl Keeper {
-    /// A keeper that has heard nothing yet.
+    /// Without any reports.
     pub fn new(
         idle_grace: Duration,
         debt_ceiling: f64,
@@ -31,25 +31,27 @@
         }
     }
 
-    /// How many accounts are kept.
+    /// The number of accounts.
     pub fn len(&self) -> usize {
         self.accounts.len()
     }
 
-    /// Whether no account is kept.
+    /// Whether there are no accounts.
     pub fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
 
-    /// The totals, in no order.
+    /// The total of each account, in no particular order.
     pub fn totals(&self) -> impl Iterator<Item = (AccountId, f64)> {
-        self.accounts.iter().map(|(id, kept)| (*id, kept.total()))
+        self.accounts
+            .iter()
+            .map(|(id, account)| (*id, account.total()))
     }
 
-    /// Takes in one entry of a report and gives the reply.
+    /// Applies one entry of a sidecar's report and returns the reply.
     ///
-    /// `floor` is the least service per share among the accounts that wait at
-    /// the reporting sidecar, `share` the account's own.
+    /// `floor` is the least service per share among the accounts that wait at the reporting
+    /// sidecar, `share` is that of the account.
     #[allow(clippy::too_many_arguments)]
     pub fn report(
         &mut self,
@@ -61,26 +63,26 @@
         share: f64,
         entry: &ReportEntry,
     ) -> TotalEntry {
-        let kept = self.accounts.entry(entry.account).or_default();
+        let account = self.accounts.entry(entry.account).or_default();
         let returns = entry.waiting
-            && kept
+            && account
                 .was_idle(now, self.idle_grace)
                 .unwrap_or(entry.returning);
-        let mut reply = kept.report(now, host, incarnation, sequence, entry);
+        let mut reply = account.apply_report(now, host, incarnation, sequence, entry);
         if let (true, Some(floor)) = (returns, floor) {
-            kept.clamp(floor * share, (floor + self.debt_ceiling) * share);
-            reply.total = kept.total();
+            account.clamp(floor * share, (floor + self.debt_ceiling) * share);
+            reply.total = account.total();
         }
         reply
     }
 
-    /// Forgets accounts that have had no work for long.
+    /// Drops accounts that have had no work for long.
     pub fn forget_idle(
         &mut self,
         now: Moment,
     ) {
-        let bound = self.idle_grace * FORGET_AFTER_GRACES;
+        let retention = self.idle_grace * RETENTION_GRACES;
         self.accounts
-            .retain(|_, kept| kept.was_idle(now, bound) == Some(false));
+            .retain(|_, account| account.was_idle(now, retention) == Some(false));
     }
 }
--- a/src/policy/granted/totals/kept_account.rs
+++ b/src/policy/granted/totals/kept_account.rs
@@ -3,11 +3,10 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// One account's fleet total, as its keeper sums it.
+/// The service of one account over the whole fleet, summed at the router that aggregates it.
 ///
-/// The total is `base` plus what each sidecar served since it first reported
-/// here. Sidecars tell a new keeper the last total they heard, so the sum goes
-/// on where the old keeper left it.
+/// The total is `base` plus what each sidecar served since its first report here. Sidecars report
+/// the last total they received, so the sum continues from there if another router takes over.
 #[derive(Debug, Clone, Default)]
 pub struct KeptAccount {
     base: f64,
@@ -20,7 +19,7 @@
     incarnation: Incarnation,
     sequence: u64,     // of the newest report
     own: f64,          // served, by that report
-    counted_from: f64, // of `own`, what was in `base` from the beginning
+    counted_from: f64, // the part of `own` that `base` contains from the beginning
     first_own: f64,    // `own` in the first report here
 }
 
@@ -29,15 +28,15 @@
         self.own - self.counted_from
     }
 
-    /// What it served since its first report here. Only this can be in a total
-    /// that another sidecar heard from an earlier keeper.
+    /// What it served since its first report here. Only this can be part of a total that another
+    /// sidecar received from the router that aggregated before.
     fn grown(&self) -> f64 {
         self.own - self.first_own
     }
 }
 
 impl KeptAccount {
-    /// Service units given by the whole fleet.
+    /// Service units of the whole fleet.
     pub fn total(&self) -> f64 {
         self.base + self.sources.values().map(Source::counted).sum::<f64>()
     }
@@ -47,8 +46,8 @@
         self.last_active
     }
 
-    /// Takes in a report; an older one than the newest changes nothing.
-    pub fn report(
+    /// Applies a report and returns the reply. An outdated report changes nothing.
+    pub fn apply_report(
         &mut self,
         now: Moment,
         host: &Arc<str>,
@@ -76,7 +75,7 @@
         }
     }
 
-    /// Whether the account had no work anywhere for `grace` until now.
+    /// Whether the account had no work anywhere for longer than `grace`; `None` if it never had.
     pub fn was_idle(
         &self,
         now: Moment,
@@ -86,8 +85,8 @@
             .map(|last| now.saturating_sub(last) > grace)
     }
 
-    /// Moves the total into a range: an account back from idle brings no
-    /// credit and only a bounded debt.
+    /// Moves the total into a range, so that an account that returns from idle has no credit
+    /// and only a bounded debt.
     pub fn clamp(
         &mut self,
         low: f64,
--- a/src/policy/granted/totals/ledger.rs
+++ b/src/policy/granted/totals/ledger.rs
@@ -7,11 +7,11 @@
     },
 };
 
-/// What a request is expected to cost before any has ended.
-const UNSEEN_COST: f64 = 100.0;
+/// Expected cost of a request, in service units, before any has ended.
+const DEFAULT_COST: f64 = 100.0;
 
-/// A sidecar's account of service: what it gave itself, and the fleet totals
-/// it heard.
+/// The service of each account as one sidecar knows it: what it served itself, and the fleet totals
+/// that it received.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     entries: BTreeMap<AccountId, LedgerEntry>,
@@ -19,13 +19,13 @@
     mode: TotalsMode,
     idle_grace: Duration,
     debt_ceiling: f64,                     // service units per share
-    floor: Option<f64>,                    // least standing among the waiting accounts
+    floor: Option<f64>,                    // least service per share of the waiting accounts
     any_cost: crate::policy::CostEstimate, // over all accounts
-    next_report: Option<AccountId>,        // where the next report goes on
+    next_report: Option<AccountId>,        // first account of the next report
 }
 
 impl Ledger {
-    /// A ledger that has heard nothing yet.
+    /// Without any accounts.
     pub fn new(
         mode: TotalsMode,
         idle_grace: Duration,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes over the shares of the configuration in force.
+    /// Sets the shares of the configuration in force.
     pub fn set_shares(
         &mut self,
         shares: HashMap<AccountId, f64>,
@@ -51,7 +51,7 @@
         self.shares = shares;
     }
 
-    /// The share of an account; an unknown one counts as 1.
+    /// The share of an account; 1 if unknown.
     pub fn share(
         &self,
         account: AccountId,
@@ -59,13 +59,13 @@
         self.shares.get(&account).copied().unwrap_or(1.0)
     }
 
-    /// The least service per share among the waiting accounts, last known.
+    /// The least service per share among the waiting accounts, as last computed.
     pub fn floor(&self) -> Option<f64> {
         self.floor
     }
 
-    /// Notes that an account has work here.
-    pub fn wake(
+    /// Records that an account has work here.
+    pub fn set_active(
         &mut self,
         account: AccountId,
         now: Moment,
@@ -73,56 +73,56 @@
         let share = self.share(account);
         let (grace, mode, floor) = (self.idle_grace, self.mode, self.floor);
         self.entry(account, now)
-            .wake(now, grace, mode, share, floor);
+            .set_active(now, grace, mode, share, floor);
     }
 
-    /// Notes that an account has no work here any more.
-    pub fn rest(
+    /// Records that an account no longer has work here.
+    pub fn set_idle(
         &mut self,
         account: AccountId,
         now: Moment,
     ) {
         if let Some(entry) = self.entries.get_mut(&account) {
-            entry.rest(now);
+            entry.set_idle(now);
         }
     }
 
-    /// The standings of waiting accounts, with the floor moved to the least
-    /// and debts bounded by the ceiling.
-    pub fn standings(
+    /// The service per share of each waiting account. Moves the floor to the least of them, and
+    /// lowers those that are above the floor by more than the debt ceiling.
+    pub fn normalized_services(
         &mut self,
         waiting: impl Iterator<Item = AccountId>,
         now: Moment,
     ) -> Vec<(AccountId, f64)> {
-        let mut standings: Vec<(AccountId, f64)> = waiting
-            .map(|account| (account, self.standing(account, now)))
+        let mut services: Vec<(AccountId, f64)> = waiting
+            .map(|account| (account, self.normalized_service(account, now)))
             .collect();
-        let Some(least) = standings.iter().map(|(_, s)| *s).reduce(f64::min) else {
-            return standings;
+        let Some(least) = services.iter().map(|(_, s)| *s).reduce(f64::min) else {
+            return services;
         };
         self.floor = Some(least);
         let ceiling = least + self.debt_ceiling;
-        for (account, standing) in &mut standings {
-            if *standing > ceiling {
-                self.entry(*account, now).bound_debt(*standing, ceiling);
-                *standing = ceiling;
+        for (account, service) in &mut services {
+            if *service > ceiling {
+                self.entry(*account, now).bound_debt(*service, ceiling);
+                *service = ceiling;
             }
         }
-        standings
+        services
     }
 
-    /// What a request of an account is expected to cost, in service units.
+    /// The expected cost of a request of an account, in service units.
     pub fn expected_cost(
         &self,
         account: AccountId,
     ) -> f64 {
-        let unseen = self.any_cost.expected(UNSEEN_COST);
+        let default = self.any_cost.expected(DEFAULT_COST);
         self.entries
             .get(&account)
-            .map_or(unseen, |entry| entry.estimate.expected(unseen))
+            .map_or(default, |entry| entry.estimate.expected(default))
     }
 
-    /// Adds service to an account; negative to take back a charge in advance.
+    /// Adds service units to an account; negative ones refund a charge made in advance.
     pub fn charge(
         &mut self,
         account: AccountId,
@@ -132,7 +132,7 @@
         self.entry(account, now).charge(units);
     }
 
-    /// Takes in what an ended request cost.
+    /// Records the cost of a request that ended, in service units.
     pub fn observe_cost(
         &mut self,
         account: AccountId,
@@ -143,7 +143,7 @@
         self.entry(account, now).estimate.observe(units);
     }
 
-    /// The next report: at most `bound` entries, going round the accounts.
+    /// The next report of at most `bound` entries, taking the accounts in turn.
     pub fn report(
         &mut self,
         now: Moment,
@@ -163,17 +163,17 @@
         entries
     }
 
-    /// Takes in a keeper's total.
-    pub fn hear(
+    /// Applies a total that an aggregating router sent.
+    pub fn apply_total(
         &mut self,
         total: &TotalEntry,
     ) {
         if let Some(entry) = self.entries.get_mut(&total.account) {
-            entry.hear(total);
+            entry.apply_total(total);
         }
     }
 
-    /// Own service, total service and share of each account seen here.
+    /// Own service, total service and share of each account that had work here.
     pub fn accounts(&self) -> impl Iterator<Item = (AccountId, f64, f64, f64)> {
         self.entries.iter().map(|(id, entry)| {
             let share = self.share(*id);
@@ -191,13 +191,14 @@
             .collect()
     }
 
-    fn standing(
+    fn normalized_service(
         &mut self,
         account: AccountId,
         now: Moment,
     ) -> f64 {
         let (mode, share, floor) = (self.mode, self.share(account), self.floor);
-        self.entry(account, now).standing(mode, share, floor)
+        self.entry(account, now)
+            .normalized_service(mode, share, floor)
     }
 
     fn entry(
--- a/src/policy/granted/totals/ledger_entry.rs
+++ b/src/policy/granted/totals/ledger_entry.rs
@@ -4,14 +4,14 @@
     std::time::Duration,
 };
 
-/// What one sidecar knows of one account's service.
+/// The service of one account as one sidecar knows it.
 #[derive(Debug, Clone, Copy)]
 pub struct LedgerEntry {
-    own: f64,             // served or charged here, this incarnation
-    heard: f64,           // last fleet total heard
-    included: f64,        // of `own`, what `heard` includes
-    adjust: f64,          // per share, keeps the debt under the ceiling here
-    confirmed: bool,      // a total was heard in this active period
+    own: f64,             // service units charged here, in this incarnation
+    known_total: f64,     // last fleet total received
+    included: f64,        // the part of `own` that `known_total` contains
+    adjust: f64,          // added to the service per share to keep the debt below the ceiling
+    confirmed: bool,      // a total was received in this active period
     active: bool,         // has work here
     active_since: Moment, // start of the active period
     last_active: Moment,  // last time it had work here
@@ -22,11 +22,11 @@
 }
 
 impl LedgerEntry {
-    /// An account that has not had work here.
+    /// An account that has not had work here yet.
     pub fn new(now: Moment) -> Self {
         Self {
             own: 0.0,
-            heard: 0.0,
+            known_total: 0.0,
             included: 0.0,
             adjust: 0.0,
             confirmed: false,
@@ -40,25 +40,25 @@
         }
     }
 
-    /// Service units given by this incarnation.
+    /// Service units charged by this incarnation of the sidecar.
     pub fn own(&self) -> f64 {
         self.own
     }
 
-    /// The account's whole service as known here.
+    /// The service units of the account that count in this mode.
     pub fn total(
         &self,
         mode: TotalsMode,
     ) -> f64 {
         match mode {
-            TotalsMode::Fleet => self.heard + (self.own - self.included),
+            TotalsMode::Fleet => self.known_total + (self.own - self.included),
             TotalsMode::Local => self.own,
         }
     }
 
-    /// Place in the order: service per share, level with `floor` until the
-    /// keeper has said where an account that returned from idle stands.
-    pub fn standing(
+    /// Service per share, by which accounts are ordered. An account that returned from idle is
+    /// at `floor` at least, until a fleet total of it is received.
+    pub fn normalized_service(
         &self,
         mode: TotalsMode,
         share: f64,
@@ -71,18 +71,18 @@
         }
     }
 
-    /// Lowers the standing so far that it is at most `ceiling`.
+    /// Lowers the service per share from `service` to `ceiling`, if it is above.
     pub fn bound_debt(
         &mut self,
-        standing: f64,
+        service: f64,
         ceiling: f64,
     ) {
-        if standing > ceiling {
-            self.adjust -= standing - ceiling;
+        if service > ceiling {
+            self.adjust -= service - ceiling;
         }
     }
 
-    /// Adds service; negative to take back what was charged in advance.
+    /// Adds service units; negative ones refund a charge made in advance.
     pub fn charge(
         &mut self,
         units: f64,
@@ -90,8 +90,8 @@
         self.own += units;
     }
 
-    /// Notes that the account has work here.
-    pub fn wake(
+    /// Records that the account has work here.
+    pub fn set_active(
         &mut self,
         now: Moment,
         grace: Duration,
@@ -105,7 +105,7 @@
             if self.was_idle {
                 self.confirmed = false;
                 self.adjust = 0.0;
-                self.lift_locally(mode, share, floor);
+                self.raise_to_floor(mode, share, floor);
             }
             self.active = true;
             self.active_since = now;
@@ -113,8 +113,8 @@
         self.last_active = now;
     }
 
-    /// Notes that the account has no work here any more.
-    pub fn rest(
+    /// Records that the account no longer has work here.
+    pub fn set_idle(
         &mut self,
         now: Moment,
     ) {
@@ -129,12 +129,13 @@
         self.active
     }
 
-    /// Whether a report would tell the keeper anything, or ask it.
+    /// Whether the account is active, or its service has changed since the last report or
+    /// received total.
     pub fn worth_reporting(&self) -> bool {
         self.active || self.own != self.reported || self.own != self.included
     }
 
-    /// The entry of the next report.
+    /// The account's entry in the next report.
     pub fn to_report(
         &mut self,
         account: AccountId,
@@ -142,36 +143,38 @@
         grace: Duration,
     ) -> ReportEntry {
         self.reported = self.own;
-        let young = now.saturating_sub(self.active_since) <= grace;
+        let is_recent = now.saturating_sub(self.active_since) <= grace;
         ReportEntry {
             account,
             own: self.own,
-            heard: self.heard,
+            heard: self.known_total,
             included: self.included,
             waiting: self.active,
-            returning: self.was_idle && young,
+            returning: self.was_idle && is_recent,
         }
     }
 
-    /// Takes in a keeper's total.
-    pub fn hear(
+    /// Applies a total that an aggregating router sent.
+    pub fn apply_total(
         &mut self,
         entry: &TotalEntry,
     ) {
-        self.heard = entry.total;
+        self.known_total = entry.total;
         self.included = entry.included;
         self.confirmed = true;
     }
 
-    fn lift_locally(
+    /// In local mode no total is received, so an account that returns from idle is raised to the
+    /// floor here.
+    fn raise_to_floor(
         &mut self,
         mode: TotalsMode,
         share: f64,
         floor: Option<f64>,
     ) {
         if let (TotalsMode::Local, Some(floor)) = (mode, floor) {
-            let standing = self.own / share;
-            self.adjust = (floor - standing).max(0.0);
+            let service = self.own / share;
+            self.adjust = (floor - service).max(0.0);
         }
     }
 }
--- a/src/policy/granted/totals/mod.rs
+++ b/src/policy/granted/totals/mod.rs
@@ -1,4 +1,5 @@
-//! What accounts got, the fleet over: each sidecar's ledger and the keepers of sums.
+//! Service that accounts got from the whole fleet: each sidecar's ledger, and the routers that sum
+//! up the sidecars' reports.
 
 mod keeper;
 mod kept_account;
--- a/src/policy/granted/totals/totals_mode.rs
+++ b/src/policy/granted/totals/totals_mode.rs
@@ -1,6 +1,6 @@
-/// Which service counts towards an account's place in the order.
+/// Which service counts when accounts are ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TotalsMode {
-    Fleet, // what all sidecars served
-    Local, // what this sidecar served: a baseline
+    Fleet, // that of all sidecars
+    Local, // that of this sidecar only: a baseline for comparison
 }
