--- a/src/policy/granted/dispatch/admission.rs
+++ b/src/policy/granted/dispatch/admission.rs
@@ -1,9 +1,9 @@
 use crate::codes::ResultCode;
 
-/// What becomes of a request that reached the sidecar.
+/// What happens to a request that reached the sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     Start,
-    Ready, // starts when a slot frees up
+    Ready, // waits for a free slot
     Refused(ResultCode),
 }
--- a/src/policy/granted/dispatch/announced_demand.rs
+++ b/src/policy/granted/dispatch/announced_demand.rs
@@ -7,54 +7,54 @@
     },
 };
 
-/// A count is told again when it is this many times what is left of the count
-/// told, or this many times less.
+/// A count is announced again when it is this many times what remains of the last announced one,
+/// or this many times less.
 const CHANGE_FACTOR: u32 = 4;
 
-/// That nothing waits any more is told after this long: most often something
-/// does again before, and until then a grant is declined at worst.
-const LINGER: Duration = Duration::from_millis(100);
+/// Delay before announcing that nothing waits any more. Most often something waits again by then,
+/// and the worst case is a declined grant.
+const EMPTY_DELAY: Duration = Duration::from_millis(100);
 
-/// A sidecar that knows of waiting requests is told of changes at most this
-/// often, unless a more urgent one arrives: it has something to grant meanwhile.
-const PACE: Duration = Duration::from_millis(200);
+/// Shortest time between announcements to a sidecar that knows of waiting requests, and so has
+/// something to grant meanwhile. A more urgent request is announced at once.
+const MIN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A count for which no grant has come for this long is told again, in case its
-/// sidecar does not know it after all.
-const REFRESH: Duration = Duration::from_secs(5);
+/// A count for which no grant has come for this long is announced again, in case the sidecar has
+/// lost it.
+const REFRESH_AFTER: Duration = Duration::from_secs(5);
 
-/// What a line of demand costs on its way, in bytes, with its part of the
-/// message around it.
+/// Bytes on the wire for one line of demand, with its part of the message around it.
 const LINE_BYTES: f64 = 40.0;
 
-/// What waits at a router for one sidecar, of one account.
+/// The requests of one account that wait at a router for one sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CurrentDemand {
     pub count: u32,
     pub deadline: Moment, // of the most urgent request
-    pub oldest: Moment,   // arrival
+    pub oldest: Moment,   // arrival of the oldest request
 }
 
-/// What a router last told one sidecar, and what it must tell it now.
+/// The demand that a router last announced to one sidecar, from which it decides what to announce
+/// next.
 ///
-/// A deep queue is announced with a large count and not again until grants
-/// have used up most of it, so a flood costs a count and not messages. Nor is
-/// a count told again for what other sidecars took.
+/// A long queue is announced with a large count, and again only when grants have used up most of
+/// it, so that a flood of requests does not cause a flood of messages. Nor is a count announced
+/// again because other sidecars took some of its requests.
 #[derive(Debug, Clone, Default)]
 pub struct AnnouncedDemand {
     lines: HashMap<AccountId, Announced>,
-    last_told: Moment,
-    pause: Duration, // after the last message, by its size
+    last_announced: Moment,
+    interval: Duration, // until the next announcement, by the size of the last one
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Announced {
     count: u32,
-    granted: u32, // since then
+    granted: u32, // since the announcement
     deadline: Moment,
-    empty_since: Option<Moment>, // nothing waits any more
-    told_at: Moment,
-    granted_at: Option<Moment>, // the last grant since then
+    empty_since: Option<Moment>, // since when nothing waits any more
+    announced_at: Moment,
+    granted_at: Option<Moment>, // the last grant since the announcement
 }
 
 impl Announced {
@@ -62,16 +62,16 @@
         self.count.saturating_sub(self.granted)
     }
 
-    fn must_tell_again(
+    fn must_announce_again(
         &self,
         now: Moment,
         count: u32,
         deadline: Moment,
     ) -> bool {
         let remaining = self.remaining();
-        let answered = self.granted_at.unwrap_or(self.told_at);
-        let unanswered = now.saturating_sub(answered) >= REFRESH;
-        unanswered
+        let last_sign = self.granted_at.unwrap_or(self.announced_at);
+        let is_stale = now.saturating_sub(last_sign) >= REFRESH_AFTER;
+        is_stale
             || deadline < self.deadline
             || remaining * CHANGE_FACTOR < count
             || count * CHANGE_FACTOR < remaining
@@ -79,7 +79,7 @@
 }
 
 impl AnnouncedDemand {
-    /// Forgets what was told: the sidecar forgot it too.
+    /// Drops all that was announced, after the sidecar has dropped it.
     pub fn clear(&mut self) {
         self.lines.clear();
     }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Forgets one account: a declined grant made the sidecar forget it.
+    /// Drops one account, as the sidecar drops it when a grant is declined.
     pub fn declined(
         &mut self,
         account: AccountId,
@@ -104,9 +104,8 @@
         self.lines.remove(&account);
     }
 
-    /// The lines that have changed enough to be told, `cap` being the largest
-    /// count told and `bytes_per_second` this sidecar's part of the router's
-    /// budget for demand.
+    /// The lines that have changed enough to be announced now. `cap` is the largest count to
+    /// announce, `bytes_per_second` is this sidecar's part of the router's budget for demand.
     pub fn changes(
         &mut self,
         now: Moment,
@@ -114,15 +113,15 @@
         bytes_per_second: f64,
         current: &BTreeMap<AccountId, CurrentDemand>,
     ) -> Vec<DemandLine> {
-        if now.saturating_sub(self.last_told) < self.pause && self.can_wait(current) {
+        if now.saturating_sub(self.last_announced) < self.interval && self.can_wait(current) {
             return Vec::new();
         }
         let mut lines = Vec::new();
         for (account, demand) in current {
             let count = demand.count.min(cap);
-            if let Some(told) = self.lines.get_mut(account) {
-                told.empty_since = None;
-                if !told.must_tell_again(now, count, demand.deadline) {
+            if let Some(announced) = self.lines.get_mut(account) {
+                announced.empty_since = None;
+                if !announced.must_announce_again(now, count, demand.deadline) {
                     continue;
                 }
             }
@@ -133,7 +132,7 @@
                     granted: 0,
                     deadline: demand.deadline,
                     empty_since: None,
-                    told_at: now,
+                    announced_at: now,
                     granted_at: None,
                 },
             );
@@ -144,23 +143,23 @@
                 waited_ms: millis(now.saturating_sub(demand.oldest)),
             });
         }
-        lines.extend(self.ended(now, current));
+        lines.extend(self.ended_lines(now, current));
         if !lines.is_empty() {
-            self.last_told = now;
-            let paid_for = lines.len() as f64 * LINE_BYTES / bytes_per_second;
-            self.pause = PACE.max(Duration::from_secs_f64(paid_for));
+            self.last_announced = now;
+            let sending_s = lines.len() as f64 * LINE_BYTES / bytes_per_second;
+            self.interval = MIN_INTERVAL.max(Duration::from_secs_f64(sending_s));
         }
         lines
     }
 
-    /// Whether the sidecar has something to grant, and nothing that waits is
-    /// more urgent than all it knows of.
+    /// Whether the sidecar has something to grant, and no waiting request is more urgent than
+    /// all that it knows of.
     fn can_wait(
         &self,
         current: &BTreeMap<AccountId, CurrentDemand>,
     ) -> bool {
-        let known = self.lines.values().filter(|told| told.remaining() > 0);
-        let Some(most_urgent) = known.map(|told| told.deadline).min() else {
+        let known = self.lines.values().filter(|line| line.remaining() > 0);
+        let Some(most_urgent) = known.map(|line| line.deadline).min() else {
             return false;
         };
         current
@@ -169,21 +168,21 @@
     }
 
     /// Lines of accounts for which nothing has waited for a while.
-    fn ended(
+    fn ended_lines(
         &mut self,
         now: Moment,
         current: &BTreeMap<AccountId, CurrentDemand>,
     ) -> Vec<DemandLine> {
         let mut lines = Vec::new();
-        self.lines.retain(|account, told| {
+        self.lines.retain(|account, announced| {
             if current.contains_key(account) {
                 return true;
             }
-            let since = *told.empty_since.get_or_insert(now);
-            if now.saturating_sub(since) < LINGER {
+            let since = *announced.empty_since.get_or_insert(now);
+            if now.saturating_sub(since) < EMPTY_DELAY {
                 return true;
             }
-            if told.remaining() > 0 {
+            if announced.remaining() > 0 {
                 lines.push(DemandLine {
                     account: *account,
                     count: 0,
--- a/src/policy/granted/dispatch/arrival.rs
+++ b/src/policy/granted/dispatch/arrival.rs
@@ -1,6 +1,6 @@
 use {crate::fleet::AccountId, crate::policy::GrantNumber};
 
-/// Numbers the exchanges of one incarnation of a sidecar.
+/// Number of an exchange within one incarnation of a sidecar.
 pub type ExchangeId = u64;
 
 /// A request that reached the sidecar.
@@ -9,5 +9,5 @@
     pub exchange: ExchangeId,
     pub router: R,
     pub account: AccountId,
-    pub grant: Option<GrantNumber>, // none for an offer to an idle upstream
+    pub grant: Option<GrantNumber>, // `None` if sent without one, to an idle upstream
 }
--- a/src/policy/granted/dispatch/cost_estimate.rs
+++ b/src/policy/granted/dispatch/cost_estimate.rs
@@ -1,22 +1,22 @@
-/// How fast the estimate follows new costs.
+/// Weight of a new cost in the moving average.
 const WEIGHT: f64 = 0.1;
 
-/// A moving estimate of what a request of an account costs, in service units.
+/// Exponential moving average of costs, in the unit in which they are observed.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct CostEstimate {
     mean: Option<f64>,
 }
 
 impl CostEstimate {
-    /// The expected cost, or `unseen` before the first request has ended.
+    /// The expected cost, or `default` before the first one is observed.
     pub fn expected(
         &self,
-        unseen: f64,
+        default: f64,
     ) -> f64 {
-        self.mean.unwrap_or(unseen)
+        self.mean.unwrap_or(default)
     }
 
-    /// Takes in what a request cost.
+    /// Adds an observed cost.
     pub fn observe(
         &mut self,
         cost: f64,
--- a/src/policy/granted/dispatch/demand_line.rs
+++ b/src/policy/granted/dispatch/demand_line.rs
@@ -3,11 +3,11 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a router says waits for a sidecar, for one account.
+/// A router's announcement of the requests of one account that wait for a sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DemandLine {
     pub account: AccountId,
-    pub count: u32,       // requests, 0 when none wait any more
-    pub patience_ms: u32, // left of the most urgent one
-    pub waited_ms: u32,   // by the oldest one
+    pub count: u32,       // waiting requests; 0 if none wait any more
+    pub patience_ms: u32, // time to the deadline of the most urgent one
+    pub waited_ms: u32,   // time that the oldest one has waited
 }
--- a/src/policy/granted/dispatch/demand_table.rs
+++ b/src/policy/granted/dispatch/demand_table.rs
@@ -4,7 +4,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What waits for a sidecar at each router, as announced.
+/// The requests that wait for a sidecar at each router, as the routers announce them.
 #[derive(Debug, Clone)]
 pub struct DemandTable<R> {
     accounts: BTreeMap<AccountId, BTreeMap<R, Announced>>,
@@ -14,11 +14,11 @@
 struct Announced {
     count: u32,               // as announced
     deadline: Moment,         // of the most urgent request
-    announced: Moment,        // when this was announced
-    waited: Duration,         // by the oldest request, when announced
-    seen: GrantNumber,        // newest grant that the announcement knows of
-    unseen: Vec<GrantNumber>, // open grants that the announcement does not know of
-    used: u32,                // of those it did not know of, those that were used
+    announced: Moment,        // when the announcement arrived
+    waited: Duration,         // how long the oldest request had waited when announced
+    seen: GrantNumber,        // newest grant that the router had received by then
+    unseen: Vec<GrantNumber>, // open grants that the router had not received by then
+    used: u32,                // how many grants left `unseen` because they were used
 }
 
 impl Announced {
@@ -26,12 +26,12 @@
         self.count.saturating_sub(self.granted())
     }
 
-    /// Grants since the announcement, open or used.
+    /// Grants that the announcement does not account for, open or used.
     fn granted(&self) -> u32 {
         self.unseen.len() as u32 + self.used
     }
 
-    /// How long the next request has waited, if requests arrived evenly.
+    /// How long the next request has waited in seconds, if requests arrived evenly.
     fn next_waited(
         &self,
         now: Moment,
@@ -51,7 +51,7 @@
 }
 
 impl<R: Copy + Ord> DemandTable<R> {
-    /// Takes in an announcement. `seen` is the newest grant its router knew.
+    /// Applies an announcement. `seen` is the newest grant that its router had received.
     pub fn announce(
         &mut self,
         router: R,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Counts a grant against what was announced.
+    /// Counts a grant against the announced requests.
     pub fn granted(
         &mut self,
         account: AccountId,
@@ -97,31 +97,31 @@
         }
     }
 
-    /// A grant was used: one request less waits at its router.
+    /// Records that a grant was used, so that one request fewer waits at its router.
     pub fn used(
         &mut self,
         account: AccountId,
         router: R,
         number: GrantNumber,
     ) {
-        if let Some(announced) = self.announced_without(account, router, number) {
+        if let Some(announced) = self.remove_unseen(account, router, number) {
             announced.used += 1;
         }
     }
 
-    /// A grant expired: the request that it was for may still wait.
+    /// Records that a grant expired. The request that it was for may still wait.
     pub fn expired(
         &mut self,
         account: AccountId,
         router: R,
         number: GrantNumber,
     ) {
-        self.announced_without(account, router, number);
+        self.remove_unseen(account, router, number);
     }
 
-    /// Takes a grant out of those that an announcement does not know of. None if
-    /// it was not among them.
-    fn announced_without(
+    /// Removes a grant from those that an announcement does not account for. `None` if it was
+    /// not among them.
+    fn remove_unseen(
         &mut self,
         account: AccountId,
         router: R,
@@ -133,9 +133,8 @@
         Some(announced)
     }
 
-    /// Takes a router's word that it had nothing to send for a grant. An
-    /// announcement made after that grant was seen still stands, whichever of
-    /// the two arrives first.
+    /// Applies a router's message that it had nothing to send for a grant. An announcement made
+    /// after the router received that grant stays valid, whichever of the two arrives first.
     pub fn declined(
         &mut self,
         account: AccountId,
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Forgets what a router announced.
+    /// Removes all that a router announced.
     pub fn forget_router(
         &mut self,
         router: R,
@@ -164,7 +163,7 @@
         });
     }
 
-    /// Forgets everything.
+    /// Removes all announcements.
     pub fn clear(&mut self) {
         self.accounts.clear();
     }
@@ -187,7 +186,7 @@
             .is_some_and(|routers| routers.values().any(|a| a.remaining() > 0))
     }
 
-    /// Requests that no grant covers yet.
+    /// The number of requests that no grant covers yet.
     pub fn count(&self) -> u64 {
         self.accounts
             .values()
@@ -196,7 +195,7 @@
             .sum()
     }
 
-    /// An account's requests that no grant covers yet.
+    /// The number of an account's requests that no grant covers yet.
     pub fn count_of(
         &self,
         account: AccountId,
--- a/src/policy/granted/dispatch/dispatch_settings.rs
+++ b/src/policy/granted/dispatch/dispatch_settings.rs
@@ -3,15 +3,15 @@
     std::time::Duration,
 };
 
-/// The bounds a sidecar dispatches by.
+/// Settings of a sidecar's dispatcher.
 #[derive(Debug, Clone, Copy)]
 pub struct DispatchSettings {
     pub slots: u32,           // requests the upstream runs at once
-    pub ahead: u32,           // most granted requests held ready
+    pub ahead: u32,           // granted requests held ready at most
     pub order: OrderMode,     // fair, or a baseline
     pub totals: TotalsMode,   // fleet, or a baseline
-    pub slack: f64,           // service units per share that count as level
+    pub slack: f64,           // difference that is ignored, in service units per share
     pub debt_ceiling: f64,    // service units per share
-    pub grant_ttl: Duration,  // life of an unused grant
-    pub idle_grace: Duration, // idle time that ends stored credit
+    pub grant_ttl: Duration,  // lifetime of an unused grant
+    pub idle_grace: Duration, // idle time after which an account has no credit any more
 }
--- a/src/policy/granted/dispatch/dispatcher.rs
+++ b/src/policy/granted/dispatch/dispatcher.rs
@@ -1,14 +1,14 @@
 use {
     crate::fleet::AccountId,
     crate::policy::{
-        AheadEstimate, DemandLine, DemandTable, DispatchSettings, ExchangeId, Finished, Grant,
-        GrantNumber, GrantTable, IssuedGrant, Ledger, Moment, OrderMode, ReportEntry, SlotHold,
+        DemandLine, DemandTable, DispatchSettings, ExchangeId, Finished, Grant, GrantNumber,
+        GrantTable, IssuedGrant, Ledger, Moment, OrderMode, ReadyTarget, ReportEntry, SlotHold,
         TotalEntry,
     },
     std::collections::{BTreeMap, HashMap, VecDeque},
 };
 
-/// Owns an upstream's capacity: decides which account's request runs next.
+/// Manages an upstream's capacity: decides which account's request runs next.
 ///
 /// `R` identifies a connected router.
 #[derive(Debug, Clone)]
@@ -17,13 +17,13 @@
     pub(super) ledger: Ledger,
     pub(super) demand: DemandTable<R>,
     pub(super) grants: GrantTable<R>,
-    pub(super) ready: VecDeque<(ExchangeId, SlotHold)>, // granted, waiting for a slot
+    pub(super) ready: VecDeque<(ExchangeId, SlotHold)>, // waiting for a slot
     pub(super) running: HashMap<ExchangeId, SlotHold>,
     pub(super) busy: BTreeMap<AccountId, u32>, // ready and running, by account
-    pub(super) ahead: AheadEstimate,
+    pub(super) ready_target: ReadyTarget,
     next_number: GrantNumber,
     pub(super) leaving: bool,
-    pub(super) closed_until: Moment, // the upstream does not take connections
+    pub(super) suspended_until: Moment, // the upstream refuses connections or wants no requests
 }
 
 impl<R: Copy + Ord> Dispatcher<R> {
@@ -37,14 +37,14 @@
             ready: VecDeque::new(),
             running: HashMap::new(),
             busy: BTreeMap::new(),
-            ahead: AheadEstimate::default(),
+            ready_target: ReadyTarget::default(),
             next_number: 1,
             leaving: false,
-            closed_until: Moment::ZERO,
+            suspended_until: Moment::ZERO,
         }
     }
 
-    /// Takes in what a router announces.
+    /// Applies a router's announcement of demand.
     pub fn announce(
         &mut self,
         router: R,
@@ -54,11 +54,11 @@
     ) {
         for line in lines {
             self.demand.announce(router, now, seen, line);
-            self.note_activity(line.account, now);
+            self.update_activity(line.account, now);
         }
     }
 
-    /// Forgets a router that is gone, with its demand and its grants.
+    /// Removes a router that is gone, with its demand and its grants.
     pub fn forget_router(
         &mut self,
         router: R,
@@ -70,16 +70,16 @@
             self.refund(&grant, now);
         }
         for account in waiting {
-            self.note_activity(account, now);
+            self.update_activity(account, now);
         }
     }
 
-    /// The next grant to send out, if there is room and demand.
+    /// Issues the next grant, if there is capacity and demand.
     pub fn next_grant(
         &mut self,
         now: Moment,
     ) -> Option<(R, Grant)> {
-        if self.leaving || now < self.closed_until || self.room() == 0 {
+        if self.leaving || now < self.suspended_until || self.grantable() == 0 {
             return None;
         }
         let (account, router) = self.choose(now)?;
@@ -101,7 +101,7 @@
         Some((router, grant))
     }
 
-    /// Takes a grant back that its router has nothing to send for.
+    /// Takes back a grant for which its router has nothing to send.
     pub fn decline(
         &mut self,
         router: R,
@@ -111,11 +111,11 @@
         if let Some(grant) = self.grants.decline(number, router) {
             self.refund(&grant, now);
             self.demand.declined(grant.grant.account, router, number);
-            self.note_activity(grant.grant.account, now);
+            self.update_activity(grant.grant.account, now);
         }
     }
 
-    /// Voids the grants that were not used in time.
+    /// Revokes the grants that were not used in time. Returns how many.
     pub fn expire(
         &mut self,
         now: Moment,
@@ -126,12 +126,12 @@
             let number = grant.grant.number;
             self.demand
                 .expired(grant.grant.account, grant.router, number);
-            self.note_activity(grant.grant.account, now);
+            self.update_activity(grant.grant.account, now);
         }
         expired.len()
     }
 
-    /// Charges what a running request has cost so far beyond its advance.
+    /// Charges what a running request has cost so far beyond what was charged already.
     pub fn progress(
         &mut self,
         exchange: ExchangeId,
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Frees a slot, or a place among the ready ones.
+    /// Records that a request has finished: frees its slot or its place among the ready ones, and
+    /// charges its cost.
     pub fn finish(
         &mut self,
         exchange: ExchangeId,
@@ -157,7 +158,8 @@
     ) {
         let held = match self.running.remove(&exchange) {
             Some(held) => {
-                self.ahead.observe_service(now.saturating_sub(held.started));
+                self.ready_target
+                    .observe_service(now.saturating_sub(held.started));
                 held
             }
             None => match self.take_ready(exchange) {
@@ -195,7 +197,7 @@
         Some(exchange)
     }
 
-    /// The next report to keepers, at most `bound` entries.
+    /// The next report of at most `bound` entries, to the routers that aggregate totals.
     pub fn report(
         &mut self,
         now: Moment,
@@ -204,15 +206,15 @@
         self.ledger.report(now, bound)
     }
 
-    /// Takes in a keeper's total.
+    /// Applies a total that an aggregating router sent.
     pub fn hear(
         &mut self,
         total: &TotalEntry,
     ) {
-        self.ledger.hear(total);
+        self.ledger.apply_total(total);
     }
 
-    /// Takes over the shares of the configuration in force.
+    /// Sets the shares of the configuration in force.
     pub fn set_shares(
         &mut self,
         shares: HashMap<AccountId, f64>,
@@ -220,12 +222,18 @@
         self.ledger.set_shares(shares);
     }
 
-    pub(super) fn room(&self) -> u32 {
+    /// How many more grants may be issued now.
+    pub(super) fn grantable(&self) -> u32 {
         let held = self.running.len() + self.ready.len() + self.grants.len();
-        let ahead = self.ahead.target(self.settings.slots, self.settings.ahead);
-        (self.settings.slots + ahead).saturating_sub(held as u32)
+        let ready = self
+            .ready_target
+            .target(self.settings.slots, self.settings.ahead);
+        (self.settings.slots + ready).saturating_sub(held as u32)
     }
 
+    /// The account to grant next, and the router to send the grant to. In fair order, it is the
+    /// account with the most urgent request among those whose service per share is within
+    /// `slack` of the least.
     fn choose(
         &mut self,
         now: Moment,
@@ -233,15 +241,15 @@
         if self.settings.order == OrderMode::Arrival {
             return self.demand.longest_waiting(now);
         }
-        let standings = self.ledger.standings(self.demand.waiting(), now);
+        let services = self.ledger.normalized_services(self.demand.waiting(), now);
         let least = self.ledger.floor()?;
-        let level = least + self.settings.slack;
-        standings
+        let bound = least + self.settings.slack;
+        services
             .iter()
-            .filter(|(_, standing)| *standing <= level)
-            .filter_map(|(account, standing)| {
+            .filter(|(_, service)| *service <= bound)
+            .filter_map(|(account, service)| {
                 let (deadline, router) = self.demand.most_urgent(*account)?;
-                Some((deadline, *standing, *account, router))
+                Some((deadline, *service, *account, router))
             })
             .min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)))
             .map(|(_, _, account, router)| (account, router))
@@ -266,7 +274,7 @@
                 self.busy.remove(&account);
             }
         }
-        self.note_activity(account, now);
+        self.update_activity(account, now);
     }
 
     pub(super) fn refund(
@@ -277,15 +285,15 @@
         self.ledger.charge(grant.grant.account, -grant.charge, now);
     }
 
-    fn note_activity(
+    fn update_activity(
         &mut self,
         account: AccountId,
         now: Moment,
     ) {
         if self.demand.is_waiting(account) || self.busy.contains_key(&account) {
-            self.ledger.wake(account, now);
+            self.ledger.set_active(account, now);
         } else {
-            self.ledger.rest(account, now);
+            self.ledger.set_idle(account, now);
         }
     }
 }
--- a/src/policy/granted/dispatch/dispatcher_arrivals.rs
+++ b/src/policy/granted/dispatch/dispatcher_arrivals.rs
@@ -1,4 +1,4 @@
-//! How a dispatcher admits requests that reach the sidecar.
+//! Admission of requests that reach the sidecar.
 
 use {
     crate::codes::ResultCode,
@@ -6,7 +6,7 @@
 };
 
 impl<R: Copy + Ord> Dispatcher<R> {
-    /// Decides on a request that reached the sidecar.
+    /// Decides whether a request that reached the sidecar starts, waits for a slot or is refused.
     pub fn arrive(
         &mut self,
         now: Moment,
@@ -15,16 +15,16 @@
         if self.leaving {
             return Admission::Refused(ResultCode::Leaving);
         }
-        if now < self.closed_until {
+        if now < self.suspended_until {
             return Admission::Refused(ResultCode::UpstreamUnreachable);
         }
         match arrival.grant {
-            Some(number) => self.arrive_granted(now, arrival, number),
-            None => self.arrive_offered(now, arrival),
+            Some(number) => self.admit_granted(now, arrival, number),
+            None => self.admit_ungranted(now, arrival),
         }
     }
 
-    fn arrive_granted(
+    fn admit_granted(
         &mut self,
         now: Moment,
         arrival: &Arrival<R>,
@@ -39,12 +39,12 @@
             self.refund(&grant, now);
             return Admission::Refused(ResultCode::GrantExpired);
         }
-        self.ahead
+        self.ready_target
             .observe_round_trip(now.saturating_sub(grant.issued));
         self.hold(now, arrival, grant.charge)
     }
 
-    fn arrive_offered(
+    fn admit_ungranted(
         &mut self,
         now: Moment,
         arrival: &Arrival<R>,
@@ -53,7 +53,7 @@
             return Admission::Refused(ResultCode::Busy);
         }
         let charge = self.ledger.expected_cost(arrival.account);
-        self.ledger.wake(arrival.account, now);
+        self.ledger.set_active(arrival.account, now);
         self.ledger.charge(arrival.account, charge, now);
         self.hold(now, arrival, charge)
     }
--- a/src/policy/granted/dispatch/dispatcher_endings.rs
+++ b/src/policy/granted/dispatch/dispatcher_endings.rs
@@ -1,61 +1,58 @@
-//! How a dispatcher stops granting: for good, after a pause, or for a moment.
+//! How a dispatcher stops granting: for good, for a while, or to drop what may be outdated.
 
 use crate::policy::{Dispatcher, ExchangeId, Moment, SlotHold};
 
 impl<R: Copy + Ord> Dispatcher<R> {
-    /// Stops granting. Gives the requests that will now never start.
+    /// Stops granting. Returns the requests that will never start here.
     pub fn leave(
         &mut self,
         now: Moment,
     ) -> Vec<ExchangeId> {
         self.leaving = true;
-        self.void_grants(now);
+        self.revoke_grants(now);
         self.demand.clear();
-        self.hand_back(now)
+        self.drop_ready(now)
     }
 
-    /// Grants again after it had stopped.
+    /// Grants again after having stopped.
     pub fn come_back(&mut self) {
         self.leaving = false;
     }
 
-    /// Drops grants and demand, which may be old after a pause.
+    /// Drops grants and demand, which may be outdated after the process was suspended.
     pub fn forget_views(
         &mut self,
         now: Moment,
     ) {
-        self.void_grants(now);
+        self.revoke_grants(now);
         self.demand.clear();
     }
 
-    /// Grants and starts nothing until then, at least: the upstream refuses connections, or
-    /// wants rest. Gives the requests that will now never start here.
+    /// Grants and admits nothing before `until`, as the upstream refuses connections or wants no
+    /// requests. Returns the ready requests, which will never start here.
     pub fn close_until(
         &mut self,
         now: Moment,
         until: Moment,
     ) -> Vec<ExchangeId> {
-        self.closed_until = self.closed_until.max(until);
-        self.hand_back(now)
+        self.suspended_until = self.suspended_until.max(until);
+        self.drop_ready(now)
     }
 
-    /// Gives up what has not started.
-    fn hand_back(
+    /// Drops the requests that have not started, and refunds their charges.
+    fn drop_ready(
         &mut self,
         now: Moment,
     ) -> Vec<ExchangeId> {
-        let handed_back: Vec<(ExchangeId, SlotHold)> = self.ready.drain(..).collect();
-        for (_, held) in &handed_back {
+        let dropped: Vec<(ExchangeId, SlotHold)> = self.ready.drain(..).collect();
+        for (_, held) in &dropped {
             self.ledger.charge(held.account, -held.charged, now);
             self.release(held.account, now);
         }
-        handed_back
-            .into_iter()
-            .map(|(exchange, _)| exchange)
-            .collect()
+        dropped.into_iter().map(|(exchange, _)| exchange).collect()
     }
 
-    fn void_grants(
+    fn revoke_grants(
         &mut self,
         now: Moment,
     ) {
--- a/src/policy/granted/dispatch/dispatcher_readers.rs
+++ b/src/policy/granted/dispatch/dispatcher_readers.rs
@@ -1,4 +1,4 @@
-//! What others may read of a dispatcher.
+//! Read access to a dispatcher's state.
 
 use {
     crate::fleet::AccountId,
@@ -6,32 +6,32 @@
 };
 
 impl<R: Copy + Ord> Dispatcher<R> {
-    /// The sidecar's account of service.
+    /// The service of each account.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// Requests in slots.
+    /// The number of requests in slots.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Granted requests that wait for a slot.
+    /// The number of requests that wait for a slot.
     pub fn ready(&self) -> usize {
         self.ready.len()
     }
 
-    /// Grants outstanding.
+    /// The number of grants that are neither used nor expired.
     pub fn granted(&self) -> usize {
         self.grants.len()
     }
 
-    /// Requests announced by routers that no grant covers yet.
+    /// The number of requests announced by routers that no grant covers yet.
     pub fn waiting(&self) -> u64 {
         self.demand.count()
     }
 
-    /// An account's requests that no grant covers yet.
+    /// The number of an account's requests that no grant covers yet.
     pub fn waiting_of(
         &self,
         account: AccountId,
@@ -44,12 +44,12 @@
         self.leaving
     }
 
-    /// Slots that an offer without a grant may take.
+    /// The number of slots that requests without a grant may take.
     pub fn free_for_offers(
         &self,
         now: Moment,
     ) -> u32 {
-        if self.leaving || now < self.closed_until || self.demand.count() > 0 {
+        if self.leaving || now < self.suspended_until || self.demand.count() > 0 {
             return 0;
         }
         let used = self.running.len() + self.ready.len() + self.grants.len();
--- a/src/policy/granted/dispatch/grant.rs
+++ b/src/policy/granted/dispatch/grant.rs
@@ -4,7 +4,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Numbers the grants of one incarnation of a sidecar, from 1.
+/// Number of a grant within one incarnation of a sidecar, from 1.
 pub type GrantNumber = u64;
 
 /// Permission for a router to send one request of an account.
@@ -14,7 +14,7 @@
     pub account: AccountId,
 }
 
-/// A grant as its sidecar keeps it until it is used, declined or expired.
+/// A grant as its sidecar keeps it until it is used or declined, or expires.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct IssuedGrant<R> {
     pub grant: Grant,
--- a/src/policy/granted/dispatch/grant_table.rs
+++ b/src/policy/granted/dispatch/grant_table.rs
@@ -3,7 +3,7 @@
     std::collections::BTreeMap,
 };
 
-/// The grants that a sidecar has issued and that are still good.
+/// The outstanding grants of a sidecar: issued, and not used, declined or expired.
 #[derive(Debug, Clone)]
 pub struct GrantTable<R> {
     issued: BTreeMap<GrantNumber, IssuedGrant<R>>,
@@ -18,7 +18,7 @@
 }
 
 impl<R: Copy + PartialEq> GrantTable<R> {
-    /// How many grants are outstanding.
+    /// The number of outstanding grants.
     pub fn len(&self) -> usize {
         self.issued.len()
     }
@@ -28,7 +28,7 @@
         self.issued.is_empty()
     }
 
-    /// Records a new grant.
+    /// Adds a new grant.
     pub fn insert(
         &mut self,
         grant: IssuedGrant<R>,
@@ -36,7 +36,7 @@
         self.issued.insert(grant.grant.number, grant);
     }
 
-    /// Uses a grant up: none if it is unknown, another router's or expired.
+    /// Removes a grant that is used; `None` if it is unknown, another router's or expired.
     pub fn redeem(
         &mut self,
         number: GrantNumber,
@@ -50,7 +50,7 @@
         self.issued.remove(&number)
     }
 
-    /// Takes a grant back that its router declines.
+    /// Removes a grant that its router declines; `None` if it is unknown or another router's.
     pub fn decline(
         &mut self,
         number: GrantNumber,
--- a/src/policy/granted/dispatch/mod.rs
+++ b/src/policy/granted/dispatch/mod.rs
@@ -1,7 +1,6 @@
-//! What a sidecar grants next, and to whom.
+//! Which request a sidecar grants capacity to next, and the demand that routers announce to it.
 
 mod admission;
-mod ahead_estimate;
 mod announced_demand;
 mod arrival;
 mod cost_estimate;
@@ -15,12 +14,12 @@
 mod grant;
 mod grant_table;
 mod order_mode;
+mod ready_target;
 mod slot_clock;
 mod slot_hold;
 
 pub use {
     admission::Admission,
-    ahead_estimate::AheadEstimate,
     announced_demand::{AnnouncedDemand, CurrentDemand},
     arrival::{Arrival, ExchangeId},
     cost_estimate::CostEstimate,
@@ -31,6 +30,7 @@
     grant::{Grant, GrantNumber, IssuedGrant},
     grant_table::GrantTable,
     order_mode::OrderMode,
+    ready_target::ReadyTarget,
     slot_clock::SlotClock,
     slot_hold::SlotHold,
 };
--- a/src/policy/granted/dispatch/order_mode.rs
+++ b/src/policy/granted/dispatch/order_mode.rs
@@ -1,6 +1,6 @@
-/// In which order a sidecar grants its capacity.
+/// The order in which a sidecar grants its capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderMode {
-    Fair,    // least served per share first
-    Arrival, // longest waiting first: a baseline
+    Fair,    // least service per share first
+    Arrival, // longest waiting first: a baseline for comparison
 }
--- a/src/policy/granted/dispatch/slot_clock.rs
+++ b/src/policy/granted/dispatch/slot_clock.rs
@@ -1,18 +1,18 @@
 use {crate::policy::Moment, std::time::Duration};
 
-/// Sums busy slot time, and apart from it the time while work waited.
+/// Sums the busy time of slots, in all and while requests waited.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SlotClock {
     last: Moment,
     running: u32,
-    contended: bool,          // work waited, as of `last`
-    busy: Duration,           // over slots
-    contended_time: Duration, // while work waited
-    contended_busy: Duration, // over slots, while work waited
+    contended: bool,          // requests waited, as of `last`
+    busy: Duration,           // over all slots
+    contended_time: Duration, // in which requests waited
+    contended_busy: Duration, // over all slots, while requests waited
 }
 
 impl SlotClock {
-    /// Takes in the state from `now` on.
+    /// Sets the state from `now` on, and adds up the time before.
     pub fn observe(
         &mut self,
         now: Moment,
@@ -31,17 +31,17 @@
         self.contended = contended;
     }
 
-    /// Busy slot time.
+    /// Busy time over all slots.
     pub fn busy(&self) -> Duration {
         self.busy
     }
 
-    /// Time while work waited.
+    /// Time in which requests waited.
     pub fn contended_time(&self) -> Duration {
         self.contended_time
     }
 
-    /// Busy slot time while work waited.
+    /// Busy time over all slots while requests waited.
     pub fn contended_busy(&self) -> Duration {
         self.contended_busy
     }
--- a/src/policy/granted/dispatch/slot_hold.rs
+++ b/src/policy/granted/dispatch/slot_hold.rs
@@ -1,9 +1,9 @@
 use {crate::fleet::AccountId, crate::policy::Moment};
 
-/// A request that holds a slot, or a place among those that wait for one.
+/// A request that holds a slot or waits for one.
 #[derive(Debug, Clone, Copy)]
 pub struct SlotHold {
     pub account: AccountId,
     pub charged: f64,    // service units so far
-    pub started: Moment, // meaningful once running
+    pub started: Moment, // only valid once it runs
 }
--- a/src/policy/notices/mod.rs
+++ b/src/policy/notices/mod.rs
@@ -2,8 +2,8 @@
 //! want no requests for a while. It is obeyed whatever the list of upstreams says.
 
 mod asked_rest;
+mod incarnation_notice;
 mod notice_book;
 mod replica_notice;
-mod incarnation_notice;
 
 pub use {asked_rest::asked_rest, notice_book::NoticeBook, replica_notice::ReplicaNotice};
