--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -7,7 +7,7 @@
     crate::{
         catalog::CatalogVersion,
         ops::MESSAGES_REFUSED,
-        policy::{Moment, Teller, TellerScope, mix, stable_hash},
+        policy::{Moment, Reporter, TellerScope, mix, stable_hash},
         wire::decode_payload,
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -96,7 +96,7 @@
         if from != report.address || !is_own_zone || !gateway.peers.hear(now, report, believed) {
             return;
         }
-        let teller = Teller {
+        let teller = Reporter {
             scope: TellerScope::Router,
             name: router_name(&report.address),
             source: report.incarnation,
@@ -123,7 +123,7 @@
         for member in &sum.members {
             gateway.peers.meet(now, named(member));
         }
-        let teller = Teller {
+        let teller = Reporter {
             scope: TellerScope::Zone,
             name: sum.zone,
             source: mix(stable_hash(&sum.carrier), sum.incarnation),
@@ -148,7 +148,7 @@
     fn take_figures(
         &self,
         now: Moment,
-        teller: Teller,
+        teller: Reporter,
         figures: &Figures,
     ) {
         let mut board = self.gateway.board();
--- a/src/policy/direct/mod.rs
+++ b/src/policy/direct/mod.rs
@@ -3,12 +3,12 @@
 pub mod memory;
 pub mod placement;
 mod processor;
+mod reporter;
 pub mod shares;
 pub mod slow_start;
 pub mod suspects;
-mod teller;
 
 pub use {
     processor::*,
-    teller::{Teller, TellerScope},
+    reporter::{Reporter, TellerScope},
 };
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -3,7 +3,7 @@
 use {
     super::ReplicaBoard,
     crate::policy::{
-        Moment, Teller, TellerScope,
+        Moment, Reporter, TellerScope,
         placement::{CacheNote, EngineReport, ReplicaEvidence, ReplicaReport},
         short_name,
     },
@@ -18,7 +18,7 @@
     pub fn hear(
         &mut self,
         now: Moment,
-        teller: Teller,
+        teller: Reporter,
         told: &[ReplicaReport],
     ) {
         let age = self.belief_age();
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -3,7 +3,7 @@
     crate::{
         catalog::UpstreamEntry,
         policy::{
-            Moment, Teller, TellerScope,
+            Moment, Reporter, TellerScope,
             placement::{
                 Load, PauseRecord, PauseSight, PeerLoads, PrefixCache, ReplicaPace, ReplicaReport,
             },
@@ -107,7 +107,7 @@
         &mut self,
         now: Moment,
         age: Duration,
-        teller: Teller,
+        teller: Reporter,
         report: &ReplicaReport,
     ) {
         let loads = match teller.scope {
--- a/src/policy/direct/teller.rs
+++ b/src/policy/direct/reporter.rs
@@ -1,6 +1,6 @@
 /// Origin of a report on loads or usage: a router of this zone, or another zone as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Teller {
+pub struct Reporter {
     pub scope: TellerScope,
     pub name: u32, // hash of the router's address or the zone's name; a newer report replaces it
     pub source: u64, // identifies the process that counts; another one counts from zero again
--- a/src/policy/direct/shares/reported_usage.rs
+++ b/src/policy/direct/shares/reported_usage.rs
@@ -1,6 +1,6 @@
 use {
     super::AccountUsage,
-    crate::policy::{Moment, Teller, TellerScope},
+    crate::policy::{Moment, Reporter, TellerScope},
     std::{collections::HashMap, time::Duration},
 };
 
@@ -34,7 +34,7 @@
     pub fn apply_report(
         &mut self,
         now: Moment,
-        teller: Teller,
+        teller: Reporter,
         usage: &[(u32, AccountUsage)],
         age: Duration,
     ) {
--- a/src/policy/direct/shares/share_book.rs
+++ b/src/policy/direct/shares/share_book.rs
@@ -2,7 +2,7 @@
     super::{
         AccountShare, AccountUsage, Division, PlacementRate, RecentAllocations, ReportedUsage,
     },
-    crate::policy::{Moment, Teller, TellerScope},
+    crate::policy::{Moment, Reporter, TellerScope},
     std::{collections::HashMap, time::Duration},
 };
 
@@ -106,7 +106,7 @@
     pub fn hear(
         &mut self,
         now: Moment,
-        teller: Teller,
+        teller: Reporter,
         usage: &[(u32, AccountUsage)],
     ) {
         self.reported
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -8,7 +8,7 @@
         catalog::{CatalogVersion, UpstreamEntry, UpstreamState},
         peers::{Figures, PeerMessage, RouterReport, ToldReports},
         policy::{
-            Teller, TellerScope,
+            Reporter, TellerScope,
             placement::{
                 CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport,
@@ -189,16 +189,16 @@
     }
 }
 
-fn router(number: u32) -> Teller {
-    Teller {
+fn router(number: u32) -> Reporter {
+    Reporter {
         scope: TellerScope::Router,
         name: number,
         source: 1,
     }
 }
 
-fn other_zone(number: u32) -> Teller {
-    Teller {
+fn other_zone(number: u32) -> Reporter {
+    Reporter {
         scope: TellerScope::Zone,
         name: 1_000_000 + number,
         source: 1,
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::{
-        Teller, TellerScope,
+        Reporter, TellerScope,
         shares::{AccountUsage, RetryWindow, ShareBook, Standing, fair_level},
         short_name,
     },
@@ -11,7 +11,7 @@
 };
 
 const WINDOW: Duration = Duration::from_secs(4);
-const PEER: Teller = Teller {
+const PEER: Reporter = Reporter {
     scope: TellerScope::Router,
     name: 1,
     source: 1,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -8,7 +8,7 @@
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
-        policy::{Teller, TellerScope, shares::Standing, short_name},
+        policy::{Reporter, TellerScope, shares::Standing, short_name},
         routing::{AllowedRegions, EngineFacts},
     },
     std::{
@@ -19,7 +19,7 @@
 };
 
 const NOW: Duration = Duration::from_secs(100);
-const PEER: Teller = Teller {
+const PEER: Reporter = Reporter {
     scope: TellerScope::Router,
     name: 1,
     source: 1,
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -7,7 +7,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         platform::parse_replica,
         policy::{
-            Teller, TellerScope,
+            Reporter, TellerScope,
             placement::{
                 CacheNote, Choice, KeptPart, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
@@ -27,7 +27,7 @@
     link_mbps: 0.0,
     moves: false,
 };
-const PEER: Teller = Teller {
+const PEER: Reporter = Reporter {
     scope: TellerScope::Router,
     name: 1,
     source: 1,
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -5,7 +5,7 @@
     archmast::{
         conf::{DirectSettings, IniDocument, SettingsFile},
         policy::{
-            Teller, TellerScope,
+            Reporter, TellerScope,
             shares::{AccountUsage, ShareBook, Standing},
             short_name,
         },
@@ -112,7 +112,7 @@
             .iter()
             .map(|(account, usage)| (*account, *usage))
             .collect();
-        let teller = Teller {
+        let teller = Reporter {
             scope: TellerScope::Router,
             name: router as u32,
             source: 1,
