--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -7,7 +7,7 @@
     crate::{
         catalog::CatalogVersion,
         ops::MESSAGES_REFUSED,
-        policy::{Moment, Reporter, TellerScope, mix, stable_hash},
+        policy::{Moment, Reporter, ReporterScope, mix, stable_hash},
         wire::decode_payload,
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -97,7 +97,7 @@
             return;
         }
         let teller = Reporter {
-            scope: TellerScope::Router,
+            scope: ReporterScope::Router,
             name: router_name(&report.address),
             source: report.incarnation,
         };
@@ -124,7 +124,7 @@
             gateway.peers.meet(now, named(member));
         }
         let teller = Reporter {
-            scope: TellerScope::Zone,
+            scope: ReporterScope::Zone,
             name: sum.zone,
             source: mix(stable_hash(&sum.carrier), sum.incarnation),
         };
--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -5,7 +5,7 @@
     crate::{
         direct::log_held_back,
         policy::{
-            Moment, TellerScope,
+            Moment, ReporterScope,
             suspects::{RequestDigest, SuspectNote},
         },
     },
@@ -92,8 +92,8 @@
         let now = self.gateway.now();
         let is_own_zone = told.zone == self.gateway.peers.own().zone;
         let scope = match is_own_zone {
-            true => TellerScope::Router,
-            false => TellerScope::Zone,
+            true => ReporterScope::Router,
+            false => ReporterScope::Zone,
         };
         let held = self.gateway.suspects().hear(now, scope, &told.notes);
         for (request, hold) in held {
--- a/src/policy/direct/mod.rs
+++ b/src/policy/direct/mod.rs
@@ -10,5 +10,5 @@
 
 pub use {
     processor::*,
-    reporter::{Reporter, TellerScope},
+    reporter::{Reporter, ReporterScope},
 };
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -3,7 +3,7 @@
 use {
     super::ReplicaBoard,
     crate::policy::{
-        Moment, Reporter, TellerScope,
+        Moment, Reporter, ReporterScope,
         placement::{CacheNote, EngineReport, ReplicaEvidence, ReplicaReport},
         short_name,
     },
@@ -73,7 +73,7 @@
     pub fn hear_notes(
         &mut self,
         now: Moment,
-        scope: TellerScope,
+        scope: ReporterScope,
         notes: &[CacheNote],
     ) {
         for note in notes {
@@ -83,7 +83,7 @@
             if note.shared {
                 self.shared_parts.note(note.part);
             }
-            if note.shared && scope == TellerScope::Router {
+            if note.shared && scope == ReporterScope::Router {
                 keep_note(&mut self.zone_notes, *note);
             }
         }
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -3,7 +3,7 @@
     crate::{
         catalog::UpstreamEntry,
         policy::{
-            Moment, Reporter, TellerScope,
+            Moment, Reporter, ReporterScope,
             placement::{
                 Load, PauseRecord, PauseSight, PeerLoads, PrefixCache, ReplicaPace, ReplicaReport,
             },
@@ -111,11 +111,11 @@
         report: &ReplicaReport,
     ) {
         let loads = match teller.scope {
-            TellerScope::Router => &mut self.routers,
-            TellerScope::Zone => &mut self.zones,
+            ReporterScope::Router => &mut self.routers,
+            ReporterScope::Zone => &mut self.zones,
         };
         let placed = loads.hear(now, age, teller.name, teller.source, report);
-        if teller.scope == TellerScope::Router {
+        if teller.scope == ReporterScope::Router {
             self.placed_by_zone += placed;
         }
         self.cache.place(placed);
--- a/src/policy/direct/shares/reported_usage.rs
+++ b/src/policy/direct/shares/reported_usage.rs
@@ -1,6 +1,6 @@
 use {
     super::AccountUsage,
-    crate::policy::{Moment, Reporter, TellerScope},
+    crate::policy::{Moment, Reporter, ReporterScope},
     std::{collections::HashMap, time::Duration},
 };
 
@@ -17,7 +17,7 @@
 /// What one router of this zone, or another zone as a whole, reported.
 #[derive(Debug)]
 struct Reported {
-    scope: TellerScope,
+    scope: ReporterScope,
     usage: HashMap<u32, (Moment, AccountUsage)>, // by account, with the time of the report
 }
 
@@ -87,7 +87,7 @@
         now: Moment,
         age: Duration,
         window: Duration,
-        is_included: impl Fn(TellerScope) -> bool,
+        is_included: impl Fn(ReporterScope) -> bool,
     ) -> HashMap<u32, AccountUsage> {
         let mut sum: HashMap<u32, AccountUsage> = HashMap::new();
         let reported = self
--- a/src/policy/direct/shares/share_book.rs
+++ b/src/policy/direct/shares/share_book.rs
@@ -2,7 +2,7 @@
     super::{
         AccountShare, AccountUsage, Division, PlacementRate, RecentAllocations, ReportedUsage,
     },
-    crate::policy::{Moment, Reporter, TellerScope},
+    crate::policy::{Moment, Reporter, ReporterScope},
     std::{collections::HashMap, time::Duration},
 };
 
@@ -217,7 +217,7 @@
         now: Moment,
     ) -> HashMap<u32, AccountUsage> {
         self.decay(now);
-        let routers = |scope| scope == TellerScope::Router;
+        let routers = |scope| scope == ReporterScope::Router;
         let mut sum = self
             .reported
             .sum_of(now, self.peer_age, self.window, routers);
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{EndNote, Hold, RequestDigest, SuspectBook, SuspectNote, suspect::Suspect},
-    crate::policy::{Moment, TellerScope},
+    crate::policy::{Moment, ReporterScope},
     std::collections::{BTreeMap, BTreeSet},
 };
 
@@ -28,7 +28,7 @@
     pub fn hear(
         &mut self,
         now: Moment,
-        scope: TellerScope,
+        scope: ReporterScope,
         notes: &[SuspectNote],
     ) -> Vec<(RequestDigest, Hold)> {
         let newly_held = notes.iter().filter_map(|note| {
@@ -41,7 +41,7 @@
     fn apply_one(
         &mut self,
         now: Moment,
-        scope: TellerScope,
+        scope: ReporterScope,
         note: &SuspectNote,
     ) -> Option<Hold> {
         self.make_room(note.account, note.request);
@@ -58,7 +58,7 @@
         if is_cleared_here {
             self.queue_update(note.request);
         }
-        if added > 0 && scope == TellerScope::Router {
+        if added > 0 && scope == ReporterScope::Router {
             self.zone_updates.insert(note.request, SENDS_PER_UPDATE);
         }
         hold.filter(|hold| before.is_none_or(|before| before.ends < hold.ends))
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -8,7 +8,7 @@
         catalog::{CatalogVersion, UpstreamEntry, UpstreamState},
         peers::{Figures, PeerMessage, RouterReport, ToldReports},
         policy::{
-            Reporter, TellerScope,
+            Reporter, ReporterScope,
             placement::{
                 CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport,
@@ -170,7 +170,7 @@
             part: 10 + part,
             shared: true,
         };
-        board.hear_notes(NOW, TellerScope::Zone, &[note]);
+        board.hear_notes(NOW, ReporterScope::Zone, &[note]);
     }
     board
 }
@@ -191,7 +191,7 @@
 
 fn router(number: u32) -> Reporter {
     Reporter {
-        scope: TellerScope::Router,
+        scope: ReporterScope::Router,
         name: number,
         source: 1,
     }
@@ -199,7 +199,7 @@
 
 fn other_zone(number: u32) -> Reporter {
     Reporter {
-        scope: TellerScope::Zone,
+        scope: ReporterScope::Zone,
         name: 1_000_000 + number,
         source: 1,
     }
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::{
-        Reporter, TellerScope,
+        Reporter, ReporterScope,
         shares::{AccountUsage, RetryWindow, ShareBook, Standing, fair_level},
         short_name,
     },
@@ -12,7 +12,7 @@
 
 const WINDOW: Duration = Duration::from_secs(4);
 const PEER: Reporter = Reporter {
-    scope: TellerScope::Router,
+    scope: ReporterScope::Router,
     name: 1,
     source: 1,
 };
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -8,7 +8,7 @@
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
-        policy::{Reporter, TellerScope, shares::Standing, short_name},
+        policy::{Reporter, ReporterScope, shares::Standing, short_name},
         routing::{AllowedRegions, EngineFacts},
     },
     std::{
@@ -20,7 +20,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 const PEER: Reporter = Reporter {
-    scope: TellerScope::Router,
+    scope: ReporterScope::Router,
     name: 1,
     source: 1,
 };
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -7,7 +7,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         platform::parse_replica,
         policy::{
-            Reporter, TellerScope,
+            Reporter, ReporterScope,
             placement::{
                 CacheNote, Choice, KeptPart, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
@@ -28,7 +28,7 @@
     moves: false,
 };
 const PEER: Reporter = Reporter {
-    scope: TellerScope::Router,
+    scope: ReporterScope::Router,
     name: 1,
     source: 1,
 };
@@ -173,7 +173,7 @@
     assert!(!board.replica("i-a").expect("listed").is_avoided(NOW, age));
     board.hear_notes(
         NOW,
-        TellerScope::Router,
+        ReporterScope::Router,
         &[note(&earlier, 1), note(&earlier, 2)],
     );
     assert_eq!(reading(&mut board), 5000);
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -5,7 +5,7 @@
     archmast::{
         conf::{DirectSettings, IniDocument, SettingsFile},
         policy::{
-            Reporter, TellerScope,
+            Reporter, ReporterScope,
             shares::{AccountUsage, ShareBook, Standing},
             short_name,
         },
@@ -113,7 +113,7 @@
             .map(|(account, usage)| (*account, *usage))
             .collect();
         let teller = Reporter {
-            scope: TellerScope::Router,
+            scope: ReporterScope::Router,
             name: router as u32,
             source: 1,
         };
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast::policy::{
-        Moment, TellerScope,
+        Moment, ReporterScope,
         suspects::{EndNote, RequestDigest, RunEnd, SuspectBook, SuspectNote},
     },
     proptest::prelude::*,
@@ -110,7 +110,7 @@
     assert!(!is_held(&book, ms(900)));
     let mut other = SuspectBook::default();
     let notes = book.notes(ms(900), &[REQUEST]);
-    other.hear(ms(900), TellerScope::Router, &notes);
+    other.hear(ms(900), ReporterScope::Router, &notes);
     assert!(!is_held(&other, ms(900)));
 }
 
@@ -172,12 +172,12 @@
     let notes = |runs: &[(u64, u64)]| book(runs).notes(ms(60_000), &[REQUEST]);
     let together: Vec<(u64, u64)> = (0..6).map(|copy| (copy * 10, 1000 + copy)).collect();
     let mut started = SuspectBook::default();
-    started.hear(ms(5), TellerScope::Router, &notes(&together));
+    started.hear(ms(5), ReporterScope::Router, &notes(&together));
     assert!(!is_held(&started, ms(5)));
     let mut started = SuspectBook::default();
     let held = started.hear(
         ms(5),
-        TellerScope::Router,
+        ReporterScope::Router,
         &notes(&[(0, 50_500), (50_600, 50_900)]),
     );
     assert_eq!(held.len(), 1);
@@ -195,16 +195,16 @@
     assert_eq!(book.lasting(), &BTreeSet::from([REQUEST]));
     let notes = book.notes(ms(1000), &[REQUEST]);
     let mut other = SuspectBook::default();
-    assert_eq!(other.hear(ms(9), TellerScope::Router, &notes).len(), 1);
+    assert_eq!(other.hear(ms(9), ReporterScope::Router, &notes).len(), 1);
     assert_eq!(
         other.take_news(ms(9)).len(),
         0,
         "its zone was told by who told it"
     );
     assert_eq!(other.take_zone_news(ms(9)).len(), 1);
-    assert_eq!(other.hear(ms(10), TellerScope::Router, &notes).len(), 0);
+    assert_eq!(other.hear(ms(10), ReporterScope::Router, &notes).len(), 0);
     let mut far = SuspectBook::default();
-    far.hear(ms(9), TellerScope::Zone, &notes);
+    far.hear(ms(9), ReporterScope::Zone, &notes);
     assert_eq!(far.take_zone_news(ms(9)).len(), 0);
 }
 
@@ -213,14 +213,14 @@
     let mut missed = book(&[(0, 500), (600, 900)]);
     let notes = missed.notes(ms(1000), &[REQUEST]);
     let mut other = SuspectBook::default();
-    other.hear(ms(1000), TellerScope::Router, &notes);
+    other.hear(ms(1000), ReporterScope::Router, &notes);
     other.answered(ms(1000), REQUEST);
     for _ in 0..2 {
         other.take_news(ms(1100));
     }
-    other.hear(ms(2000), TellerScope::Router, &notes);
+    other.hear(ms(2000), ReporterScope::Router, &notes);
     let told = other.take_news(ms(2000));
-    missed.hear(ms(2000), TellerScope::Router, &told);
+    missed.hear(ms(2000), ReporterScope::Router, &told);
     assert!(!is_held(&missed, ms(2000)));
 }
 
@@ -252,13 +252,13 @@
         let now = ms(20_000);
         let mut one = SuspectBook::default();
         for note in &notes {
-            one.hear(now, TellerScope::Router, std::slice::from_ref(note));
+            one.hear(now, ReporterScope::Router, std::slice::from_ref(note));
         }
         let mut other = SuspectBook::default();
         let turn = if notes.is_empty() { 0 } else { order.index(notes.len()) };
         let turned = notes.iter().cycle().skip(turn).take(notes.len());
         for note in turned.chain(notes.iter().rev()) {
-            other.hear(now, TellerScope::Zone, std::slice::from_ref(note));
+            other.hear(now, ReporterScope::Zone, std::slice::from_ref(note));
         }
         prop_assert_eq!(one.held(now), other.held(now));
         prop_assert_eq!(one.notes(now, &[REQUEST]), other.notes(now, &[REQUEST]));
