--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -11,7 +11,7 @@
         policy::{
             Incarnation, Moment, Standstill,
             placement::ReplicaBoard,
-            shares::{RetryWindow, ShareBook},
+            shares::{RetryWindow, ShareTracker},
             short_name,
             suspects::SuspectBook,
         },
@@ -48,7 +48,7 @@
     pub(super) answer_bytes: Arc<AtomicU64>,  // held for callers' connections
     pub(super) request_bytes: Arc<AtomicU64>, // held of requests
     board: Mutex<ReplicaBoard>,
-    shares: Mutex<ShareBook>,
+    shares: Mutex<ShareTracker>,
     retries: Mutex<RetryWindow>,
     suspects: Mutex<SuspectBook>,  // a leaf lock
     standstill: Mutex<Standstill>, // a leaf lock
@@ -95,7 +95,7 @@
             answer_bytes: Arc::default(),
             request_bytes: Arc::default(),
             board: Mutex::new(board),
-            shares: Mutex::new(ShareBook::new(settings.share_window, settings.peer_age)),
+            shares: Mutex::new(ShareTracker::new(settings.share_window, settings.peer_age)),
             retries: Mutex::new(retries),
             suspects: Mutex::new(SuspectBook::new(settings.let_through.clone())),
             stopping: AtomicBool::new(false),
@@ -165,7 +165,7 @@
     }
 
     /// What accounts asked for and got.
-    pub fn shares(&self) -> MutexGuard<'_, ShareBook> {
+    pub fn shares(&self) -> MutexGuard<'_, ShareTracker> {
         self.shares.lock().expect("shares lock")
     }
 
--- a/src/policy/direct/shares/share_book.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -14,7 +14,7 @@
 
 /// The tokens that accounts requested and were allocated, at this router and at its peers.
 #[derive(Debug)]
-pub struct ShareBook {
+pub struct ShareTracker {
     window: Duration,
     peer_age: Duration,              // older reports of peers are ignored
     capacity: f32,                   // declared, in tokens a second of all replicas; 0 if unset
@@ -25,7 +25,7 @@
     placements: PlacementRate,
 }
 
-impl ShareBook {
+impl ShareTracker {
     /// Without any usage. Reports of peers count for `peer_age`.
     pub fn new(
         window: Duration,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -13,7 +13,7 @@
                 CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport,
             },
-            shares::{AccountUsage, ShareBook, Standing},
+            shares::{AccountUsage, ShareTracker, Standing},
             short_name,
         },
         routing::EngineFacts,
@@ -205,8 +205,8 @@
     }
 }
 
-fn full_book(scale: FleetScale) -> ShareBook {
-    let mut book = ShareBook::new(WINDOW, AGE + WINDOW);
+fn full_book(scale: FleetScale) -> ShareTracker {
+    let mut book = ShareTracker::new(WINDOW, AGE + WINDOW);
     let usage: Vec<(u32, AccountUsage)> = (0..scale.accounts)
         .map(|account| {
             let usage = AccountUsage {
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -3,7 +3,7 @@
 use {
     archmast::policy::{
         Reporter, ReporterScope,
-        shares::{AccountUsage, RetryWindow, ShareBook, Standing, fair_level},
+        shares::{AccountUsage, RetryWindow, ShareTracker, Standing, fair_level},
         short_name,
     },
     proptest::prelude::*,
@@ -29,7 +29,7 @@
 #[test]
 fn an_account_is_not_over_while_all_ask_for_less_than_is_made() {
     let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     // A moment of refusals: a little was given, more was asked for.
     book.ask(now, big, 3000.0);
@@ -49,7 +49,7 @@
 
 #[test]
 fn what_is_divided_follows_whether_requests_find_room() {
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let mut book = ShareTracker::new(WINDOW, AGE);
     book.set_capacity(Some(1000.0));
     let mut now = Duration::from_secs(10);
     let mut count = |placed: usize, refused: usize| {
@@ -83,7 +83,7 @@
 /// How long an account waits that has had more than its share; none if it has
 /// not.
 fn over_for(
-    book: &mut ShareBook,
+    book: &mut ShareTracker,
     now: Duration,
     account: u32,
 ) -> Option<Duration> {
@@ -96,7 +96,7 @@
 #[test]
 fn an_account_is_over_only_while_others_are_owed() {
     let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     for account in [big, small] {
         book.ask(now, account, 1000.0);
@@ -109,7 +109,7 @@
 }
 
 fn told(
-    book: &mut ShareBook,
+    book: &mut ShareTracker,
     now: Duration,
 ) -> Vec<(u32, AccountUsage)> {
     book.own(now).clone().into_iter().collect()
@@ -118,8 +118,8 @@
 #[test]
 fn what_peers_gave_counts_until_it_is_old() {
     let (big, small) = (short_name("big"), short_name("small"));
-    let mut here = ShareBook::new(WINDOW, AGE);
-    let mut there = ShareBook::new(WINDOW, AGE);
+    let mut here = ShareTracker::new(WINDOW, AGE);
+    let mut there = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     here.ask(now, big, 500.0);
     here.ask(now, small, 500.0);
@@ -136,7 +136,7 @@
 #[test]
 fn the_time_to_come_back_is_when_the_share_is_free_again() {
     let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     book.ask(now, big, 10_000.0);
     book.ask(now, small, 1000.0);
@@ -156,7 +156,7 @@
 #[test]
 fn an_account_that_was_refused_most_is_behind_until_it_catches_up() {
     let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     book.ask(now, big, 50_000.0);
     book.give(now, big, 20_000.0);
@@ -173,7 +173,7 @@
 #[test]
 fn what_was_taken_back_counts_no_more() {
     let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     book.ask(now, big, 1000.0);
     book.ask(now, small, 1000.0);
@@ -216,7 +216,7 @@
     const CAPACITY: f32 = 100.0; // tokens a step
     let step = Duration::from_millis(100);
     let (hot, other) = (short_name("hot"), short_name("other"));
-    let mut book = ShareBook::new(window, AGE);
+    let mut book = ShareTracker::new(window, AGE);
     let mut now = Duration::from_secs(10);
     book.ask(now, hot, CAPACITY * 40.0);
     book.give(now, hot, CAPACITY * 40.0);
@@ -255,7 +255,7 @@
 /// is looked at this often.
 fn believed_when_looked_at_every(look: Duration) -> f32 {
     let account = short_name("steady");
-    let mut book = ShareBook::new(Duration::from_secs(3), AGE);
+    let mut book = ShareTracker::new(Duration::from_secs(3), AGE);
     let mut now = Duration::from_secs(10);
     let (mut next_given, mut next_look) = (now, now);
     while now < Duration::from_secs(40) {
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -6,7 +6,7 @@
         conf::{DirectSettings, IniDocument, SettingsFile},
         policy::{
             Reporter, ReporterScope,
-            shares::{AccountUsage, ShareBook, Standing},
+            shares::{AccountUsage, ShareTracker, Standing},
             short_name,
         },
     },
@@ -59,7 +59,7 @@
 
 /// The routers, and replicas that do what they are given in the order in which it comes.
 struct Fleet {
-    books: Vec<ShareBook>,
+    books: Vec<ShareTracker>,
     in_front: f32, // tokens
 }
 
@@ -67,7 +67,7 @@
     fn new() -> Self {
         let window = shipped_window();
         let book = || {
-            let mut book = ShareBook::new(window, AGE);
+            let mut book = ShareTracker::new(window, AGE);
             book.set_capacity(Some(f64::from(CAPACITY) * 1000.0));
             book
         };
