--- a/src/policy/direct/shares/division.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -19,14 +19,14 @@
 /// Max-min fair division of the tokens that all replicas produce in a window, among accounts by
 /// the tokens that they request.
 #[derive(Debug)]
-pub struct Division {
+pub struct FairAllocation {
     usage: HashMap<u32, AccountUsage>,
     pub window: Duration,
     pub divided: f32, // tokens
     pub level: f32,   // tokens that each account may have; infinite if all requests can be met
 }
 
-impl Division {
+impl FairAllocation {
     /// Divides `divided` tokens among accounts with this usage in a window.
     pub fn new(
         window: Duration,
--- a/src/policy/direct/shares/mod.rs
+++ b/src/policy/direct/shares/mod.rs
@@ -3,7 +3,7 @@
 
 mod account_share;
 mod account_usage;
-mod division;
+mod fair_allocation;
 mod fair_level;
 mod placement_rate;
 mod recent_allocations;
@@ -13,7 +13,7 @@
 mod standing;
 
 pub use {
-    account_share::AccountShare, account_usage::AccountUsage, division::Division,
+    account_share::AccountShare, account_usage::AccountUsage, fair_allocation::FairAllocation,
     fair_level::fair_level, placement_rate::PlacementRate, recent_allocations::RecentAllocations,
     reported_usage::ReportedUsage, retry_window::RetryWindow, share_tracker::ShareTracker,
     standing::Standing,
--- a/src/policy/direct/shares/recent_allocations.rs
+++ b/src/policy/direct/shares/recent_allocations.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AccountUsage, Division},
+    super::{AccountUsage, FairAllocation},
     crate::policy::Moment,
     std::{collections::HashMap, time::Duration},
 };
@@ -39,7 +39,7 @@
     pub fn update(
         &mut self,
         now: Moment,
-        division: &Division,
+        division: &FairAllocation,
     ) {
         let recent = division.usage().map(|(account, usage)| {
             let ratio = self.ratio(now, account, usage, division);
@@ -64,7 +64,7 @@
         now: Moment,
         account: u32,
         usage: AccountUsage,
-        division: &Division,
+        division: &FairAllocation,
     ) -> f32 {
         let known = self.accounts.get(&account).copied().unwrap_or_default();
         let windows =
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        AccountShare, AccountUsage, Division, PlacementRate, RecentAllocations, ReportedUsage,
+        AccountShare, AccountUsage, FairAllocation, PlacementRate, RecentAllocations, ReportedUsage,
     },
     crate::policy::{Moment, Reporter, ReporterScope},
     std::{collections::HashMap, time::Duration},
@@ -148,7 +148,7 @@
     pub fn shares(
         &mut self,
         now: Moment,
-    ) -> (Division, Vec<AccountShare>) {
+    ) -> (FairAllocation, Vec<AccountShare>) {
         self.update_recent(now);
         let division = self.division(now);
         let accounts = division.usage().map(|(account, _)| account);
@@ -162,10 +162,10 @@
     pub fn division(
         &mut self,
         now: Moment,
-    ) -> Division {
+    ) -> FairAllocation {
         let usage = self.fleet_usage(now);
         let allocated = usage.values().map(|usage| usage.got).sum();
-        Division::new(self.window, usage, self.divisible(now, allocated))
+        FairAllocation::new(self.window, usage, self.divisible(now, allocated))
     }
 
     fn update_recent(
