--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -12,7 +12,7 @@
         policy::{
             Moment,
             placement::{Choice, PlacementRequest, PromptShape, RefusalReason, SentPrompt},
-            shares::{AccountShare, Standing},
+            shares::{AccountShare, ShareStatus},
             short_name,
         },
     },
@@ -29,7 +29,9 @@
         let now = self.gateway.now();
         let call = self.call.clone();
         self.share = self.account_share();
-        let standing = self.share.map_or(Standing::Within, |share| share.standing);
+        let standing = self
+            .share
+            .map_or(ShareStatus::Within, |share| share.standing);
         let zone = self.gateway.settings().process.zone.clone();
         let mut board = self.gateway.board();
         let request = PlacementRequest {
@@ -106,9 +108,9 @@
         &self,
         now: Moment,
         choice: &Choice,
-        standing: Standing,
+        standing: ShareStatus,
     ) {
-        if self.call.prompt.is_none() || matches!(standing, Standing::Over { .. }) {
+        if self.call.prompt.is_none() || matches!(standing, ShareStatus::Over { .. }) {
             return;
         }
         match choice {
--- a/src/policy/direct/placement/board/board_refusals.rs
+++ b/src/policy/direct/placement/board/board_refusals.rs
@@ -7,7 +7,7 @@
         policy::{
             Moment,
             placement::{Choice, PlacementRequest, RefusalReason, ReplicaView},
-            shares::Standing,
+            shares::ShareStatus,
         },
     },
     std::time::Duration,
@@ -85,8 +85,8 @@
     ) -> Choice {
         let room_in = Duration::from_secs_f64(wait_ms / 1000.0);
         let (reason, wait) = match request.standing {
-            Standing::Over { wait, .. } => (RefusalReason::OverShare, wait.max(room_in)),
-            Standing::Within | Standing::Behind => (RefusalReason::NoRoom, room_in),
+            ShareStatus::Over { wait, .. } => (RefusalReason::OverShare, wait.max(room_in)),
+            ShareStatus::Within | ShareStatus::Behind => (RefusalReason::NoRoom, room_in),
         };
         Choice::Refuse {
             reason,
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -3,7 +3,7 @@
     crate::{
         policy::{
             placement::{Load, PlacementSettings},
-            shares::Standing,
+            shares::ShareStatus,
         },
         routing::EngineFacts,
     },
@@ -32,9 +32,9 @@
         most_are_idle: bool,
     ) -> Self {
         let share = match request.standing {
-            Standing::Over { factor, .. } => settings.over_share / f64::from(factor * factor),
-            Standing::Within => 1.0,
-            Standing::Behind => settings.behind_share,
+            ShareStatus::Over { factor, .. } => settings.over_share / f64::from(factor * factor),
+            ShareStatus::Within => 1.0,
+            ShareStatus::Behind => settings.behind_share,
         };
         let most_late = match is_over(request.standing) {
             true => MOST_LATE_OVER,
@@ -91,6 +91,6 @@
 
 /// Accounts over their share leave idle replicas to others, unless most are idle:
 /// the account that asks most often would otherwise get most of them.
-pub fn is_over(standing: Standing) -> bool {
-    matches!(standing, Standing::Over { .. })
+pub fn is_over(standing: ShareStatus) -> bool {
+    matches!(standing, ShareStatus::Over { .. })
 }
--- a/src/policy/direct/placement/choosing/placement_request.rs
+++ b/src/policy/direct/placement/choosing/placement_request.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        policy::{placement::PromptShape, shares::Standing},
+        policy::{placement::PromptShape, shares::ShareStatus},
         routing::{AllowedRegions, EngineFacts},
     },
     std::{sync::Arc, time::Duration},
@@ -15,7 +15,7 @@
     pub prompt: Option<&'r PromptShape>,
     pub aim: Duration,                       // shortest among the service's routes
     pub pause_aim: Option<Duration>,         // of its route: longest pause between events
-    pub standing: Standing,                  // of its account
+    pub standing: ShareStatus,               // of its account
     pub tried: &'r [Arc<str>],               // replicas it was sent to before
     pub regions: Option<&'r AllowedRegions>, // where it may be served; anywhere if none
 }
--- a/src/policy/direct/shares/account_share.rs
+++ b/src/policy/direct/shares/account_share.rs
@@ -1,9 +1,9 @@
-use super::{AccountUsage, Standing};
+use super::{AccountUsage, ShareStatus};
 
 /// Whether an account is over its fair share, and the figures that this follows from.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct AccountShare {
-    pub standing: Standing,
+    pub standing: ShareStatus,
     pub usage: AccountUsage, // of the account, over the fleet
     pub lately: f32,         // recently allocated tokens, as a part of its fair share
     pub level: f32, // tokens that each account may have; infinite if all requests can be met
--- a/src/policy/direct/shares/fair_allocation.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AccountShare, AccountUsage, RecentAllocations, Standing, fair_level},
+    super::{AccountShare, AccountUsage, RecentAllocations, ShareStatus, fair_level},
     crate::policy::Moment,
     std::{collections::HashMap, time::Duration},
 };
@@ -72,19 +72,19 @@
         usage: AccountUsage,
         lately: f32,
         asking: f32,
-    ) -> Standing {
+    ) -> ShareStatus {
         let bound = self.level * TOLERANCE;
         if usage.got > bound && lately >= MIN_RECENT {
             let factor = usage.got / bound.max(1.0);
             let wait = self.window.mul_f32(factor.ln());
-            return Standing::Over { wait, factor };
+            return ShareStatus::Over { wait, factor };
         }
         let asked_before = usage.asked - asking;
         let is_under = usage.got < asked_before * UNDER && lately < UNDER;
         if is_under {
-            Standing::Behind
+            ShareStatus::Behind
         } else {
-            Standing::Within
+            ShareStatus::Within
         }
     }
 }
--- a/src/policy/direct/shares/mod.rs
+++ b/src/policy/direct/shares/mod.rs
@@ -9,12 +9,12 @@
 mod recent_allocations;
 mod reported_usage;
 mod retry_window;
+mod share_status;
 mod share_tracker;
-mod standing;
 
 pub use {
     account_share::AccountShare, account_usage::AccountUsage, fair_allocation::FairAllocation,
     fair_level::fair_level, placement_rate::PlacementRate, recent_allocations::RecentAllocations,
-    reported_usage::ReportedUsage, retry_window::RetryWindow, share_tracker::ShareTracker,
-    standing::Standing,
+    reported_usage::ReportedUsage, retry_window::RetryWindow, share_status::ShareStatus,
+    share_tracker::ShareTracker,
 };
--- a/src/policy/direct/shares/standing.rs
+++ b/src/policy/direct/shares/share_status.rs
@@ -2,7 +2,7 @@
 
 /// How an account's recent usage compares to its max-min fair share.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum Standing {
+pub enum ShareStatus {
     /// It was allocated `factor` times its share. If nothing more is allocated, it is within
     /// its share again after `wait`.
     Over { wait: Duration, factor: f32 },
@@ -14,7 +14,7 @@
     Behind,
 }
 
-impl Standing {
+impl ShareStatus {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -13,7 +13,7 @@
                 CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport,
             },
-            shares::{AccountUsage, ShareTracker, Standing},
+            shares::{AccountUsage, ShareStatus, ShareTracker},
             short_name,
         },
         routing::EngineFacts,
@@ -127,7 +127,7 @@
         prompt: Some(prompt),
         aim: AIM,
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     }
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -11,7 +11,7 @@
                 PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
                 ReplicaEvidence, ReplicaPace, SentPrompt, WorkNumber,
             },
-            shares::Standing,
+            shares::ShareStatus,
             short_name,
         },
         routing::EngineFacts,
@@ -94,7 +94,7 @@
         engine: Some(ENGINE),
         prompt: Some(prompt),
         aim: AIM,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
     }
 }
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -3,7 +3,7 @@
 use {
     archmast::policy::{
         Reporter, ReporterScope,
-        shares::{AccountUsage, RetryWindow, ShareTracker, Standing, fair_level},
+        shares::{AccountUsage, RetryWindow, ShareStatus, ShareTracker, fair_level},
         short_name,
     },
     proptest::prelude::*,
@@ -88,8 +88,8 @@
     account: u32,
 ) -> Option<Duration> {
     match book.share(now, account, 0.0).standing {
-        Standing::Over { wait, .. } => Some(wait),
-        Standing::Within | Standing::Behind => None,
+        ShareStatus::Over { wait, .. } => Some(wait),
+        ShareStatus::Within | ShareStatus::Behind => None,
     }
 }
 
@@ -162,12 +162,12 @@
     book.give(now, big, 20_000.0);
     // Its first request: nothing was refused yet.
     book.ask(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 5000.0).standing, Standing::Within);
+    assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Within);
     // It was refused, and comes again.
     book.ask(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 5000.0).standing, Standing::Behind);
+    assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Behind);
     book.give(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 0.0).standing, Standing::Within);
+    assert_eq!(book.share(now, small, 0.0).standing, ShareStatus::Within);
 }
 
 #[test]
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -8,7 +8,7 @@
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
-        policy::{Reporter, ReporterScope, shares::Standing, short_name},
+        policy::{Reporter, ReporterScope, shares::ShareStatus, short_name},
         routing::{AllowedRegions, EngineFacts},
     },
     std::{
@@ -112,7 +112,7 @@
         prompt: Some(prompt),
         aim: AIM,
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     }
@@ -324,8 +324,8 @@
 fn over(
     wait_ms: u64,
     factor: f32,
-) -> Standing {
-    Standing::Over {
+) -> ShareStatus {
+    ShareStatus::Over {
         wait: Duration::from_millis(wait_ms),
         factor,
     }
@@ -342,7 +342,7 @@
     };
     refused(board.choose(NOW, &with(over(1000, 3.0))));
     refused(board.choose(NOW, &with(over(1000, 1.4))));
-    sent(board.choose(NOW, &with(Standing::Within)));
+    sent(board.choose(NOW, &with(ShareStatus::Within)));
     let idle = self::board(&["a", "b"]);
     sent(idle.choose(NOW, &with(over(1000, 3.0))));
 }
@@ -383,7 +383,7 @@
     }
     let another = prompt(last, last);
     let behind = PlacementRequest {
-        standing: Standing::Behind,
+        standing: ShareStatus::Behind,
         ..request(&another)
     };
     sent(board.choose(NOW, &behind));
@@ -760,7 +760,7 @@
         prompt: None,
         aim: Duration::from_millis(30),
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     }
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -12,7 +12,7 @@
                 CacheNote, Choice, KeptPart, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
             },
-            shares::Standing,
+            shares::ShareStatus,
         },
         routing::EngineFacts,
     },
@@ -73,7 +73,7 @@
         prompt: Some(&prompt),
         aim: Duration::from_secs(10),
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     };
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -6,7 +6,7 @@
         conf::{DirectSettings, IniDocument, SettingsFile},
         policy::{
             Reporter, ReporterScope,
-            shares::{AccountUsage, ShareTracker, Standing},
+            shares::{AccountUsage, ShareStatus, ShareTracker},
             short_name,
         },
     },
@@ -88,9 +88,9 @@
         let book = &mut self.books[router];
         book.ask(now, demand.account, demand.tokens);
         let most_ms = match book.share(now, demand.account, demand.tokens).standing {
-            Standing::Over { .. } => return false,
-            Standing::Within => MOST_IN_FRONT_MS,
-            Standing::Behind => MOST_IN_FRONT_MS * 2.0,
+            ShareStatus::Over { .. } => return false,
+            ShareStatus::Within => MOST_IN_FRONT_MS,
+            ShareStatus::Behind => MOST_IN_FRONT_MS * 2.0,
         };
         let is_placed = self.in_front <= capacity * most_ms;
         book.count_room(now, is_placed);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -11,7 +11,7 @@
         policy::{
             Moment,
             placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, WorkNumber},
-            shares::Standing,
+            shares::ShareStatus,
             slow_start::{StartBounds, StartLimit, ZoneRouters},
             stable_hash,
         },
@@ -137,7 +137,7 @@
             prompt: None,
             aim: Duration::from_millis(600),
             pause_aim: None,
-            standing: Standing::Within,
+            standing: ShareStatus::Within,
             tried: &[],
             regions: None,
         };
@@ -350,7 +350,7 @@
         prompt: None,
         aim: Duration::from_millis(600),
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     };
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -15,7 +15,7 @@
                 PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaBoard,
                 ReplicaEvidence, SentPrompt, WorkNumber,
             },
-            shares::Standing,
+            shares::ShareStatus,
         },
         routing::EngineFacts,
     },
@@ -338,7 +338,7 @@
         prompt: Some(prompt),
         aim: CHAT.aim,
         pause_aim,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
     }
 }
@@ -559,11 +559,13 @@
         aim: Duration::from_secs(20),
         ..request(&long, Some(PAUSE_AIM))
     };
-    let over = Standing::Over {
+    let over = ShareStatus::Over {
         wait: Duration::from_secs(1),
         factor: 1.1,
     };
-    let choice = world.board.choose(world.now, &standing(Standing::Within));
+    let choice = world
+        .board
+        .choose(world.now, &standing(ShareStatus::Within));
     assert!(matches!(choice, Choice::Send { pauses_ms, .. } if pauses_ms > 0.0));
     let choice = world.board.choose(world.now, &standing(over));
     let reason = RefusalReason::OverShare;
