--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{PlacementRequest, ReplicaView, WorkNumber},
-        slow_start::{StartLimit, StartPace, ZoneRouters},
+        slow_start::{SlowStartState, StartLimit, ZoneRouters},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
@@ -58,7 +58,7 @@
             return true;
         };
         let is_same = view.start == work.start;
-        is_same && work.is_counted && now.saturating_sub(work.sent) <= StartPace::LATEST
+        is_same && work.is_counted && now.saturating_sub(work.sent) <= SlowStartState::LATEST
     }
 
     /// The shortest time until a replica of a service is through its start, if any that
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -7,7 +7,7 @@
             placement::{
                 Load, PauseRecord, PauseSight, PeerLoads, PrefixCache, ReplicaPace, ReplicaReport,
             },
-            slow_start::StartPace,
+            slow_start::SlowStartState,
             stable_hash,
         },
     },
@@ -23,18 +23,18 @@
     pub own: Load,  // what this router has there
     pub health: ReplicaHealth,
     pub cache: PrefixCache,
-    pub placed: u64,             // tokens that this router sent there so far
-    pub placed_by_zone: u64,     // the same, with the other routers of its zone
-    pub heard: Moment,           // when it last answered anything
-    pub plain: PlainTimes,       // of requests that are no prompts
-    pub seen: SeenWork,          // of how it works
-    pub pace: ReplicaPace,       // as of the last look at what was seen
-    pub logged_pace: f64,        // the lasting one, as it was last logged
-    pub pauses: PauseRecord,     // of its streams, against what was expected
-    pub pause_sight: PauseSight, // as of the last look at what was seen
-    pub start_pace: StartPace,   // what this router sends there while it starts slowly
-    routers: PeerLoads,          // of the own zone
-    zones: PeerLoads,            // the other zones, each as a whole
+    pub placed: u64,                // tokens that this router sent there so far
+    pub placed_by_zone: u64,        // the same, with the other routers of its zone
+    pub heard: Moment,              // when it last answered anything
+    pub plain: PlainTimes,          // of requests that are no prompts
+    pub seen: SeenWork,             // of how it works
+    pub pace: ReplicaPace,          // as of the last look at what was seen
+    pub logged_pace: f64,           // the lasting one, as it was last logged
+    pub pauses: PauseRecord,        // of its streams, against what was expected
+    pub pause_sight: PauseSight,    // as of the last look at what was seen
+    pub start_pace: SlowStartState, // what this router sends there while it starts slowly
+    routers: PeerLoads,             // of the own zone
+    zones: PeerLoads,               // the other zones, each as a whole
 }
 
 impl ReplicaView {
@@ -56,7 +56,7 @@
             logged_pace: 1.0,
             pauses: PauseRecord::default(),
             pause_sight: PauseSight::default(),
-            start_pace: StartPace::default(),
+            start_pace: SlowStartState::default(),
             routers: PeerLoads::default(),
             zones: PeerLoads::default(),
         }
--- a/src/policy/direct/slow_start/mod.rs
+++ b/src/policy/direct/slow_start/mod.rs
@@ -3,12 +3,12 @@
 //! only one router of a replica's zone sends to it. With a limit for each router, all of them
 //! together would send several times the limit.
 
+mod slow_start_state;
 mod start_limit;
-mod start_pace;
 mod zone_routers;
 
 pub use {
+    slow_start_state::SlowStartState,
     start_limit::{StartBounds, StartLimit},
-    start_pace::StartPace,
     zone_routers::ZoneRouters,
 };
--- a/src/policy/direct/slow_start/start_pace.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -5,17 +5,17 @@
 
 /// Period over which sends are counted: a second, plus the longest delay between counting a send
 /// and making it.
-const WINDOW: Duration = Duration::from_secs(1).saturating_add(StartPace::LATEST);
+const WINDOW: Duration = Duration::from_secs(1).saturating_add(SlowStartState::LATEST);
 
 /// The slow start of one replica, and this router's recent sends to it.
 #[derive(Debug, Clone, Default)]
-pub struct StartPace {
+pub struct SlowStartState {
     slow_until: Moment,      // as reported by the replica
     suspected_until: Moment, // it may have restarted and not reported since
     sends: VecDeque<Moment>, // within the window, during slow start
 }
 
-impl StartPace {
+impl SlowStartState {
     /// The longest delay between counting a send and making it. Later sends are dropped, as
     /// sends that waited for connections would leave in a burst.
     pub const LATEST: Duration = Duration::from_millis(100);
