--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -6,7 +6,7 @@
         catalog::UpstreamEntry,
         fleet::Revision,
         ops::{CORDONED, CORDONS_UNKNOWN},
-        policy::slow_start::StartLimit,
+        policy::slow_start::SlowStartLimit,
     },
     std::{
         collections::{BTreeSet, HashMap},
@@ -90,7 +90,7 @@
     }
 
     /// What replicas of each service bear while they start, by the configuration in force.
-    fn start_limits(&self) -> HashMap<Arc<str>, StartLimit> {
+    fn start_limits(&self) -> HashMap<Arc<str>, SlowStartLimit> {
         let bounds = self.settings().start_bounds;
         let Some(table) = self.catalog.config() else {
             return HashMap::new();
--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{PlacementRequest, ReplicaView, WorkNumber},
-        slow_start::{SlowStartState, StartLimit, ZoneRouters},
+        slow_start::{SlowStartLimit, SlowStartState, ZoneRouters},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
@@ -14,7 +14,7 @@
     /// What replicas of each service bear while they start.
     pub fn set_start_limits(
         &mut self,
-        limits: HashMap<Arc<str>, StartLimit>,
+        limits: HashMap<Arc<str>, SlowStartLimit>,
     ) {
         self.start_limits = limits;
     }
@@ -79,7 +79,7 @@
         &self,
         now: Moment,
         view: &ReplicaView,
-    ) -> Option<StartLimit> {
+    ) -> Option<SlowStartLimit> {
         let limit = self.start_limits.get(&view.entry.service)?;
         view.start_pace.is_slow(now).then_some(*limit)
     }
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -8,7 +8,7 @@
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
                 Work, WorkNumber,
             },
-            slow_start::{StartLimit, ZoneRouters},
+            slow_start::{SlowStartLimit, ZoneRouters},
         },
         routing::AllowedRegions,
     },
@@ -42,7 +42,7 @@
     pub(super) fleet: FleetSize,      // that chooses by the same reports
     cordoned: BTreeSet<String>,       // zones that get no new work
     regions: BTreeMap<String, String>, // of zones, by zone
-    pub(super) start_limits: HashMap<Arc<str>, StartLimit>, // by service
+    pub(super) start_limits: HashMap<Arc<str>, SlowStartLimit>, // by service
     pub(super) zone_routers: ZoneRouters, // who sends to replicas that start slowly
     pub(super) notices: NoticeBook,   // what replicas said of themselves
 }
--- a/src/policy/direct/slow_start/mod.rs
+++ b/src/policy/direct/slow_start/mod.rs
@@ -3,12 +3,12 @@
 //! only one router of a replica's zone sends to it. With a limit for each router, all of them
 //! together would send several times the limit.
 
+mod slow_start_limit;
 mod slow_start_state;
-mod start_limit;
 mod zone_routers;
 
 pub use {
+    slow_start_limit::{SlowStartLimit, StartBounds},
     slow_start_state::SlowStartState,
-    start_limit::{StartBounds, StartLimit},
     zone_routers::ZoneRouters,
 };
--- a/src/policy/direct/slow_start/start_limit.rs
+++ b/src/policy/direct/slow_start/slow_start_limit.rs
@@ -13,7 +13,7 @@
 
 /// Limit on what one router sends to a replica that has just started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StartLimit {
+pub struct SlowStartLimit {
     pub per_second: u32, // requests
     pub lasts: Duration, // how long a replica's slow start takes
 }
@@ -26,7 +26,7 @@
         &self,
         per_second: f64,
         lasts: Duration,
-    ) -> Option<StartLimit> {
+    ) -> Option<SlowStartLimit> {
         if per_second <= 0.0 {
             return None;
         }
@@ -34,7 +34,7 @@
         let per_router = (total / MAX_SENDERS)
             .floor()
             .max(if total >= 1.0 { 1.0 } else { 0.0 });
-        Some(StartLimit {
+        Some(SlowStartLimit {
             per_second: per_router.min(f64::from(u32::MAX)) as u32,
             lasts,
         })
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -12,7 +12,7 @@
             Moment,
             placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, WorkNumber},
             shares::ShareStatus,
-            slow_start::{StartBounds, StartLimit, ZoneRouters},
+            slow_start::{SlowStartLimit, StartBounds, ZoneRouters},
             stable_hash,
         },
     },
@@ -59,7 +59,7 @@
     })
 }
 
-fn limit() -> StartLimit {
+fn limit() -> SlowStartLimit {
     BOUNDS.limit(PER_SECOND, SLOW_FOR).expect("a limit")
 }
 
