--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -4,7 +4,7 @@
         catalog::FollowPace,
         codes::ResultCode,
         policy::{
-            memory::MemoryBudget, placement::PlacementSettings, slow_start::StartBounds,
+            memory::MemoryBudget, placement::PlacementSettings, slow_start::SlowStartBounds,
             suspects::RequestDigest,
         },
     },
@@ -39,15 +39,15 @@
     pub catalog: SocketAddr,               // the store's address
     pub catalog_pace: FollowPace,          // how often the store is asked
     pub placement: PlacementSettings,
-    pub follow_kept: bool,         // what replicas say that they keep
-    pub start_bounds: StartBounds, // of replicas that have just started
-    pub share_window: Duration,    // over which shares are counted
-    pub retry_ratio: f64,          // repeats per request
-    pub retry_extra: f64,          // and beyond that, for the whole fleet
-    pub retry_window: Duration,    // over which both are counted
+    pub follow_kept: bool,             // what replicas say that they keep
+    pub start_bounds: SlowStartBounds, // of replicas that have just started
+    pub share_window: Duration,        // over which shares are counted
+    pub retry_ratio: f64,              // repeats per request
+    pub retry_extra: f64,              // and beyond that, for the whole fleet
+    pub retry_window: Duration,        // over which both are counted
     pub let_through: BTreeSet<RequestDigest>, // requests that are never held back
-    pub grace: Duration,           // from the stop signal to the kill
-    pub balancer_lag: Duration,    // from the stop signal to refusing connections
+    pub grace: Duration,               // from the stop signal to the kill
+    pub balancer_lag: Duration,        // from the stop signal to refusing connections
 }
 
 /// Parts of the process's memory: for one answer and for all, and for the bodies of requests.
@@ -196,9 +196,9 @@
     Err(section.fault(ResultCode::SettingsContradict, "apply", detail))
 }
 
-fn start_bounds(file: &SettingsFile) -> Result<StartBounds, ConfError> {
+fn start_bounds(file: &SettingsFile) -> Result<SlowStartBounds, ConfError> {
     let section = file.section("slow_start")?;
-    Ok(StartBounds {
+    Ok(SlowStartBounds {
         overage: section.number("overage", 0.01..=100.0)?,
         tolerance: section.number("tolerance", 0.0..=1e6)?,
     })
--- a/src/policy/direct/slow_start/mod.rs
+++ b/src/policy/direct/slow_start/mod.rs
@@ -8,7 +8,7 @@
 mod zone_routers;
 
 pub use {
-    slow_start_limit::{SlowStartLimit, StartBounds},
+    slow_start_limit::{SlowStartBounds, SlowStartLimit},
     slow_start_state::SlowStartState,
     zone_routers::ZoneRouters,
 };
--- a/src/policy/direct/slow_start/slow_start_limit.rs
+++ b/src/policy/direct/slow_start/slow_start_limit.rs
@@ -6,7 +6,7 @@
 
 /// Margin that the operator allows above the rate that replicas declare for their slow start.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StartBounds {
+pub struct SlowStartBounds {
     pub overage: f64,   // factor on the declared rate
     pub tolerance: f64, // additional requests a second
 }
@@ -18,7 +18,7 @@
     pub lasts: Duration, // how long a replica's slow start takes
 }
 
-impl StartBounds {
+impl SlowStartBounds {
     /// The limit for replicas that declare `per_second` requests a second; `None` for 0, which
     /// stands for no limit. It is half of what all routers may send together, so that two
     /// routers that send at once stay within that.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -12,7 +12,7 @@
             Moment,
             placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, WorkNumber},
             shares::ShareStatus,
-            slow_start::{SlowStartLimit, StartBounds, ZoneRouters},
+            slow_start::{SlowStartBounds, SlowStartLimit, ZoneRouters},
             stable_hash,
         },
     },
@@ -28,7 +28,7 @@
 /// What a replica bears that has just started, in requests a second, and what the
 /// operator allows.
 const PER_SECOND: f64 = 9.8;
-const BOUNDS: StartBounds = StartBounds {
+const BOUNDS: SlowStartBounds = SlowStartBounds {
     overage: 1.5,
     tolerance: 5.0,
 };
@@ -364,11 +364,11 @@
 
 #[test]
 fn the_bound_is_what_replicas_say_where_the_operator_allows_no_more() {
-    let strict = StartBounds {
+    let strict = SlowStartBounds {
         overage: 1.0,
         tolerance: 0.0,
     };
-    let each = |bounds: StartBounds, per_second| {
+    let each = |bounds: SlowStartBounds, per_second| {
         let limit = bounds.limit(per_second, SLOW_FOR);
         limit.map(|limit| limit.per_second)
     };
