--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -13,7 +13,7 @@
             placement::ReplicaBoard,
             shares::{RetryWindow, ShareTracker},
             short_name,
-            suspects::SuspectBook,
+            suspects::SuspectTracker,
         },
     },
     std::{
@@ -50,8 +50,8 @@
     board: Mutex<ReplicaBoard>,
     shares: Mutex<ShareTracker>,
     retries: Mutex<RetryWindow>,
-    suspects: Mutex<SuspectBook>,  // a leaf lock
-    standstill: Mutex<Standstill>, // a leaf lock
+    suspects: Mutex<SuspectTracker>, // a leaf lock
+    standstill: Mutex<Standstill>,   // a leaf lock
     stopping: AtomicBool,
     refusing: AtomicBool, // stops, and takes no more requests
     placing: AtomicBool,  // the board follows a configuration and a list
@@ -97,7 +97,7 @@
             board: Mutex::new(board),
             shares: Mutex::new(ShareTracker::new(settings.share_window, settings.peer_age)),
             retries: Mutex::new(retries),
-            suspects: Mutex::new(SuspectBook::new(settings.let_through.clone())),
+            suspects: Mutex::new(SuspectTracker::new(settings.let_through.clone())),
             stopping: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
             placing: AtomicBool::new(false),
@@ -170,7 +170,7 @@
     }
 
     /// Requests under which replicas ended.
-    pub fn suspects(&self) -> MutexGuard<'_, SuspectBook> {
+    pub fn suspects(&self) -> MutexGuard<'_, SuspectTracker> {
         self.suspects.lock().expect("suspects lock")
     }
 
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -1,7 +1,7 @@
 //! Exchange between routers of the evidence against requests.
 
 use {
-    super::{EndNote, Hold, RequestDigest, SuspectBook, SuspectNote, suspect::Suspect},
+    super::{EndNote, Hold, RequestDigest, SuspectNote, SuspectTracker, suspect::Suspect},
     crate::policy::{Moment, ReporterScope},
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -12,7 +12,7 @@
 /// Requests on which updates are sent at once, in some four datagrams.
 const MAX_UPDATES_AT_ONCE: usize = 32;
 
-impl SuspectBook {
+impl SuspectTracker {
     /// Queues an update on a request of which this router got new evidence, for the routers of
     /// this zone and for other zones.
     pub(super) fn queue_update(
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -10,15 +10,15 @@
 mod request_digest;
 mod run_end;
 mod suspect;
-mod suspect_book;
 mod suspect_note;
+mod suspect_tracker;
 mod told_moment;
 
 pub use {
     hold::Hold,
     request_digest::RequestDigest,
     run_end::RunEnd,
-    suspect_book::{HeldRequest, SuspectBook},
     suspect_note::{EndNote, SuspectNote},
+    suspect_tracker::{HeldRequest, SuspectTracker},
     told_moment::ToldMoment,
 };
--- a/src/policy/direct/suspects/suspect_book.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -26,7 +26,7 @@
 
 /// The requests during which replicas crashed, at any router.
 #[derive(Debug, Default)]
-pub struct SuspectBook {
+pub struct SuspectTracker {
     pub(super) suspects: HashMap<RequestDigest, Suspect>,
     pub(super) updates: BTreeMap<RequestDigest, u8>, // of this router, with remaining sends
     pub(super) zone_updates: BTreeMap<RequestDigest, u8>, // of this zone, with remaining sends
@@ -35,7 +35,7 @@
     exempt: BTreeSet<RequestDigest>,                 // never held back, as the operator set
 }
 
-impl SuspectBook {
+impl SuspectTracker {
     /// Without any crash so far. Requests in `exempt` are never held back.
     pub fn new(exempt: BTreeSet<RequestDigest>) -> Self {
         Self {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -4,7 +4,7 @@
 use {
     archmast::policy::{
         Moment, ReporterScope,
-        suspects::{EndNote, RequestDigest, RunEnd, SuspectBook, SuspectNote},
+        suspects::{EndNote, RequestDigest, RunEnd, SuspectNote, SuspectTracker},
     },
     proptest::prelude::*,
     std::{collections::BTreeSet, time::Duration},
@@ -30,8 +30,8 @@
 }
 
 /// A book in which runs of the request ended with their replicas.
-fn book(runs: &[(u64, u64)]) -> SuspectBook {
-    let mut book = SuspectBook::default();
+fn book(runs: &[(u64, u64)]) -> SuspectTracker {
+    let mut book = SuspectTracker::default();
     for (key, (began, ended)) in (0..).zip(runs) {
         book.ended(NOW, REQUEST, ACCOUNT, run(key, *began, *ended));
     }
@@ -39,7 +39,7 @@
 }
 
 fn is_held(
-    book: &SuspectBook,
+    book: &SuspectTracker,
     now: Moment,
 ) -> bool {
     book.held(now).iter().any(|held| held.request == REQUEST)
@@ -64,7 +64,7 @@
 
 #[test]
 fn one_replica_that_ends_under_several_copies_counts_once() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTracker::default();
     for (key, began) in [(1, 998), (2, 999), (3, 1001)] {
         let end = RunEnd::seen(key, 7, ms(began), None, ms(began + 2));
         book.ended(NOW, REQUEST, ACCOUNT, end);
@@ -77,7 +77,7 @@
 
 #[test]
 fn runs_that_had_brought_events_for_long_count_half() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTracker::default();
     for key in 0..4u32 {
         let began = u64::from(key) * 3000;
         let end = RunEnd::seen(key, key, ms(began), Some(ms(began + 100)), ms(began + 2000));
@@ -103,12 +103,12 @@
 
 #[test]
 fn a_request_that_was_answered_lately_is_held_back_by_nobody() {
-    let mut book = SuspectBook::default();
+    let mut book = SuspectTracker::default();
     book.answered(ms(100), REQUEST);
     book.ended(ms(500), REQUEST, ACCOUNT, run(1, 200, 500));
     book.ended(ms(900), REQUEST, ACCOUNT, run(2, 600, 900));
     assert!(!is_held(&book, ms(900)));
-    let mut other = SuspectBook::default();
+    let mut other = SuspectTracker::default();
     let notes = book.notes(ms(900), &[REQUEST]);
     other.hear(ms(900), ReporterScope::Router, &notes);
     assert!(!is_held(&other, ms(900)));
@@ -171,10 +171,10 @@
 fn what_was_before_a_routers_start_keeps_its_order() {
     let notes = |runs: &[(u64, u64)]| book(runs).notes(ms(60_000), &[REQUEST]);
     let together: Vec<(u64, u64)> = (0..6).map(|copy| (copy * 10, 1000 + copy)).collect();
-    let mut started = SuspectBook::default();
+    let mut started = SuspectTracker::default();
     started.hear(ms(5), ReporterScope::Router, &notes(&together));
     assert!(!is_held(&started, ms(5)));
-    let mut started = SuspectBook::default();
+    let mut started = SuspectTracker::default();
     let held = started.hear(
         ms(5),
         ReporterScope::Router,
@@ -194,7 +194,7 @@
     assert_eq!(book.take_news(ms(1000)).len(), 0);
     assert_eq!(book.lasting(), &BTreeSet::from([REQUEST]));
     let notes = book.notes(ms(1000), &[REQUEST]);
-    let mut other = SuspectBook::default();
+    let mut other = SuspectTracker::default();
     assert_eq!(other.hear(ms(9), ReporterScope::Router, &notes).len(), 1);
     assert_eq!(
         other.take_news(ms(9)).len(),
@@ -203,7 +203,7 @@
     );
     assert_eq!(other.take_zone_news(ms(9)).len(), 1);
     assert_eq!(other.hear(ms(10), ReporterScope::Router, &notes).len(), 0);
-    let mut far = SuspectBook::default();
+    let mut far = SuspectTracker::default();
     far.hear(ms(9), ReporterScope::Zone, &notes);
     assert_eq!(far.take_zone_news(ms(9)).len(), 0);
 }
@@ -212,7 +212,7 @@
 fn a_router_that_missed_the_excuse_hears_of_it_when_it_tells_what_it_knows() {
     let mut missed = book(&[(0, 500), (600, 900)]);
     let notes = missed.notes(ms(1000), &[REQUEST]);
-    let mut other = SuspectBook::default();
+    let mut other = SuspectTracker::default();
     other.hear(ms(1000), ReporterScope::Router, &notes);
     other.answered(ms(1000), REQUEST);
     for _ in 0..2 {
@@ -250,11 +250,11 @@
         order in any::<prop::sample::Index>(),
     ) {
         let now = ms(20_000);
-        let mut one = SuspectBook::default();
+        let mut one = SuspectTracker::default();
         for note in &notes {
             one.hear(now, ReporterScope::Router, std::slice::from_ref(note));
         }
-        let mut other = SuspectBook::default();
+        let mut other = SuspectTracker::default();
         let turn = if notes.is_empty() { 0 } else { order.index(notes.len()) };
         let turned = notes.iter().cycle().skip(turn).take(notes.len());
         for note in turned.chain(notes.iter().rev()) {
