--- a/src/peers/suspects_told.rs
+++ b/src/peers/suspects_told.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::suspects::SuspectNote,
+    crate::policy::suspects::SuspectReport,
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
@@ -9,5 +9,5 @@
 pub struct SuspectsTold {
     pub zone: u32,          // of the teller, short name
     pub teller: SocketAddr, // who hears it from another zone's router hands it on in its own
-    pub notes: Vec<SuspectNote>,
+    pub notes: Vec<SuspectReport>,
 }
--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -6,7 +6,7 @@
         direct::log_held_back,
         policy::{
             Moment, ReporterScope,
-            suspects::{RequestDigest, SuspectNote},
+            suspects::{RequestDigest, SuspectReport},
         },
     },
     std::{collections::HashMap, net::SocketAddr, time::Duration},
@@ -43,9 +43,9 @@
     pub(super) fn with_lasting(
         &self,
         now: Moment,
-        news: Vec<SuspectNote>,
+        news: Vec<SuspectReport>,
         times: &mut SuspectTimes,
-    ) -> Vec<SuspectNote> {
+    ) -> Vec<SuspectReport> {
         let suspects = self.gateway.suspects();
         let lasting = suspects.lasting();
         times.retain(|request, _| lasting.contains(request));
@@ -68,7 +68,7 @@
 
     pub(super) async fn send_notes(
         &self,
-        notes: Vec<SuspectNote>,
+        notes: Vec<SuspectReport>,
         addresses: &[SocketAddr],
     ) {
         let own = self.gateway.peers.own();
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -1,7 +1,7 @@
 //! Exchange between routers of the evidence against requests.
 
 use {
-    super::{EndNote, Hold, RequestDigest, SuspectNote, SuspectTracker, suspect::Suspect},
+    super::{EndNote, Hold, RequestDigest, SuspectReport, SuspectTracker, suspect::Suspect},
     crate::policy::{Moment, ReporterScope},
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -29,7 +29,7 @@
         &mut self,
         now: Moment,
         scope: ReporterScope,
-        notes: &[SuspectNote],
+        notes: &[SuspectReport],
     ) -> Vec<(RequestDigest, Hold)> {
         let newly_held = notes.iter().filter_map(|note| {
             let hold = self.apply_one(now, scope, note)?;
@@ -42,7 +42,7 @@
         &mut self,
         now: Moment,
         scope: ReporterScope,
-        note: &SuspectNote,
+        note: &SuspectReport,
     ) -> Option<Hold> {
         self.make_room(note.account, note.request);
         let suspect = self.suspects.entry(note.request);
@@ -68,7 +68,7 @@
     pub fn take_news(
         &mut self,
         now: Moment,
-    ) -> Vec<SuspectNote> {
+    ) -> Vec<SuspectReport> {
         let due = take_due(&mut self.updates);
         self.notes(now, &due)
     }
@@ -77,7 +77,7 @@
     pub fn take_zone_news(
         &mut self,
         now: Moment,
-    ) -> Vec<SuspectNote> {
+    ) -> Vec<SuspectReport> {
         let due = take_due(&mut self.zone_updates);
         self.notes(now, &due)
     }
@@ -93,10 +93,10 @@
         &self,
         now: Moment,
         requests: &[RequestDigest],
-    ) -> Vec<SuspectNote> {
+    ) -> Vec<SuspectReport> {
         let known = requests.iter().filter_map(|request| {
             let suspect = self.suspects.get(request)?;
-            Some(SuspectNote {
+            Some(SuspectReport {
                 request: *request,
                 account: suspect.account,
                 ends: suspect
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -10,7 +10,7 @@
 mod request_digest;
 mod run_end;
 mod suspect;
-mod suspect_note;
+mod suspect_report;
 mod suspect_tracker;
 mod told_moment;
 
@@ -18,7 +18,7 @@
     hold::Hold,
     request_digest::RequestDigest,
     run_end::RunEnd,
-    suspect_note::{EndNote, SuspectNote},
+    suspect_report::{EndNote, SuspectReport},
     suspect_tracker::{HeldRequest, SuspectTracker},
     told_moment::ToldMoment,
 };
--- a/src/policy/direct/suspects/suspect_note.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -7,7 +7,7 @@
 /// What a router knows of a request during which replicas crashed, as sent to other routers. These
 /// messages may be merged in any order and more than once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SuspectNote {
+pub struct SuspectReport {
     pub request: RequestDigest,
     pub account: u32, // hash of its name
     pub ends: Vec<EndNote>,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -15,7 +15,7 @@
         policy::{
             placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
             shares::AccountUsage,
-            suspects::{EndNote, RequestDigest, SuspectNote},
+            suspects::{EndNote, RequestDigest, SuspectReport},
         },
         wire::{decode_payload, encode_frame, encode_payload, read_frame},
     },
@@ -120,7 +120,7 @@
     PeerMessage::Suspects(SuspectsTold {
         zone: 5,
         teller: address(1),
-        notes: vec![SuspectNote {
+        notes: vec![SuspectReport {
             request: RequestDigest::new("POST", "/a/b", "lot", b"body"),
             account: 13,
             ends: vec![end],
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -4,7 +4,7 @@
 use {
     archmast::policy::{
         Moment, ReporterScope,
-        suspects::{EndNote, RequestDigest, RunEnd, SuspectNote, SuspectTracker},
+        suspects::{EndNote, RequestDigest, RunEnd, SuspectReport, SuspectTracker},
     },
     proptest::prelude::*,
     std::{collections::BTreeSet, time::Duration},
@@ -224,7 +224,7 @@
     assert!(!is_held(&missed, ms(2000)));
 }
 
-fn notes_of_ends() -> impl Strategy<Value = Vec<SuspectNote>> {
+fn notes_of_ends() -> impl Strategy<Value = Vec<SuspectReport>> {
     let end = (0..6u32, any::<bool>()).prop_map(|(key, is_excused)| EndNote {
         key,
         replica: key / 2,
@@ -233,7 +233,7 @@
         is_early: key % 3 > 0,
         is_excused,
     });
-    let note = prop::collection::vec(end, 0..4).prop_map(|ends| SuspectNote {
+    let note = prop::collection::vec(end, 0..4).prop_map(|ends| SuspectReport {
         request: REQUEST,
         account: ACCOUNT,
         ends,
