--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -1,7 +1,7 @@
 //! Exchange between routers of the evidence against requests.
 
 use {
-    super::{EndNote, Hold, RequestDigest, SuspectReport, SuspectTracker, suspect::Suspect},
+    super::{CrashReport, Hold, RequestDigest, SuspectReport, SuspectTracker, suspect::Suspect},
     crate::policy::{Moment, ReporterScope},
     std::collections::{BTreeMap, BTreeSet},
 };
@@ -102,7 +102,7 @@
                 ends: suspect
                     .ends
                     .iter()
-                    .map(|end| EndNote::new(now, end))
+                    .map(|end| CrashReport::new(now, end))
                     .collect(),
             })
         });
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -18,7 +18,7 @@
     hold::Hold,
     request_digest::RequestDigest,
     run_end::RunEnd,
-    suspect_report::{EndNote, SuspectReport},
+    suspect_report::{CrashReport, SuspectReport},
     suspect_tracker::{HeldRequest, SuspectTracker},
     told_moment::ToldMoment,
 };
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -10,12 +10,12 @@
 pub struct SuspectReport {
     pub request: RequestDigest,
     pub account: u32, // hash of its name
-    pub ends: Vec<EndNote>,
+    pub ends: Vec<CrashReport>,
 }
 
 /// One crash, with ages in place of moments, since moments of two processes cannot be compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNote {
+pub struct CrashReport {
     pub key: u32,
     pub replica: u32,  // hash of the id and start of the replica
     pub began_ms: u32, // how long ago the request was sent to the replica
@@ -24,7 +24,7 @@
     pub is_excused: bool,
 }
 
-impl EndNote {
+impl CrashReport {
     /// A crash as it is sent to other routers now.
     pub fn new(
         now: Moment,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -15,7 +15,7 @@
         policy::{
             placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
             shares::AccountUsage,
-            suspects::{EndNote, RequestDigest, SuspectReport},
+            suspects::{CrashReport, RequestDigest, SuspectReport},
         },
         wire::{decode_payload, encode_frame, encode_payload, read_frame},
     },
@@ -109,7 +109,7 @@
 }
 
 fn suspects() -> PeerMessage {
-    let end = EndNote {
+    let end = CrashReport {
         key: 11,
         replica: 12,
         began_ms: 2000,
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -4,7 +4,7 @@
 use {
     archmast::policy::{
         Moment, ReporterScope,
-        suspects::{EndNote, RequestDigest, RunEnd, SuspectReport, SuspectTracker},
+        suspects::{CrashReport, RequestDigest, RunEnd, SuspectReport, SuspectTracker},
     },
     proptest::prelude::*,
     std::{collections::BTreeSet, time::Duration},
@@ -225,7 +225,7 @@
 }
 
 fn notes_of_ends() -> impl Strategy<Value = Vec<SuspectReport>> {
-    let end = (0..6u32, any::<bool>()).prop_map(|(key, is_excused)| EndNote {
+    let end = (0..6u32, any::<bool>()).prop_map(|(key, is_excused)| CrashReport {
         key,
         replica: key / 2,
         began_ms: 10_000 - 1000 * key,
