--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -11,7 +11,7 @@
         codes::{ErrorAnswer, ResultCode},
         policy::{
             Moment, short_name,
-            suspects::{Hold, RequestDigest, RunEnd},
+            suspects::{CrashedAttempt, Hold, RequestDigest},
         },
     },
     std::{sync::Arc, time::Duration},
@@ -114,7 +114,7 @@
             return None;
         }
         let replica = run.entry.start_name();
-        let end = RunEnd::seen(
+        let end = CrashedAttempt::seen(
             rand::random(),
             replica,
             run.sent,
--- a/src/policy/direct/suspects/run_end.rs
+++ b/src/policy/direct/suspects/crashed_attempt.rs
@@ -7,7 +7,7 @@
 
 /// An attempt at a request that was running when its replica crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RunEnd {
+pub struct CrashedAttempt {
     pub key: u32,          // random, drawn by the router that saw the crash
     pub replica: u32,      // hash of the id and start of the replica
     pub began: ToldMoment, // when the request was sent to the replica
@@ -16,7 +16,7 @@
     pub is_excused: bool,  // the request got a complete answer since
 }
 
-impl RunEnd {
+impl CrashedAttempt {
     /// An attempt whose replica crashed `now`, as seen by this router.
     pub fn seen(
         key: u32,
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -6,18 +6,18 @@
 
 mod answered_requests;
 mod book_notes;
+mod crashed_attempt;
 mod hold;
 mod request_digest;
-mod run_end;
 mod suspect;
 mod suspect_report;
 mod suspect_tracker;
 mod told_moment;
 
 pub use {
+    crashed_attempt::CrashedAttempt,
     hold::Hold,
     request_digest::RequestDigest,
-    run_end::RunEnd,
     suspect_report::{CrashReport, SuspectReport},
     suspect_tracker::{HeldRequest, SuspectTracker},
     told_moment::ToldMoment,
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Hold, RunEnd, ToldMoment},
+    super::{CrashedAttempt, Hold, ToldMoment},
     crate::policy::Moment,
     std::{cmp::Reverse, time::Duration},
 };
@@ -21,9 +21,9 @@
 /// A request during which replicas crashed.
 #[derive(Debug, Clone)]
 pub(super) struct Suspect {
-    pub account: u32,          // hash of its name
-    pub ends: Vec<RunEnd>,     // ordered by the time of the crash
-    pub trial: Option<Moment>, // when it was last let through after a hold
+    pub account: u32,              // hash of its name
+    pub ends: Vec<CrashedAttempt>, // ordered by the time of the crash
+    pub trial: Option<Moment>,     // when it was last let through after a hold
 }
 
 impl Suspect {
@@ -39,7 +39,7 @@
     /// Records a crash, or that a known one is excused. Returns whether that is new.
     pub fn record(
         &mut self,
-        end: RunEnd,
+        end: CrashedAttempt,
     ) -> bool {
         if let Some(known) = self.ends.iter_mut().find(|known| known.key == end.key) {
             let is_new = end.is_excused && !known.is_excused;
@@ -100,8 +100,8 @@
 
 /// The number of crashes whose attempts followed each other. Replicas that crash together, each
 /// while running a copy of the request, count once, and so does one replica that runs several.
-fn count_consecutive<'e>(ends: impl Iterator<Item = &'e RunEnd>) -> usize {
-    let mut counted: Vec<&RunEnd> = Vec::new();
+fn count_consecutive<'e>(ends: impl Iterator<Item = &'e CrashedAttempt>) -> usize {
+    let mut counted: Vec<&CrashedAttempt> = Vec::new();
     for end in ends {
         let follows = counted
             .last()
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -1,5 +1,5 @@
 use {
-    super::{RequestDigest, RunEnd, ToldMoment},
+    super::{CrashedAttempt, RequestDigest, ToldMoment},
     crate::policy::Moment,
     serde::{Deserialize, Serialize},
 };
@@ -28,7 +28,7 @@
     /// A crash as it is sent to other routers now.
     pub fn new(
         now: Moment,
-        end: &RunEnd,
+        end: &CrashedAttempt,
     ) -> Self {
         Self {
             key: end.key,
@@ -44,8 +44,8 @@
     pub fn heard(
         &self,
         now: Moment,
-    ) -> RunEnd {
-        RunEnd {
+    ) -> CrashedAttempt {
+        CrashedAttempt {
             key: self.key,
             replica: self.replica,
             began: ToldMoment::before(now, self.began_ms),
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -1,5 +1,7 @@
 use {
-    super::{Hold, RequestDigest, RunEnd, answered_requests::AnsweredRequests, suspect::Suspect},
+    super::{
+        CrashedAttempt, Hold, RequestDigest, answered_requests::AnsweredRequests, suspect::Suspect,
+    },
     crate::policy::Moment,
     std::{
         collections::{BTreeMap, BTreeSet, HashMap},
@@ -64,7 +66,7 @@
         now: Moment,
         request: RequestDigest,
         account: u32,
-        mut end: RunEnd,
+        mut end: CrashedAttempt,
     ) -> Option<Hold> {
         end.is_excused |= self.answered.is_answered(now, request);
         self.evict_for(account, request);
