--- a/src/policy/direct/suspects/hold.rs
+++ b/src/policy/direct/suspects/hold.rs
@@ -1,4 +1,4 @@
-use {super::ToldMoment, crate::policy::Moment, std::time::Duration};
+use {super::SignedMoment, crate::policy::Moment, std::time::Duration};
 
 /// How long a request is held back after the last crash of a replica that was running it, by the
 /// number of such crashes. A harmless request waits no longer than this; a harmful one crashes
@@ -16,16 +16,16 @@
 /// Why, since when and until when a request is held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
-    pub ends: usize,       // replicas that crashed while running it, one after the other
-    pub since: ToldMoment, // the last crash
-    pub until: ToldMoment,
+    pub ends: usize, // replicas that crashed while running it, one after the other
+    pub since: SignedMoment, // the last crash
+    pub until: SignedMoment,
 }
 
 impl Hold {
     /// The hold after this many crashes, the last of them at `since`; `None` for too few.
     pub fn after(
         ends: usize,
-        since: ToldMoment,
+        since: SignedMoment,
     ) -> Option<Self> {
         let (_, time) = HOLD_TIMES.into_iter().rfind(|(least, _)| ends >= *least)?;
         Some(Self {
@@ -42,7 +42,7 @@
         now: Moment,
         trial: Option<Moment>,
     ) -> Option<Duration> {
-        let trial = trial.map(|at| ToldMoment::from(at).plus(TRIAL_TIME));
+        let trial = trial.map(|at| SignedMoment::from(at).plus(TRIAL_TIME));
         let until = trial.map_or(self.until, |trial| trial.max(self.until));
         let left = until.left(now);
         (!left.is_zero()).then_some(left)
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -9,16 +9,16 @@
 mod crashed_attempt;
 mod hold;
 mod request_digest;
+mod signed_moment;
 mod suspect;
 mod suspect_report;
 mod suspect_tracker;
-mod told_moment;
 
 pub use {
     crashed_attempt::CrashedAttempt,
     hold::Hold,
     request_digest::RequestDigest,
+    signed_moment::SignedMoment,
     suspect_report::{CrashReport, SuspectReport},
     suspect_tracker::{HeldRequest, SuspectTracker},
-    told_moment::ToldMoment,
 };
--- a/src/policy/direct/suspects/told_moment.rs
+++ b/src/policy/direct/suspects/signed_moment.rs
@@ -3,9 +3,9 @@
 /// A moment that another router may have reported: in milliseconds by this process's clock,
 /// negative before its start, so that the order of earlier events is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ToldMoment(i64);
+pub struct SignedMoment(i64);
 
-impl ToldMoment {
+impl SignedMoment {
     /// The moment `ago_ms` before `now`.
     pub fn before(
         now: Moment,
@@ -41,7 +41,7 @@
     }
 }
 
-impl From<Moment> for ToldMoment {
+impl From<Moment> for SignedMoment {
     fn from(moment: Moment) -> Self {
         Self(moment.as_millis() as i64)
     }
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CrashedAttempt, Hold, ToldMoment},
+    super::{CrashedAttempt, Hold, SignedMoment},
     crate::policy::Moment,
     std::{cmp::Reverse, time::Duration},
 };
@@ -83,7 +83,7 @@
     }
 
     /// When the last replica crashed while running it.
-    pub fn last_crash(&self) -> ToldMoment {
+    pub fn last_crash(&self) -> SignedMoment {
         let last = self.ends.last();
         last.map_or(Moment::ZERO.into(), |end| end.ended)
     }
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CrashedAttempt, RequestDigest, ToldMoment},
+    super::{CrashedAttempt, RequestDigest, SignedMoment},
     crate::policy::Moment,
     serde::{Deserialize, Serialize},
 };
@@ -48,8 +48,8 @@
         CrashedAttempt {
             key: self.key,
             replica: self.replica,
-            began: ToldMoment::before(now, self.began_ms),
-            ended: ToldMoment::before(now, self.ended_ms),
+            began: SignedMoment::before(now, self.began_ms),
+            ended: SignedMoment::before(now, self.ended_ms),
             is_early: self.is_early,
             is_excused: self.is_excused,
         }
