--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -2,7 +2,7 @@
     crate::{
         catalog::UpstreamEntry,
         policy::{
-            Moment, NoticeBook,
+            Moment, NoticeTracker,
             placement::{
                 CacheNote, EngineModels, EngineTimes, FleetSize, KeptNews, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
@@ -44,7 +44,7 @@
     regions: BTreeMap<String, String>, // of zones, by zone
     pub(super) start_limits: HashMap<Arc<str>, SlowStartLimit>, // by service
     pub(super) zone_routers: ZoneRouters, // who sends to replicas that start slowly
-    pub(super) notices: NoticeBook,   // what replicas said of themselves
+    pub(super) notices: NoticeTracker, // what replicas said of themselves
 }
 
 /// Reports of a peer that may be lost before the last one is no longer believed.
@@ -76,7 +76,7 @@
             regions: BTreeMap::new(),
             start_limits: HashMap::new(),
             zone_routers: ZoneRouters::default(),
-            notices: NoticeBook::default(),
+            notices: NoticeTracker::default(),
         }
     }
 
--- a/src/policy/notices/mod.rs
+++ b/src/policy/notices/mod.rs
@@ -3,7 +3,7 @@
 
 mod asked_rest;
 mod incarnation_notice;
-mod notice_book;
+mod notice_tracker;
 mod replica_notice;
 
-pub use {asked_rest::asked_rest, notice_book::NoticeBook, replica_notice::ReplicaNotice};
+pub use {asked_rest::asked_rest, notice_tracker::NoticeTracker, replica_notice::ReplicaNotice};
--- a/src/policy/notices/notice_book.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -14,11 +14,11 @@
 /// that one only: a replica that has restarted has given none yet. If the list was outdated, the
 /// notice may have come from the next incarnation; see [`IncarnationNotice::applies_to`].
 #[derive(Debug, Default)]
-pub struct NoticeBook {
+pub struct NoticeTracker {
     notices: HashMap<Arc<str>, Vec<IncarnationNotice>>, // by replica, one for each incarnation
 }
 
-impl NoticeBook {
+impl NoticeTracker {
     /// Applies a notice of a replica, received at `unix_ms` by this host's clock. Returns
     /// whether it changes anything: the replica leaves, or a backoff begins.
     pub fn hear(
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         platform::read_notice,
-        policy::{Moment, NoticeBook, ReplicaNotice, asked_rest},
+        policy::{Moment, NoticeTracker, ReplicaNotice, asked_rest},
     },
     hyper::{
         StatusCode,
@@ -44,7 +44,7 @@
 
 /// Whether a replica may be sent a request, by its own word.
 fn permits(
-    book: &NoticeBook,
+    book: &NoticeTracker,
     now: Moment,
     replica: &UpstreamEntry,
 ) -> bool {
@@ -56,7 +56,7 @@
 
 #[test]
 fn leaving_binds_for_good_and_for_that_start_only() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let old = replica("a", Some(SAID - 60_000));
     let new = replica("a", Some(SAID + 2_000));
     let other = replica("b", None);
@@ -71,7 +71,7 @@
 /// A replica started again, and leaves; the list tells of that start only afterwards.
 #[test]
 fn a_word_binds_the_start_that_said_it_though_the_list_was_behind() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let listed = replica("a", Some(SAID - 60_000));
     let speaker = replica("a", Some(SAID - 500));
     book.hear(at(1.0), SAID, &listed, LEAVES);
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_word_outlives_a_lapse_of_its_entry_and_is_forgotten_long_after() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let leaves = replica("a", None);
     book.hear(at(1.0), SAID, &leaves, LEAVES);
     book.set_listed(at(2.0), &[]);
@@ -98,7 +98,7 @@
 
 #[test]
 fn the_latest_end_of_several_rests_counts() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let tired = replica("a", Some(1));
     assert!(book.hear(at(0.0), SAID, &tired, rests(3.0)));
     assert!(!book.hear(at(1.0), SAID, &tired, rests(0.5)));
@@ -154,7 +154,7 @@
 #[test]
 fn no_rest_binds_for_longer_than_an_operator_would_wait() {
     for text in ["31", "601", "99999999999999999999", &"9".repeat(400)] {
-        let mut book = NoticeBook::default();
+        let mut book = NoticeTracker::default();
         let tired = replica("a", None);
         book.hear(at(0.0), SAID, &tired, turned_away(text));
         assert!(!permits(&book, at(29.9), &tired), "{text}");
