--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -9,7 +9,7 @@
         ops::{AuditTrail, PAUSES, Uptime},
         peers::{NamedRouter, PeerTable, ZoneTable},
         policy::{
-            Incarnation, Moment, Standstill,
+            Incarnation, Moment, SuspensionGuard,
             placement::ReplicaBoard,
             shares::{RetryWindow, ShareTracker},
             short_name,
@@ -50,8 +50,8 @@
     board: Mutex<ReplicaBoard>,
     shares: Mutex<ShareTracker>,
     retries: Mutex<RetryWindow>,
-    suspects: Mutex<SuspectTracker>, // a leaf lock
-    standstill: Mutex<Standstill>,   // a leaf lock
+    suspects: Mutex<SuspectTracker>,    // a leaf lock
+    standstill: Mutex<SuspensionGuard>, // a leaf lock
     stopping: AtomicBool,
     refusing: AtomicBool, // stops, and takes no more requests
     placing: AtomicBool,  // the board follows a configuration and a list
@@ -80,7 +80,10 @@
         Self {
             dialect,
             incarnation: Uptime::new_incarnation(),
-            standstill: Mutex::new(Standstill::new(settings.process.pause_limit, uptime.now())),
+            standstill: Mutex::new(SuspensionGuard::new(
+                settings.process.pause_limit,
+                uptime.now(),
+            )),
             uptime,
             audit: AuditTrail::new(&settings.process.host, settings.operator.audit_entries),
             catalog,
--- a/src/policy/clock/mod.rs
+++ b/src/policy/clock/mod.rs
@@ -3,8 +3,9 @@
 mod incarnation;
 mod moment;
 mod pause_detector;
-mod standstill;
+mod suspension_guard;
 
 pub use {
-    incarnation::Incarnation, moment::Moment, pause_detector::PauseDetector, standstill::Standstill,
+    incarnation::Incarnation, moment::Moment, pause_detector::PauseDetector,
+    suspension_guard::SuspensionGuard,
 };
--- a/src/policy/clock/standstill.rs
+++ b/src/policy/clock/suspension_guard.rs
@@ -14,12 +14,12 @@
 /// Detects that the process was suspended: stopped, stalled or frozen with its machine. Its state
 /// may be outdated then, and must be confirmed before it is used again.
 #[derive(Debug, Clone, Copy)]
-pub struct Standstill {
+pub struct SuspensionGuard {
     detector: PauseDetector,
     unconfirmed: Option<Moment>, // since the end of this suspension
 }
 
-impl Standstill {
+impl SuspensionGuard {
     /// A guard for a process that starts now, against suspensions longer than `limit`.
     pub fn new(
         limit: Duration,
--- a/tests/standstill.rs
+++ b/tests/standstill.rs
@@ -1,6 +1,6 @@
 //! A process that stood still does not go by what it knew before until it is confirmed.
 
-use {archmast::policy::Standstill, std::time::Duration};
+use {archmast::policy::SuspensionGuard, std::time::Duration};
 
 const LIMIT: Duration = Duration::from_millis(1500);
 
@@ -9,8 +9,8 @@
 }
 
 /// One that stood still for five seconds and woke up at 10 s.
-fn woken() -> Standstill {
-    let mut standstill = Standstill::new(LIMIT, ms(0));
+fn woken() -> SuspensionGuard {
+    let mut standstill = SuspensionGuard::new(LIMIT, ms(0));
     for step in 1..=250 {
         assert_eq!(standstill.look(ms(step * 20)), None);
     }
@@ -43,7 +43,7 @@
 
 #[test]
 fn shorter_gaps_are_let_pass() {
-    let mut standstill = Standstill::new(LIMIT, ms(0));
+    let mut standstill = SuspensionGuard::new(LIMIT, ms(0));
     assert_eq!(standstill.look(ms(1500)), None);
     assert!(!standstill.is_unconfirmed(ms(1500)));
 }
