--- a/src/policy/clock/mod.rs
+++ b/src/policy/clock/mod.rs
@@ -2,10 +2,10 @@
 
 mod incarnation;
 mod moment;
-mod pause_detector;
+mod suspension_detector;
 mod suspension_guard;
 
 pub use {
-    incarnation::Incarnation, moment::Moment, pause_detector::PauseDetector,
+    incarnation::Incarnation, moment::Moment, suspension_detector::SuspensionDetector,
     suspension_guard::SuspensionGuard,
 };
--- a/src/policy/clock/pause_detector.rs
+++ b/src/policy/clock/suspension_detector.rs
@@ -2,12 +2,12 @@
 
 /// Detects that the process was suspended: stopped, stalled or frozen with its machine.
 #[derive(Debug, Clone, Copy)]
-pub struct PauseDetector {
+pub struct SuspensionDetector {
     limit: Duration,
     last: Moment,
 }
 
-impl PauseDetector {
+impl SuspensionDetector {
     /// A detector for suspensions longer than `limit`. It must be called far more often.
     pub fn new(
         limit: Duration,
--- a/src/policy/clock/suspension_guard.rs
+++ b/src/policy/clock/suspension_guard.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::{Moment, PauseDetector},
+    crate::policy::{Moment, SuspensionDetector},
     std::time::Duration,
 };
 
@@ -15,7 +15,7 @@
 /// may be outdated then, and must be confirmed before it is used again.
 #[derive(Debug, Clone, Copy)]
 pub struct SuspensionGuard {
-    detector: PauseDetector,
+    detector: SuspensionDetector,
     unconfirmed: Option<Moment>, // since the end of this suspension
 }
 
@@ -26,7 +26,7 @@
         now: Moment,
     ) -> Self {
         Self {
-            detector: PauseDetector::new(limit, now),
+            detector: SuspensionDetector::new(limit, now),
             unconfirmed: None,
         }
     }
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -5,7 +5,7 @@
         keys::PeerName,
         link::{DialSet, DialTarget},
         ops::PAUSES,
-        policy::{PauseDetector, Reach},
+        policy::{Reach, SuspensionDetector},
         wire::ControlMessage,
     },
     std::{sync::Arc, time::Duration},
@@ -22,7 +22,8 @@
     router: Arc<Router>,
     dials: Arc<DialSet<Router>>,
 ) {
-    let mut pauses = PauseDetector::new(router.settings.process.pause_limit, router.node.now());
+    let mut pauses =
+        SuspensionDetector::new(router.settings.process.pause_limit, router.node.now());
     let mut reach = Reach::new(router.settings.reach);
     let mut lists = router.node.hosts.subscribe();
     let mut forgotten = router.node.now();
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -6,7 +6,7 @@
         link::{DialSet, DialTarget},
         node::PEERS_ASKED,
         ops::{GRANTS, PAUSES},
-        policy::{PauseDetector, rendezvous},
+        policy::{SuspensionDetector, rendezvous},
         wire::ControlMessage,
     },
     std::{sync::Arc, time::Duration},
@@ -17,7 +17,8 @@
 
 /// Keeps the tables true as time passes.
 pub async fn keep_house(sidecar: Arc<Sidecar>) {
-    let mut pauses = PauseDetector::new(sidecar.settings.process.pause_limit, sidecar.node.now());
+    let mut pauses =
+        SuspensionDetector::new(sidecar.settings.process.pause_limit, sidecar.node.now());
     let mut ticks = tokio::time::interval(TICK);
     loop {
         ticks.tick().await;
