--- a/src/policy/granted/totals/keeper.rs
+++ b/src/policy/granted/totals/totals_aggregator.rs
@@ -12,13 +12,13 @@
 /// Totals are advisory: nothing waits for them, and another router that takes an account over
 /// rebuilds its total from the next reports.
 #[derive(Debug, Clone)]
-pub struct Keeper {
+pub struct TotalsAggregator {
     accounts: HashMap<AccountId, KeptAccount>,
     idle_grace: Duration,
     debt_ceiling: f64, // service units per share
 }
 
-impl Keeper {
+impl TotalsAggregator {
     /// Without any reports.
     pub fn new(
         idle_grace: Duration,
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -7,7 +7,8 @@
         link::{Link, Peer},
         node::Node,
         policy::{
-            Grant, Keeper, ReportEntry, RetryBudget, WaitingBounds, WaitingRequest, WaitingRoom,
+            Grant, ReportEntry, RetryBudget, TotalsAggregator, WaitingBounds, WaitingRequest,
+            WaitingRoom,
         },
         wire::ControlMessage,
     },
@@ -30,7 +31,7 @@
     pub settings: RouterSettings,
     pub(super) waiting: Mutex<WaitingTable>,
     pub(super) sidecars: Mutex<HashMap<Arc<str>, SidecarView>>, // connected ones, by host
-    pub(super) keeper: Mutex<Keeper>,
+    pub(super) keeper: Mutex<TotalsAggregator>,
     pub(super) demand_changed: Notify,
     budget: Mutex<RetryBudget>,
     link: OnceLock<Arc<Link<Router>>>,
@@ -75,7 +76,10 @@
             node,
             waiting: Mutex::new(WaitingTable::new(room)),
             sidecars: Mutex::default(),
-            keeper: Mutex::new(Keeper::new(settings.idle_grace, settings.debt_ceiling)),
+            keeper: Mutex::new(TotalsAggregator::new(
+                settings.idle_grace,
+                settings.debt_ceiling,
+            )),
             demand_changed: Notify::new(),
             budget: Mutex::new(RetryBudget::new(settings.retry_fraction)),
             link: OnceLock::new(),
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -3,7 +3,7 @@
 use {
     archmast::{
         fleet::AccountId,
-        policy::{Incarnation, Keeper, ReportEntry},
+        policy::{Incarnation, ReportEntry, TotalsAggregator},
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
@@ -51,7 +51,7 @@
 
     fn hear(
         &mut self,
-        keeper: &mut Keeper,
+        keeper: &mut TotalsAggregator,
     ) {
         let (host, incarnation, sequence, entry) = self.report();
         let reply = keeper.report(GRACE, &host, incarnation, sequence, NO_FLOOR, 1.0, &entry);
@@ -60,11 +60,11 @@
     }
 }
 
-fn keeper() -> Keeper {
-    Keeper::new(GRACE, 1e9)
+fn keeper() -> TotalsAggregator {
+    TotalsAggregator::new(GRACE, 1e9)
 }
 
-fn total(keeper: &Keeper) -> f64 {
+fn total(keeper: &TotalsAggregator) -> f64 {
     keeper.totals().map(|(_, total)| total).sum()
 }
 
@@ -151,7 +151,7 @@
 
 #[test]
 fn an_account_back_from_idle_brings_no_credit_and_bounded_debt() {
-    let mut keeper = Keeper::new(GRACE, 100.0);
+    let mut keeper = TotalsAggregator::new(GRACE, 100.0);
     let mut behind = Source::new(1);
     behind.own = 5.0;
     behind.hear(&mut keeper);
