--- a/src/policy/granted/totals/kept_account.rs
+++ b/src/policy/granted/totals/account_total.rs
@@ -8,7 +8,7 @@
 /// The total is `base` plus what each sidecar served since its first report here. Sidecars report
 /// the last total they received, so the sum continues from there if another router takes over.
 #[derive(Debug, Clone, Default)]
-pub struct KeptAccount {
+pub struct AccountTotal {
     base: f64,
     sources: HashMap<Arc<str>, Source>, // by the sidecar's host
     last_active: Option<Moment>,
@@ -35,7 +35,7 @@
     }
 }
 
-impl KeptAccount {
+impl AccountTotal {
     /// Service units of the whole fleet.
     pub fn total(&self) -> f64 {
         self.base + self.sources.values().map(Source::counted).sum::<f64>()
--- a/src/policy/granted/totals/mod.rs
+++ b/src/policy/granted/totals/mod.rs
@@ -1,7 +1,7 @@
 //! Service that accounts got from the whole fleet: each sidecar's ledger, and the routers that sum
 //! up the sidecars' reports.
 
-mod kept_account;
+mod account_total;
 mod ledger;
 mod ledger_entry;
 mod report;
@@ -9,7 +9,7 @@
 mod totals_mode;
 
 pub use {
-    kept_account::KeptAccount,
+    account_total::AccountTotal,
     ledger::Ledger,
     ledger_entry::LedgerEntry,
     report::{ReportEntry, TotalEntry},
--- a/src/policy/granted/totals/totals_aggregator.rs
+++ b/src/policy/granted/totals/totals_aggregator.rs
@@ -1,6 +1,6 @@
 use {
     crate::fleet::AccountId,
-    crate::policy::{Incarnation, KeptAccount, Moment, ReportEntry, TotalEntry},
+    crate::policy::{AccountTotal, Incarnation, Moment, ReportEntry, TotalEntry},
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
@@ -13,7 +13,7 @@
 /// rebuilds its total from the next reports.
 #[derive(Debug, Clone)]
 pub struct TotalsAggregator {
-    accounts: HashMap<AccountId, KeptAccount>,
+    accounts: HashMap<AccountId, AccountTotal>,
     idle_grace: Duration,
     debt_ceiling: f64, // service units per share
 }
