--- a/src/policy/granted/fleet/mod.rs
+++ b/src/policy/granted/fleet/mod.rs
@@ -3,11 +3,11 @@
 mod config_gate;
 mod host_set;
 mod membership;
-mod reach;
+mod sidecar_subset;
 
 pub use {
     config_gate::{ConfigGate, Verdict},
     host_set::HostSet,
     membership::{Membership, Sighting},
-    reach::Reach,
+    sidecar_subset::SidecarSubset,
 };
--- a/src/policy/granted/fleet/reach.rs
+++ b/src/policy/granted/fleet/sidecar_subset.rs
@@ -10,13 +10,13 @@
 /// The subset of sidecars that a router connects to: few, and more while its requests wait
 /// unserved, so that no capacity is idle while work waits.
 #[derive(Debug, Clone, Copy)]
-pub struct Reach {
+pub struct SidecarSubset {
     initial: usize, // size; 0 for all sidecars
     current: usize, // size
     changed: Moment,
 }
 
-impl Reach {
+impl SidecarSubset {
     /// Begins with `initial` sidecars, or with all of them for 0.
     pub fn new(initial: usize) -> Self {
         Self {
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -5,7 +5,7 @@
         keys::PeerName,
         link::{DialSet, DialTarget},
         ops::PAUSES,
-        policy::{Reach, SuspensionDetector},
+        policy::{SidecarSubset, SuspensionDetector},
         wire::ControlMessage,
     },
     std::{sync::Arc, time::Duration},
@@ -24,7 +24,7 @@
 ) {
     let mut pauses =
         SuspensionDetector::new(router.settings.process.pause_limit, router.node.now());
-    let mut reach = Reach::new(router.settings.reach);
+    let mut reach = SidecarSubset::new(router.settings.reach);
     let mut lists = router.node.hosts.subscribe();
     let mut forgotten = router.node.now();
     let mut ticks = tokio::time::interval(TICK);
@@ -69,7 +69,7 @@
 fn dial_targets(
     router: &Router,
     hosts: &HostList,
-    reach: &Reach,
+    reach: &SidecarSubset,
 ) -> Vec<DialTarget> {
     let sidecars: Vec<(String, String)> = hosts
         .live(HostRole::Sidecar)
