--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -5,7 +5,7 @@
         fleet::{AccountId, HostRole, Revision},
         link::Peer,
         ops::{AuditTrail, ProcessStatus, Uptime},
-        policy::{Incarnation, Membership, Moment, Sighting, Verdict},
+        policy::{Incarnation, Membership, Moment, PeerObservation, Verdict},
         wire::{ControlMessage, Envelope},
     },
     std::{
@@ -119,20 +119,20 @@
     pub fn sight(
         &self,
         peer: &Peer,
-    ) -> Sighting {
+    ) -> PeerObservation {
         let sighting = {
             let mut membership = self.membership.lock().expect("membership lock");
             let sighting = membership.sight(&peer.host, peer.incarnation);
-            if peer.leaving && sighting != Sighting::Stale {
+            if peer.leaving && sighting != PeerObservation::Stale {
                 membership.leave(&peer.host);
             }
             sighting
         };
         let what = match sighting {
-            Sighting::New => "peer_new",
-            Sighting::Restarted => "peer_restarted",
-            Sighting::Stale => "peer_stale_refused",
-            Sighting::Same => return sighting,
+            PeerObservation::New => "peer_new",
+            PeerObservation::Restarted => "peer_restarted",
+            PeerObservation::Stale => "peer_stale_refused",
+            PeerObservation::Same => return sighting,
         };
         let detail = format!("{} incarnation {}", peer.name, peer.incarnation);
         self.audit.record(what, None, None, detail);
--- a/src/policy/granted/fleet/membership.rs
+++ b/src/policy/granted/fleet/membership.rs
@@ -2,7 +2,7 @@
 
 /// How the incarnation in a peer's first message compares to the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sighting {
+pub enum PeerObservation {
     New,
     Same,
     Restarted,
@@ -27,12 +27,12 @@
         &mut self,
         host: &str,
         incarnation: Incarnation,
-    ) -> Sighting {
+    ) -> PeerObservation {
         let sighting = match self.peers.get(host) {
-            None => Sighting::New,
-            Some(peer) if peer.incarnation == incarnation => return Sighting::Same,
-            Some(peer) if peer.incarnation > incarnation => return Sighting::Stale,
-            Some(_) => Sighting::Restarted,
+            None => PeerObservation::New,
+            Some(peer) if peer.incarnation == incarnation => return PeerObservation::Same,
+            Some(peer) if peer.incarnation > incarnation => return PeerObservation::Stale,
+            Some(_) => PeerObservation::Restarted,
         };
         let peer = Peer {
             incarnation,
--- a/src/policy/granted/fleet/mod.rs
+++ b/src/policy/granted/fleet/mod.rs
@@ -8,6 +8,6 @@
 pub use {
     config_gate::{ConfigGate, Verdict},
     host_set::HostSet,
-    membership::{Membership, Sighting},
+    membership::{Membership, PeerObservation},
     sidecar_subset::SidecarSubset,
 };
--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -6,7 +6,7 @@
         fleet::HostRole,
         link::{LinkHandler, Peer},
         node::serve_config,
-        policy::Sighting,
+        policy::PeerObservation,
         wire::{ControlMessage, Envelope, StreamOpen},
     },
     quinn::{RecvStream, SendStream},
@@ -30,13 +30,15 @@
         peer: &Arc<Peer>,
     ) -> bool {
         let sighting = self.node.sight(peer);
-        if sighting == Sighting::Stale {
+        if sighting == PeerObservation::Stale {
             return false;
         }
         if peer.role() == HostRole::Sidecar {
             let mut sidecars = self.sidecars.lock().expect("sidecar lock");
             match sidecars.get_mut(&peer.host) {
-                Some(view) if sighting == Sighting::Same => view.connected_again(peer.leaving),
+                Some(view) if sighting == PeerObservation::Same => {
+                    view.connected_again(peer.leaving)
+                }
                 _ => {
                     sidecars.insert(peer.host.clone(), SidecarView::new(peer.leaving));
                 }
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -6,7 +6,7 @@
         fleet::HostRole,
         link::{LinkHandler, Peer},
         node::serve_config,
-        policy::Sighting,
+        policy::PeerObservation,
         wire::{ControlMessage, Envelope, StreamOpen},
     },
     quinn::{RecvStream, SendStream},
@@ -30,9 +30,9 @@
         peer: &Arc<Peer>,
     ) -> bool {
         match self.node.sight(peer) {
-            Sighting::Stale => return false,
-            Sighting::Restarted => self.forget_router(&peer.host),
-            Sighting::New | Sighting::Same => {}
+            PeerObservation::Stale => return false,
+            PeerObservation::Restarted => self.forget_router(&peer.host),
+            PeerObservation::New | PeerObservation::Same => {}
         }
         if let Some(link) = self.link() {
             let free = self.table.lock().expect("table lock").room_told;
