--- a/src/policy/granted/exchange/key_memory.rs
+++ b/src/policy/granted/exchange/idempotency_keys.rs
@@ -21,7 +21,7 @@
 /// They are lost when the process ends, and dropped after a set time. A process that started less
 /// than `quarantine` ago may have lost a key, so it reports new keys as unsure.
 #[derive(Debug, Clone)]
-pub struct KeyMemory {
+pub struct IdempotencyKeys {
     keys: HashMap<(AccountId, String), KeyState>,
     ended: VecDeque<(Moment, (AccountId, String))>, // oldest first
     memory: Duration, // how long a key is remembered after its request ended
@@ -35,7 +35,7 @@
     Ended,
 }
 
-impl KeyMemory {
+impl IdempotencyKeys {
     /// Without any keys.
     pub fn new(
         memory: Duration,
--- a/src/policy/granted/exchange/mod.rs
+++ b/src/policy/granted/exchange/mod.rs
@@ -3,7 +3,7 @@
 
 mod attempts;
 mod finished;
-mod key_memory;
+mod idempotency_keys;
 mod retry_budget;
 mod router_exchange;
 mod sidecar_exchange;
@@ -11,7 +11,7 @@
 pub use {
     attempts::Attempts,
     finished::Finished,
-    key_memory::{KeyMemory, KeyVerdict},
+    idempotency_keys::{IdempotencyKeys, KeyVerdict},
     retry_budget::RetryBudget,
     router_exchange::{AnswerEvent, RouterExchange},
     sidecar_exchange::SidecarExchange,
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -9,8 +9,8 @@
         node::Node,
         ops::GRANTS,
         policy::{
-            Admission, Arrival, DemandLine, DispatchSettings, ExchangeId, Finished, KeyMemory,
-            Moment,
+            Admission, Arrival, DemandLine, DispatchSettings, ExchangeId, Finished,
+            IdempotencyKeys, Moment,
         },
         wire::ControlMessage,
     },
@@ -43,7 +43,7 @@
     pub node: Arc<Node>,
     pub settings: SidecarSettings,
     pub upstream: UpstreamClient,
-    pub keys: Mutex<KeyMemory>,
+    pub keys: Mutex<IdempotencyKeys>,
     pub(super) table: Mutex<DispatchTable>,
     link: OnceLock<Arc<Link<Sidecar>>>,
     next_exchange: AtomicU64,
@@ -77,7 +77,7 @@
             grant_ttl: settings.grant_ttl,
             idle_grace: settings.idle_grace,
         };
-        let keys = KeyMemory::new(
+        let keys = IdempotencyKeys::new(
             settings.key_memory,
             settings.key_quarantine,
             settings.max_keys,
