--- a/src/policy/granted/exchange/idempotency_keys.rs
+++ b/src/policy/granted/exchange/idempotency_keys.rs
@@ -9,7 +9,7 @@
 
 /// What is known of a request's idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyVerdict {
+pub enum KeyStatus {
     Fresh,      // unknown before, remembered now as running
     InProgress, // a request with this key is running
     Ran,        // a request with this key ran, or may have
@@ -57,19 +57,19 @@
         now: Moment,
         account: AccountId,
         key: &str,
-    ) -> KeyVerdict {
+    ) -> KeyStatus {
         self.forget_old(now);
         let entry = (account, key.to_owned());
         match self.keys.get(&entry) {
-            Some(KeyState::Running) => return KeyVerdict::InProgress,
-            Some(KeyState::Ended) => return KeyVerdict::Ran,
+            Some(KeyState::Running) => return KeyStatus::InProgress,
+            Some(KeyState::Ended) => return KeyStatus::Ran,
             None => {}
         }
         if now < self.quarantine || self.keys.len() >= self.max_keys {
-            return KeyVerdict::Unsure;
+            return KeyStatus::Unsure;
         }
         self.keys.insert(entry, KeyState::Running);
-        KeyVerdict::Fresh
+        KeyStatus::Fresh
     }
 
     /// Records that the request with this key ended, and that it ran or may have run.
--- a/src/policy/granted/exchange/mod.rs
+++ b/src/policy/granted/exchange/mod.rs
@@ -11,7 +11,7 @@
 pub use {
     attempts::Attempts,
     finished::Finished,
-    idempotency_keys::{IdempotencyKeys, KeyVerdict},
+    idempotency_keys::{IdempotencyKeys, KeyStatus},
     retry_budget::RetryBudget,
     router_exchange::{AnswerEvent, RouterExchange},
     sidecar_exchange::SidecarExchange,
--- a/src/sidecar/exchange.rs
+++ b/src/sidecar/exchange.rs
@@ -4,7 +4,7 @@
         codes::ResultCode,
         fleet::{FleetConfig, Group, Labels, RequestLabels},
         link::Peer,
-        policy::{Admission, Arrival, ExchangeId, Finished, KeyVerdict, SidecarExchange},
+        policy::{Admission, Arrival, ExchangeId, Finished, KeyStatus, SidecarExchange},
         wire::{AnswerFrame, RequestHead, encode_frame},
     },
     bytes::Bytes,
@@ -123,10 +123,10 @@
         let now = self.sidecar.node.now();
         let mut keys = self.sidecar.keys.lock().expect("key lock");
         match keys.begin(now, self.head.account, key) {
-            KeyVerdict::Fresh => Ok(()),
-            KeyVerdict::InProgress => Err(ResultCode::KeyInProgress),
-            KeyVerdict::Ran => Err(ResultCode::KeyAlreadyRan),
-            KeyVerdict::Unsure => Err(ResultCode::KeyMemoryYoung),
+            KeyStatus::Fresh => Ok(()),
+            KeyStatus::InProgress => Err(ResultCode::KeyInProgress),
+            KeyStatus::Ran => Err(ResultCode::KeyAlreadyRan),
+            KeyStatus::Unsure => Err(ResultCode::KeyMemoryYoung),
         }
     }
 
