--- a/src/policy/granted/waiting/mod.rs
+++ b/src/policy/granted/waiting/mod.rs
@@ -3,13 +3,13 @@
 mod account_queue;
 mod drain_rate;
 mod prefix_memory;
+mod request_queue;
 mod waiting_request;
-mod waiting_room;
 
 pub use {
     account_queue::AccountQueue,
     drain_rate::DrainRate,
     prefix_memory::{PrefixHash, PrefixMemory},
+    request_queue::{RequestQueue, Shed, WaitingBounds},
     waiting_request::WaitingRequest,
-    waiting_room::{Shed, WaitingBounds, WaitingRoom},
 };
--- a/src/policy/granted/waiting/waiting_room.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -23,7 +23,7 @@
 
 /// The requests that wait at a router, in a queue for each client account.
 #[derive(Debug, Clone)]
-pub struct WaitingRoom {
+pub struct RequestQueue {
     queues: BTreeMap<AccountId, AccountQueue>,
     bounds: WaitingBounds,
     requests: usize,
@@ -32,7 +32,7 @@
     prefix_slack: Duration,
 }
 
-impl WaitingRoom {
+impl RequestQueue {
     /// Without any requests.
     pub fn new(
         bounds: WaitingBounds,
--- a/src/router/announcer.rs
+++ b/src/router/announcer.rs
@@ -2,7 +2,7 @@
     super::router::Router,
     crate::{
         fleet::AccountId,
-        policy::{CurrentDemand, WaitingRoom},
+        policy::{CurrentDemand, RequestQueue},
         wire::ControlMessage,
     },
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -54,7 +54,7 @@
 }
 
 fn demand_for(
-    room: &WaitingRoom,
+    room: &RequestQueue,
     host: &str,
 ) -> BTreeMap<AccountId, CurrentDemand> {
     room.queues()
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -7,8 +7,8 @@
         link::{Link, Peer},
         node::Node,
         policy::{
-            Grant, ReportEntry, RetryBudget, TotalsAggregator, WaitingBounds, WaitingRequest,
-            WaitingRoom,
+            Grant, ReportEntry, RequestQueue, RetryBudget, TotalsAggregator, WaitingBounds,
+            WaitingRequest,
         },
         wire::ControlMessage,
     },
@@ -71,7 +71,7 @@
             per_account: settings.max_per_account,
             refuse_early: settings.refuse_early,
         };
-        let room = WaitingRoom::new(bounds, settings.prefix_slack);
+        let room = RequestQueue::new(bounds, settings.prefix_slack);
         Self {
             node,
             waiting: Mutex::new(WaitingTable::new(room)),
--- a/src/router/status.rs
+++ b/src/router/status.rs
@@ -5,7 +5,7 @@
     crate::{
         fleet::AccountId,
         ops::{AccountStatus, AuditTrail, PeerStatus, ProcessStatus, StatusSource, WAITING},
-        policy::WaitingRoom,
+        policy::RequestQueue,
     },
     std::collections::{BTreeSet, HashMap},
 };
@@ -42,7 +42,7 @@
     /// The accounts that this router keeps, or that wait here.
     fn account_statuses(
         &self,
-        room: &WaitingRoom,
+        room: &RequestQueue,
     ) -> Vec<AccountStatus> {
         let kept: HashMap<_, _> = {
             let keeper = self.keeper.lock().expect("keeper lock");
--- a/src/router/waiting_table.rs
+++ b/src/router/waiting_table.rs
@@ -3,7 +3,7 @@
     crate::{
         fleet::AccountId,
         link::Peer,
-        policy::{GrantNumber, Moment, Shed, WaitingRequest, WaitingRoom},
+        policy::{GrantNumber, Moment, RequestQueue, Shed, WaitingRequest},
     },
     std::{collections::HashMap, sync::Arc},
     tokio::sync::oneshot,
@@ -12,13 +12,13 @@
 /// The waiting room with the requests that wait in it. One lock guards it
 /// whole.
 pub struct WaitingTable {
-    pub room: WaitingRoom,
+    pub room: RequestQueue,
     waiters: HashMap<u64, oneshot::Sender<Turn>>, // by request id
 }
 
 impl WaitingTable {
     /// An empty table.
-    pub fn new(room: WaitingRoom) -> Self {
+    pub fn new(room: RequestQueue) -> Self {
         Self {
             room,
             waiters: HashMap::new(),
--- a/tests/waiting_room.rs
+++ b/tests/waiting_room.rs
@@ -4,7 +4,7 @@
     archmast::{
         codes::ResultCode,
         fleet::AccountId,
-        policy::{HostSet, WaitingBounds, WaitingRequest, WaitingRoom},
+        policy::{HostSet, RequestQueue, WaitingBounds, WaitingRequest},
     },
     std::{sync::Arc, time::Duration},
 };
@@ -12,14 +12,14 @@
 fn room(
     requests: usize,
     per_account: usize,
-) -> WaitingRoom {
+) -> RequestQueue {
     let bounds = WaitingBounds {
         requests,
         bytes: 1 << 20,
         per_account,
         refuse_early: true,
     };
-    WaitingRoom::new(bounds, Duration::from_millis(200))
+    RequestQueue::new(bounds, Duration::from_millis(200))
 }
 
 fn ms(millis: u64) -> Duration {
