--- a/src/policy/granted/waiting/mod.rs
+++ b/src/policy/granted/waiting/mod.rs
@@ -10,6 +10,6 @@
     account_queue::AccountQueue,
     drain_rate::DrainRate,
     prefix_memory::{PrefixHash, PrefixMemory},
-    request_queue::{RequestQueue, Shed, WaitingBounds},
+    request_queue::{QueueBounds, RequestQueue, Shed},
     waiting_request::WaitingRequest,
 };
--- a/src/policy/granted/waiting/request_queue.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -6,7 +6,7 @@
 
 /// Limits on what may wait at one router.
 #[derive(Debug, Clone, Copy)]
-pub struct WaitingBounds {
+pub struct QueueBounds {
     pub requests: usize,
     pub bytes: u64,
     pub per_account: usize, // requests
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub struct RequestQueue {
     queues: BTreeMap<AccountId, AccountQueue>,
-    bounds: WaitingBounds,
+    bounds: QueueBounds,
     requests: usize,
     bytes: u64,
     prefixes: PrefixMemory,
@@ -35,7 +35,7 @@
 impl RequestQueue {
     /// Without any requests.
     pub fn new(
-        bounds: WaitingBounds,
+        bounds: QueueBounds,
         prefix_slack: Duration,
     ) -> Self {
         Self {
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -7,7 +7,7 @@
         link::{Link, Peer},
         node::Node,
         policy::{
-            Grant, ReportEntry, RequestQueue, RetryBudget, TotalsAggregator, WaitingBounds,
+            Grant, QueueBounds, ReportEntry, RequestQueue, RetryBudget, TotalsAggregator,
             WaitingRequest,
         },
         wire::ControlMessage,
@@ -65,7 +65,7 @@
         node: Arc<Node>,
         settings: RouterSettings,
     ) -> Self {
-        let bounds = WaitingBounds {
+        let bounds = QueueBounds {
             requests: settings.max_requests,
             bytes: settings.max_bytes,
             per_account: settings.max_per_account,
--- a/tests/waiting_room.rs
+++ b/tests/waiting_room.rs
@@ -4,7 +4,7 @@
     archmast::{
         codes::ResultCode,
         fleet::AccountId,
-        policy::{HostSet, RequestQueue, WaitingBounds, WaitingRequest},
+        policy::{HostSet, QueueBounds, RequestQueue, WaitingRequest},
     },
     std::{sync::Arc, time::Duration},
 };
@@ -13,7 +13,7 @@
     requests: usize,
     per_account: usize,
 ) -> RequestQueue {
-    let bounds = WaitingBounds {
+    let bounds = QueueBounds {
         requests,
         bytes: 1 << 20,
         per_account,
