--- a/src/catalog/upstream_entry.rs
+++ b/src/catalog/upstream_entry.rs
@@ -1,6 +1,6 @@
 use {
     super::UpstreamState,
-    crate::policy::{short_name, stable_hash},
+    crate::policy::{name_hash, stable_hash},
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
@@ -23,7 +23,7 @@
     /// one says of an earlier start is not taken for this one.
     pub fn start_name(&self) -> u32 {
         match self.born {
-            None => short_name(&self.id),
+            None => name_hash(&self.id),
             Some(born) => stable_hash(&(&*self.id, born)) as u32,
         }
     }
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -10,10 +10,9 @@
         codes::{ErrorAnswer, ResultCode},
         ops::PROMPT_TOKENS,
         policy::{
-            Moment,
+            Moment, name_hash,
             placement::{Choice, PlacementRequest, PromptShape, RefusalReason, SentPrompt},
             shares::{AccountShare, ShareStatus},
-            short_name,
         },
     },
     std::{net::SocketAddr, time::Duration},
@@ -192,7 +191,7 @@
     }
 
     pub(super) fn account(&self) -> Option<u32> {
-        self.call.account.as_deref().map(short_name)
+        self.call.account.as_deref().map(name_hash)
     }
 
     pub(super) fn ask(&self) {
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -10,7 +10,7 @@
         catalog::UpstreamEntry,
         codes::{ErrorAnswer, ResultCode},
         policy::{
-            Moment, short_name,
+            Moment, name_hash,
             suspects::{CrashedAttempt, Hold, RequestDigest},
         },
     },
@@ -122,7 +122,7 @@
             run.ended,
         );
         let request = run.call.digest();
-        let account = run.call.account.as_deref().map_or(0, short_name);
+        let account = run.call.account.as_deref().map_or(0, name_hash);
         let hold = self.suspects().ended(now, request, account, end);
         self.report_wanted.notify_one();
         if let Some(hold) = &hold {
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -9,10 +9,9 @@
         ops::{AuditTrail, PAUSES, Uptime},
         peers::{NamedRouter, PeerTable, ZoneTable},
         policy::{
-            Incarnation, Moment, SuspensionGuard,
+            Incarnation, Moment, SuspensionGuard, name_hash,
             placement::ReplicaBoard,
             shares::{RetryWindow, ShareTracker},
-            short_name,
             suspects::SuspectTracker,
         },
     },
@@ -73,7 +72,7 @@
         );
         let own = NamedRouter {
             address: settings.peers,
-            zone: short_name(&settings.process.zone),
+            zone: name_hash(&settings.process.zone),
         };
         let mut board = ReplicaBoard::new(settings.placement);
         board.set_regions(settings.regions.clone());
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -4,8 +4,8 @@
         codes::{Fault, ResultCode},
         direct::CacheCalls,
         policy::{
+            name_hash,
             placement::{KeptEvent, KeptNews, KeptPart},
-            short_name,
         },
     },
     bytes::Bytes,
@@ -87,7 +87,7 @@
         is_kept: sign == "+" && tokens > 0,
     });
     let mut news = KeptNews {
-        epoch: short_name(&json.epoch.to_string()),
+        epoch: name_hash(&json.epoch.to_string()),
         from: from.max(1),
         next: json.next_token.saturating_add(1),
         has_gap: false,
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -3,9 +3,8 @@
 use {
     super::ReplicaBoard,
     crate::policy::{
-        Moment, Reporter, ReporterScope,
+        Moment, Reporter, ReporterScope, name_hash,
         placement::{CacheNote, EngineReport, ReplicaEvidence, ReplicaReport},
-        short_name,
     },
 };
 
@@ -132,7 +131,7 @@
     ) {
         for report in told {
             let mut services = self.replicas.values().map(|view| &view.entry.service);
-            let named = services.find(|name| short_name(name) == report.service);
+            let named = services.find(|name| name_hash(name) == report.service);
             if let Some(service) = named {
                 self.engines.hear(service, report);
             }
--- a/src/policy/direct/placement/engines/engine_models.rs
+++ b/src/policy/direct/placement/engines/engine_models.rs
@@ -1,6 +1,6 @@
 use {
     super::{EngineModel, EngineReport, EngineTimes, FirstToken},
-    crate::policy::short_name,
+    crate::policy::name_hash,
     std::{collections::HashMap, sync::Arc},
 };
 
@@ -52,7 +52,7 @@
         let told = self.by_service.iter();
         told.filter(|(_, learnt)| learnt.model.samples() >= ENOUGH_SAMPLES)
             .map(|(service, learnt)| EngineReport {
-                service: short_name(service),
+                service: name_hash(service),
                 times: learnt.model.times(),
                 samples: learnt.model.samples(),
             })
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -8,15 +8,15 @@
 mod clock;
 mod direct;
 mod granted;
+mod name_hash;
 mod notices;
 mod rendezvous;
-mod short_name;
 
 pub use {
     clock::*,
     direct::*,
     granted::*,
+    name_hash::{mix, name_hash, stable_hash},
     notices::*,
     rendezvous::rendezvous,
-    short_name::{mix, short_name, stable_hash},
 };
--- a/src/policy/short_name.rs
+++ b/src/policy/name_hash.rs
@@ -5,7 +5,7 @@
 
 /// A 32-bit hash that stands for the name of a replica, account, service or availability zone in
 /// messages between routers. It is the same in every process.
-pub fn short_name(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     stable_hash(&name) as u32
 }
 
--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -1,6 +1,6 @@
 use {
     super::{AccountEntry, AllowedRegions, RequestLimits, Route, Service},
-    crate::policy::short_name,
+    crate::policy::name_hash,
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
@@ -93,7 +93,7 @@
         short: u32,
     ) -> Option<&Arc<str>> {
         let mut names = self.accounts.values();
-        names.find(|name| short_name(name) == short)
+        names.find(|name| name_hash(name) == short)
     }
 
     /// The account that holds a key.
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -8,13 +8,12 @@
         catalog::{CatalogVersion, UpstreamEntry, UpstreamState},
         peers::{Figures, PeerMessage, RouterReport, ToldReports},
         policy::{
-            Reporter, ReporterScope,
+            Reporter, ReporterScope, name_hash,
             placement::{
                 CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport,
             },
             shares::{AccountUsage, ShareStatus, ShareTracker},
-            short_name,
         },
         routing::EngineFacts,
         wire::{decode_payload, encode_payload},
@@ -166,7 +165,7 @@
     }
     for part in 0..KEPT {
         let note = CacheNote {
-            replica: short_name(&ids[part as usize % ids.len()]),
+            replica: name_hash(&ids[part as usize % ids.len()]),
             part: 10 + part,
             shared: true,
         };
@@ -182,7 +181,7 @@
         memory: 4000,
     };
     ReplicaReport {
-        replica: short_name(id),
+        replica: name_hash(id),
         load,
         placed: 5_000_000,
         rests: false,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -6,13 +6,13 @@
         catalog::{UpstreamEntry, UpstreamState},
         peers::{EvidenceTold, EvidenceTurn, PeerMessage},
         policy::{
+            name_hash,
             placement::{
                 Choice, EngineReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
                 PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
                 ReplicaEvidence, ReplicaPace, SentPrompt, WorkNumber,
             },
             shares::ShareStatus,
-            short_name,
         },
         routing::EngineFacts,
         wire::encode_payload,
@@ -69,7 +69,7 @@
     let mut board = ReplicaBoard::new(PlacementSettings::default());
     board.set_entries(BEGIN, ids.iter().map(|id| entry(id, 1)).collect());
     board.hear_engines(&[EngineReport {
-        service: short_name("model"),
+        service: name_hash("model"),
         times: USUAL,
         samples: 5000,
     }]);
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -2,9 +2,8 @@
 
 use {
     archmast::policy::{
-        Reporter, ReporterScope,
+        Reporter, ReporterScope, name_hash,
         shares::{AccountUsage, RetryWindow, ShareStatus, ShareTracker, fair_level},
-        short_name,
     },
     proptest::prelude::*,
     std::time::Duration,
@@ -28,7 +27,7 @@
 
 #[test]
 fn an_account_is_not_over_while_all_ask_for_less_than_is_made() {
-    let (big, small) = (short_name("big"), short_name("small"));
+    let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     // A moment of refusals: a little was given, more was asked for.
@@ -95,7 +94,7 @@
 
 #[test]
 fn an_account_is_over_only_while_others_are_owed() {
-    let (big, small) = (short_name("big"), short_name("small"));
+    let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     for account in [big, small] {
@@ -117,7 +116,7 @@
 
 #[test]
 fn what_peers_gave_counts_until_it_is_old() {
-    let (big, small) = (short_name("big"), short_name("small"));
+    let (big, small) = (name_hash("big"), name_hash("small"));
     let mut here = ShareTracker::new(WINDOW, AGE);
     let mut there = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
@@ -135,7 +134,7 @@
 
 #[test]
 fn the_time_to_come_back_is_when_the_share_is_free_again() {
-    let (big, small) = (short_name("big"), short_name("small"));
+    let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     book.ask(now, big, 10_000.0);
@@ -155,7 +154,7 @@
 
 #[test]
 fn an_account_that_was_refused_most_is_behind_until_it_catches_up() {
-    let (big, small) = (short_name("big"), short_name("small"));
+    let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     book.ask(now, big, 50_000.0);
@@ -172,7 +171,7 @@
 
 #[test]
 fn what_was_taken_back_counts_no_more() {
-    let (big, small) = (short_name("big"), short_name("small"));
+    let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     book.ask(now, big, 1000.0);
@@ -215,7 +214,7 @@
 fn after_a_burst(window: Duration) -> (f32, f32) {
     const CAPACITY: f32 = 100.0; // tokens a step
     let step = Duration::from_millis(100);
-    let (hot, other) = (short_name("hot"), short_name("other"));
+    let (hot, other) = (name_hash("hot"), name_hash("other"));
     let mut book = ShareTracker::new(window, AGE);
     let mut now = Duration::from_secs(10);
     book.ask(now, hot, CAPACITY * 40.0);
@@ -254,7 +253,7 @@
 /// What a router believes that an account got, which is given the same again and again, if it
 /// is looked at this often.
 fn believed_when_looked_at_every(look: Duration) -> f32 {
-    let account = short_name("steady");
+    let account = name_hash("steady");
     let mut book = ShareTracker::new(Duration::from_secs(3), AGE);
     let mut now = Duration::from_secs(10);
     let (mut next_given, mut next_look) = (now, now);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -8,7 +8,7 @@
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
-        policy::{Reporter, ReporterScope, shares::ShareStatus, short_name},
+        policy::{Reporter, ReporterScope, name_hash, shares::ShareStatus},
         routing::{AllowedRegions, EngineFacts},
     },
     std::{
@@ -79,7 +79,7 @@
 fn board(ids: &[&str]) -> ReplicaBoard {
     let mut board = fresh_board(ids);
     board.hear_engines(&[EngineReport {
-        service: short_name("model"),
+        service: name_hash("model"),
         ..KNOWN
     }]);
     board
@@ -155,7 +155,7 @@
 /// A peer's report that every slot of a replica is taken.
 fn full_of_requests(id: &str) -> ReplicaReport {
     ReplicaReport {
-        replica: short_name(id),
+        replica: name_hash(id),
         load: Load {
             running: 8,
             ..Load::default()
@@ -236,7 +236,7 @@
     let mut board = board(&["a", "b"]);
     let home = place(&mut board, &prompt(1, 100));
     let busy = ReplicaReport {
-        replica: short_name(&home),
+        replica: name_hash(&home),
         load: Load {
             running: 3,
             reading: 12_000,
@@ -274,7 +274,7 @@
 fn a_belief_that_was_far_off_does_not_keep_engines_idle() {
     let mut board = fresh_board(&["a"]);
     board.hear_engines(&[EngineReport {
-        service: short_name("model"),
+        service: name_hash("model"),
         times: EngineTimes {
             residual_ms: 700.0,
             ..KNOWN.times
@@ -292,7 +292,7 @@
     tokens: u32,
 ) -> ReplicaReport {
     ReplicaReport {
-        replica: short_name(id),
+        replica: name_hash(id),
         ..reading(tokens, 0, false)
     }
 }
@@ -646,7 +646,7 @@
         board.set_reports(Duration::from_millis(200), in_one_zone(routers));
         for id in &names[1..] {
             let busy = ReplicaReport {
-                replica: short_name(id),
+                replica: name_hash(id),
                 load: Load {
                     running: 2,
                     reading: 5000,
@@ -687,7 +687,7 @@
         let first = prompt(1, 100);
         let home = run_whole(&mut board, &first);
         let busy = ReplicaReport {
-            replica: short_name(&home),
+            replica: name_hash(&home),
             load: Load {
                 running: 1,
                 reading: in_front,
@@ -733,7 +733,7 @@
     let mut board = board(&["a"]);
     place(&mut board, &prompt(1, 100));
     let report = |placed| ReplicaReport {
-        replica: short_name("a"),
+        replica: name_hash("a"),
         load: Load::default(),
         placed,
         rests: false,
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -5,9 +5,8 @@
     archmast::{
         conf::{DirectSettings, IniDocument, SettingsFile},
         policy::{
-            Reporter, ReporterScope,
+            Reporter, ReporterScope, name_hash,
             shares::{AccountUsage, ShareStatus, ShareTracker},
-            short_name,
         },
     },
     std::{collections::HashMap, ops::Range, time::Duration},
@@ -162,7 +161,7 @@
     other: &str,
     seconds: Range<usize>,
 ) -> f32 {
-    let sum = |name: &str, from: usize| got[&short_name(name)][from..from + 6].iter().sum::<f32>();
+    let sum = |name: &str, from: usize| got[&name_hash(name)][from..from + 6].iter().sum::<f32>();
     let starts = seconds.start..=seconds.end - 6;
     let parts = starts.map(|from| sum(account, from) / sum(other, from));
     parts.fold(f32::MAX, f32::min)
@@ -238,7 +237,7 @@
     asks: Range<usize>,
 ) -> Demand {
     Demand {
-        account: short_name(name),
+        account: name_hash(name),
         routers,
         every_ms,
         tokens,
