--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -7,7 +7,7 @@
     crate::{
         catalog::CatalogVersion,
         ops::MESSAGES_REFUSED,
-        policy::{Moment, Reporter, ReporterScope, mix, stable_hash},
+        policy::{Moment, Reporter, ReporterScope, mix_hashes, stable_hash},
         wire::decode_payload,
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -126,7 +126,7 @@
         let teller = Reporter {
             scope: ReporterScope::Zone,
             name: sum.zone,
-            source: mix(stable_hash(&sum.carrier), sum.incarnation),
+            source: mix_hashes(stable_hash(&sum.carrier), sum.incarnation),
         };
         self.hear_version(sum.version);
         self.take_figures(now, teller, &sum.figures);
--- a/src/peers/zone_duties.rs
+++ b/src/peers/zone_duties.rs
@@ -3,7 +3,7 @@
 
 use {
     super::PeerTable,
-    crate::policy::{Moment, mix, stable_hash},
+    crate::policy::{Moment, mix_hashes, stable_hash},
     std::{net::SocketAddr, time::Duration},
 };
 
@@ -21,7 +21,7 @@
         age: Duration,
         zone: u32,
     ) -> bool {
-        let weight = |address: &SocketAddr| mix(stable_hash(address), u64::from(zone));
+        let weight = |address: &SocketAddr| mix_hashes(stable_hash(address), u64::from(zone));
         let own = weight(&self.own().address);
         let peers = self.peers();
         let mut there = peers.iter().filter(|(_, entry)| entry.is_there(now, age));
@@ -38,7 +38,7 @@
         age: Duration,
         own_lost: bool,
     ) -> bool {
-        let weight = |address: &SocketAddr| mix(stable_hash(address), READERS as u64);
+        let weight = |address: &SocketAddr| mix_hashes(stable_hash(address), READERS as u64);
         let own = weight(&self.own().address);
         let peers = self.peers();
         let there = peers.iter().filter(|(_, entry)| entry.is_there(now, age));
--- a/src/policy/direct/placement/board/board_plain.rs
+++ b/src/policy/direct/placement/board/board_plain.rs
@@ -10,7 +10,7 @@
         board_choice::{AVOIDED_PENALTY, is_near},
     },
     crate::policy::{
-        Moment, mix,
+        Moment, mix_hashes,
         placement::{Choice, PlacementRequest, ReplicaView, choosing::PlainQueue},
     },
     std::time::Duration,
@@ -76,7 +76,7 @@
             cost += self.settings.plain_zone_penalty.as_secs_f64() * 1000.0;
         }
         let step_ms = queue.work_ms / f64::from(view.entry.slots.max(1));
-        let draw = (mix(view.hash, self.next_work) >> 40) as f64 / f64::from(1 << 24);
+        let draw = (mix_hashes(view.hash, self.next_work) >> 40) as f64 / f64::from(1 << 24);
         cost + step_ms * SPREAD * (f64::from(there) + draw)
     }
 }
--- a/src/policy/direct/placement/choosing/homes.rs
+++ b/src/policy/direct/placement/choosing/homes.rs
@@ -1,7 +1,7 @@
 //! Where a prompt is at home, so that every router derives the same.
 
 use crate::policy::{
-    mix,
+    mix_hashes,
     placement::{PromptShape, ReplicaView},
 };
 
@@ -15,7 +15,7 @@
     view: &ReplicaView,
 ) -> f64 {
     let own = prompt.parts.last().map_or(0, |part| part.id);
-    mix(own, view.hash) as f64 / u64::MAX as f64
+    mix_hashes(own, view.hash) as f64 / u64::MAX as f64
 }
 
 /// The first homes of a prompt among these replicas, by index, the first one
@@ -27,7 +27,7 @@
     let home = prompt.home_part().unwrap_or(0);
     let mut best: Vec<(u64, usize)> = Vec::with_capacity(HOMES + 1);
     for (index, view) in usable.iter().enumerate() {
-        let weight = mix(home, view.hash);
+        let weight = mix_hashes(home, view.hash);
         let place = best.partition_point(|(other, _)| *other > weight);
         if place < HOMES {
             best.insert(place, (weight, index));
--- a/src/policy/direct/placement/choosing/offer.rs
+++ b/src/policy/direct/placement/choosing/offer.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         policy::{
-            mix,
+            mix_hashes,
             placement::{PromptShape, ReplicaView},
         },
         routing::EngineFacts,
@@ -67,7 +67,7 @@
             least,
             best,
             by_zone,
-            draw: mix(own, 0),
+            draw: mix_hashes(own, 0),
         }
     }
 
--- a/src/policy/direct/slow_start/zone_routers.rs
+++ b/src/policy/direct/slow_start/zone_routers.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::{Moment, mix},
+    crate::policy::{Moment, mix_hashes},
     std::time::Duration,
 };
 
@@ -59,8 +59,11 @@
         replica: u64,
     ) -> bool {
         let is_valid = now >= MIN_UPTIME && now.saturating_sub(self.as_of) <= MAX_VIEW_AGE;
-        let weight = mix(self.own, replica);
-        let mut others = self.neighbours.iter().map(|other| mix(*other, replica));
+        let weight = mix_hashes(self.own, replica);
+        let mut others = self
+            .neighbours
+            .iter()
+            .map(|other| mix_hashes(*other, replica));
         is_valid && !others.any(|other| other > weight)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,7 +16,7 @@
     clock::*,
     direct::*,
     granted::*,
-    name_hash::{mix, name_hash, stable_hash},
+    name_hash::{mix_hashes, name_hash, stable_hash},
     notices::*,
     rendezvous::rendezvous,
 };
--- a/src/policy/name_hash.rs
+++ b/src/policy/name_hash.rs
@@ -18,7 +18,7 @@
 
 /// Combines two hashes without hashing both again, which is cheap enough for a choice among 160
 /// replicas that needs 320 combinations.
-pub fn mix(
+pub fn mix_hashes(
     left: u64,
     right: u64,
 ) -> u64 {
