--- a/src/direct/processor_state.rs
+++ b/src/direct/processor_state.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::{Neighbour, neighbour_for},
+    crate::policy::{Neighbour, choose_neighbour},
     std::{
         net::SocketAddr,
         sync::{
@@ -106,7 +106,7 @@
         draw: f64,
     ) -> Option<SocketAddr> {
         let known = self.neighbours.read().expect("neighbours lock");
-        neighbour_for(&known, draw)
+        choose_neighbour(&known, draw)
     }
 
     /// Whether callers' connections are handed on.
--- a/src/policy/direct/processor/hand_on.rs
+++ b/src/policy/direct/processor/hand_on.rs
@@ -14,7 +14,7 @@
 /// Chooses the neighbour that takes over a connection, at random weighted by spare cores, so that
 /// routers with the same reports do not all choose the same one. `draw` is a random number from 0
 /// to 1. Returns where the neighbour accepts callers, or `None` if none has enough to spare.
-pub fn neighbour_for(
+pub fn choose_neighbour(
     neighbours: &[Neighbour],
     draw: f64,
 ) -> Option<SocketAddr> {
--- a/src/policy/direct/processor/mod.rs
+++ b/src/policy/direct/processor/mod.rs
@@ -8,7 +8,7 @@
 
 pub use {
     busy_gauge::BusyGauge,
-    hand_on::{Neighbour, neighbour_for},
+    hand_on::{Neighbour, choose_neighbour},
     lag_gauge::LagGauge,
     overload_pause::OverloadPause,
 };
--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -1,7 +1,7 @@
 //! Which neighbour takes a caller's connection over.
 
 use {
-    archmast::policy::{Neighbour, neighbour_for},
+    archmast::policy::{Neighbour, choose_neighbour},
     std::net::SocketAddr,
 };
 
@@ -21,7 +21,7 @@
     port: u16,
 ) -> usize {
     let draws = (0..1000).map(|draw| f64::from(draw) / 1000.0);
-    let chosen = draws.filter_map(|draw| neighbour_for(neighbours, draw));
+    let chosen = draws.filter_map(|draw| choose_neighbour(neighbours, draw));
     chosen.filter(|address| address.port() == port).count()
 }
 
@@ -37,7 +37,7 @@
 fn a_neighbour_that_is_short_itself_gets_none() {
     let fleet = [neighbour(1, 0.001), neighbour(2, 0.1)];
     assert_eq!(taken(&fleet, 2), 1000);
-    assert_eq!(neighbour_for(&fleet[..1], 0.5), None);
-    assert_eq!(neighbour_for(&[], 0.5), None);
-    assert_eq!(neighbour_for(&fleet, 1.0), Some(fleet[1].callers));
+    assert_eq!(choose_neighbour(&fleet[..1], 0.5), None);
+    assert_eq!(choose_neighbour(&[], 0.5), None);
+    assert_eq!(choose_neighbour(&fleet, 1.0), Some(fleet[1].callers));
 }
