--- a/src/policy/direct/processor/mod.rs
+++ b/src/policy/direct/processor/mod.rs
@@ -2,13 +2,13 @@
 //! takes over its connections.
 
 mod busy_gauge;
-mod hand_on;
 mod lag_gauge;
+mod neighbour;
 mod overload_pause;
 
 pub use {
     busy_gauge::BusyGauge,
-    hand_on::{Neighbour, choose_neighbour},
     lag_gauge::LagGauge,
+    neighbour::{Neighbour, choose_neighbour},
     overload_pause::OverloadPause,
 };
