--- a/src/direct/unsent_answer.rs
+++ b/src/direct/unsent_answer.rs
@@ -1,6 +1,6 @@
 use {
     super::{gateway::Gateway, held_bytes::HeldBytes, reply::ReplyBody},
-    crate::policy::{Moment, memory::is_given_up},
+    crate::policy::{Moment, memory::must_abort_answer},
     bytes::Bytes,
     hyper::body::{Body, Frame, SizeHint},
     std::{
@@ -120,7 +120,7 @@
         let taken_at = Moment::from_millis(self.taken_at_ms.load(Ordering::Relaxed));
         let untaken = self.gateway.now().saturating_sub(taken_at);
         let budget = self.gateway.settings().answer_memory;
-        is_given_up(budget, own, self.held.others(), untaken).then_some(own)
+        must_abort_answer(budget, own, self.held.others(), untaken).then_some(own)
     }
 
     /// Whether all of it was read.
--- a/src/policy/direct/memory/mod.rs
+++ b/src/policy/direct/memory/mod.rs
@@ -4,4 +4,4 @@
 mod memory_budget;
 mod unread_answer;
 
-pub use {memory_budget::MemoryBudget, unread_answer::is_given_up};
+pub use {memory_budget::MemoryBudget, unread_answer::must_abort_answer};
--- a/src/policy/direct/memory/unread_answer.rs
+++ b/src/policy/direct/memory/unread_answer.rs
@@ -6,7 +6,7 @@
 
 /// Whether to abort an answer of which the caller has read nothing for `unread_for`. It is kept
 /// as long as the budget permits the `own` bytes that are held for it.
-pub fn is_given_up(
+pub fn must_abort_answer(
     budget: MemoryBudget,
     own: u64,
     others: u64,
--- a/tests/memory_budget.rs
+++ b/tests/memory_budget.rs
@@ -1,7 +1,7 @@
 //! What a router may hold for callers that are slow, and whom it gives up.
 
 use {
-    archmast::policy::memory::{MemoryBudget, is_given_up},
+    archmast::policy::memory::{MemoryBudget, must_abort_answer},
     std::time::Duration,
 };
 
@@ -49,11 +49,11 @@
 fn only_a_caller_that_takes_nothing_beyond_its_budget_is_given_up() {
     let (short, long) = (100 * KB, 961 * KB);
     let second = Duration::from_secs(1);
-    assert!(!is_given_up(BUDGET, short, 0, 600 * second));
-    assert!(!is_given_up(BUDGET, long, 0, second));
-    assert!(is_given_up(BUDGET, long, 0, 2 * second));
-    assert!(is_given_up(BUDGET, short, BUDGET.all, 2 * second));
-    assert!(!is_given_up(BUDGET, 0, BUDGET.all, 2 * second));
+    assert!(!must_abort_answer(BUDGET, short, 0, 600 * second));
+    assert!(!must_abort_answer(BUDGET, long, 0, second));
+    assert!(must_abort_answer(BUDGET, long, 0, 2 * second));
+    assert!(must_abort_answer(BUDGET, short, BUDGET.all, 2 * second));
+    assert!(!must_abort_answer(BUDGET, 0, BUDGET.all, 2 * second));
 }
 
 /// Load: uploads of 4 MB on a host that takes 30 MB of them. Reason: a body as long as the
