--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -5,7 +5,7 @@
         attempt_end::AttemptEnd, call::Call, gateway::Gateway, held_work::HeldWork,
         live_answer::LiveAnswer, replica_call::call_replica, request_reader::header_text,
     },
-    crate::{catalog::UpstreamEntry, codes::ResultCode, policy::asked_rest},
+    crate::{catalog::UpstreamEntry, codes::ResultCode, policy::parse_retry_after},
     bytes::Bytes,
     http_body_util::Full,
     hyper::{
@@ -97,7 +97,7 @@
     if head.headers.contains_key(&names.not_run) || head.status == 421 {
         return Err(AttemptEnd::Refused {
             status: head.status.as_u16(),
-            retry_after: asked_rest(header_text(&head.headers, &RETRY_AFTER)),
+            retry_after: parse_retry_after(header_text(&head.headers, &RETRY_AFTER)),
         });
     }
     if (gateway.dialect.promises_not_run)(head.status) {
--- a/src/platform/notice_headers.rs
+++ b/src/platform/notice_headers.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::{ReplicaNotice, asked_rest},
+    crate::policy::{ReplicaNotice, parse_retry_after},
     hyper::{
         StatusCode,
         header::{HeaderMap, RETRY_AFTER},
@@ -20,7 +20,7 @@
     }
     let leaves = text(headers, LEAVING) == Some("1");
     let turns_away = status == StatusCode::SERVICE_UNAVAILABLE;
-    let rest = text(headers, RETRY_AFTER.as_str()).and_then(asked_rest);
+    let rest = text(headers, RETRY_AFTER.as_str()).and_then(parse_retry_after);
     ReplicaNotice::new(leaves, rest.filter(|_| turns_away))
 }
 
--- a/src/policy/notices/asked_rest.rs
+++ b/src/policy/notices/retry_after.rs
@@ -9,7 +9,7 @@
 /// Parses the `Retry-After` of a refusal: decimal seconds, with or without a fraction. Returns
 /// `None` for anything else. A date is not accepted, as a replica's clock may differ from this
 /// host's.
-pub fn asked_rest(text: &str) -> Option<Duration> {
+pub fn parse_retry_after(text: &str) -> Option<Duration> {
     let text = text.trim();
     let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
     let is_number = |part: &str| !part.is_empty() && part.bytes().all(|c| c.is_ascii_digit());
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         platform::read_notice,
-        policy::{Moment, NoticeTracker, ReplicaNotice, asked_rest},
+        policy::{Moment, NoticeTracker, ReplicaNotice, parse_retry_after},
     },
     hyper::{
         StatusCode,
@@ -135,7 +135,7 @@
         "\u{0663}",
         "Fri, 31 Dec 1999 23:59:59 GMT",
     ] {
-        assert_eq!(asked_rest(text), None, "{text:?}");
+        assert_eq!(parse_retry_after(text), None, "{text:?}");
         assert!(turned_away(text).is_empty(), "{text:?}");
     }
     for (text, millis) in [
@@ -146,7 +146,7 @@
         ("07.50", 7_500),
     ] {
         let rest = Duration::from_millis(millis);
-        assert_eq!(asked_rest(text), Some(rest), "{text:?}");
+        assert_eq!(parse_retry_after(text), Some(rest), "{text:?}");
         assert_eq!(turned_away(text).rest, rest, "{text:?}");
     }
 }
