--- a/src/policy/granted/waiting/mod.rs
+++ b/src/policy/granted/waiting/mod.rs
@@ -10,6 +10,6 @@
     account_queue::AccountQueue,
     drain_rate::DrainRate,
     prefix_memory::{PrefixHash, PrefixMemory},
-    request_queue::{QueueBounds, RequestQueue, Shed},
+    request_queue::{QueueBounds, RequestQueue, ShedRequest},
     waiting_request::WaitingRequest,
 };
--- a/src/policy/granted/waiting/request_queue.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -15,7 +15,7 @@
 
 /// A request that is dropped from the queue, and the answer to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shed {
+pub struct ShedRequest {
     pub id: u64,
     pub code: ResultCode,
     pub retry_after: Duration,
@@ -69,7 +69,7 @@
         &mut self,
         now: Moment,
         request: WaitingRequest,
-    ) -> Vec<Shed> {
+    ) -> Vec<ShedRequest> {
         let queue = self.queues.entry(request.account).or_default();
         let waiting = queue.len();
         let refusal = if waiting >= self.bounds.per_account {
@@ -159,7 +159,7 @@
     pub fn give_up(
         &mut self,
         now: Moment,
-    ) -> Vec<Shed> {
+    ) -> Vec<ShedRequest> {
         let mut dropped = Vec::new();
         let mut requests = Vec::new();
         for queue in self.queues.values() {
@@ -208,7 +208,7 @@
         &mut self,
         now: Moment,
         code: ResultCode,
-    ) -> Vec<Shed> {
+    ) -> Vec<ShedRequest> {
         let everything: Vec<WaitingRequest> = self
             .queues
             .values()
@@ -227,7 +227,7 @@
     fn shed_excess(
         &mut self,
         now: Moment,
-    ) -> Vec<Shed> {
+    ) -> Vec<ShedRequest> {
         let mut dropped = Vec::new();
         while self.requests > self.bounds.requests || self.bytes > self.bounds.bytes {
             let Some(request) = self.excess_request() else {
@@ -280,8 +280,8 @@
     queue: &AccountQueue,
     now: Moment,
     code: ResultCode,
-) -> Shed {
-    Shed {
+) -> ShedRequest {
+    ShedRequest {
         id: request.id,
         code,
         retry_after: queue.drain.retry_after(now, queue.len()),
--- a/src/router/turn.rs
+++ b/src/router/turn.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         link::Peer,
-        policy::{GrantNumber, Shed},
+        policy::{GrantNumber, ShedRequest},
     },
     std::sync::Arc,
 };
@@ -9,5 +9,5 @@
 /// What a waiting request is told.
 pub enum Turn {
     Granted { peer: Arc<Peer>, grant: GrantNumber },
-    Shed(Shed),
+    Shed(ShedRequest),
 }
--- a/src/router/waiting_table.rs
+++ b/src/router/waiting_table.rs
@@ -3,7 +3,7 @@
     crate::{
         fleet::AccountId,
         link::Peer,
-        policy::{GrantNumber, Moment, RequestQueue, Shed, WaitingRequest},
+        policy::{GrantNumber, Moment, RequestQueue, ShedRequest, WaitingRequest},
     },
     std::{collections::HashMap, sync::Arc},
     tokio::sync::oneshot,
@@ -66,7 +66,7 @@
     /// Answers the requests that are given up.
     pub fn tell_shed(
         &mut self,
-        shed: Vec<Shed>,
+        shed: Vec<ShedRequest>,
     ) {
         for given_up in shed {
             self.tell(given_up.id, Turn::Shed(given_up));
