--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -31,7 +31,7 @@
             && !view.health.rests(now)
             && !self.is_cordoned(&view.entry)
             && self.wants_requests(now, &view.entry)
-            && self.zone_routers.draws(now, view.hash)
+            && self.zone_routers.is_highest_ranked(now, view.hash)
     }
 
     /// Whether some router tells this one what a replica keeps.
--- a/src/policy/direct/slow_start/zone_routers.rs
+++ b/src/policy/direct/slow_start/zone_routers.rs
@@ -48,12 +48,12 @@
     ) -> bool {
         let is_majority =
             (self.neighbours.len() + 1) * 2 > self.known.max(self.neighbours.len()) + 1;
-        is_majority && self.draws(now, replica)
+        is_majority && self.is_highest_ranked(now, replica)
     }
 
     /// Whether this router ranks highest for a replica of its zone among the routers that
     /// reported recently. Where routers do not reach each other, several may rank highest.
-    pub fn draws(
+    pub fn is_highest_ranked(
         &self,
         now: Moment,
         replica: u64,
