--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -28,7 +28,7 @@
         self.checked_after = Some(self.ends);
         let now = self.gateway.now();
         let mut suspects = self.gateway.suspects();
-        if !suspects.holds_any() {
+        if !suspects.has_holds() {
             return Ok(());
         }
         let request = self.call.digest();
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether any request may be held back.
-    pub fn holds_any(&self) -> bool {
+    pub fn has_holds(&self) -> bool {
         !self.with_hold.is_empty()
     }
 
