--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -39,7 +39,8 @@
                 self.warn_of_regions();
             }
             if let Some(table) = self.catalog.config() {
-                self.shares().set_capacity(table.limits.tokens_per_s);
+                self.shares()
+                    .set_declared_capacity(table.limits.tokens_per_s);
             }
             let limits = self.start_limits();
             let entries = self.catalog.upstreams();
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -54,7 +54,7 @@
     }
 
     /// Sets what all replicas produce as the operator declares it, in tokens a second.
-    pub fn set_capacity(
+    pub fn set_declared_capacity(
         &mut self,
         tokens_per_second: Option<f64>,
     ) {
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -36,20 +36,20 @@
     book.give(now, big, 1000.0);
     assert!(over_for(&mut book, now, big).is_some());
     // All engines together make 2,000 tokens a second, 8,000 in a window.
-    book.set_capacity(Some(2000.0));
+    book.set_declared_capacity(Some(2000.0));
     assert_eq!(over_for(&mut book, now, big), None);
     book.ask(now, big, 20_000.0);
     book.give(now, big, 9000.0);
     assert!(over_for(&mut book, now, big).is_some());
     assert_eq!(over_for(&mut book, now, small), None);
-    book.set_capacity(None);
+    book.set_declared_capacity(None);
     assert!(over_for(&mut book, now, big).is_some());
 }
 
 #[test]
 fn what_is_divided_follows_whether_requests_find_room() {
     let mut book = ShareTracker::new(WINDOW, AGE);
-    book.set_capacity(Some(1000.0));
+    book.set_declared_capacity(Some(1000.0));
     let mut now = Duration::from_secs(10);
     let mut count = |placed: usize, refused: usize| {
         for is_placed in [vec![false; refused], vec![true; placed]].concat() {
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -67,7 +67,7 @@
         let window = shipped_window();
         let book = || {
             let mut book = ShareTracker::new(window, AGE);
-            book.set_capacity(Some(f64::from(CAPACITY) * 1000.0));
+            book.set_declared_capacity(Some(f64::from(CAPACITY) * 1000.0));
             book
         };
         Self {
