--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -32,7 +32,7 @@
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let news = self.gateway.suspects().take_news(now);
+        let news = self.gateway.suspects().take_local_updates(now);
         let mut times = std::mem::take(&mut self.told.lock().expect("told lock").suspects);
         let notes = self.with_lasting(now, news, &mut times);
         self.told.lock().expect("told lock").suspects.extend(times);
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -65,7 +65,7 @@
     }
 
     /// The next updates to send to the routers of this zone: evidence of this router.
-    pub fn take_news(
+    pub fn take_local_updates(
         &mut self,
         now: Moment,
     ) -> Vec<SuspectReport> {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -189,16 +189,16 @@
 fn what_was_learnt_is_told_twice_and_what_lasts_is_listed() {
     let mut book = book(&[(0, 500), (600, 900)]);
     for _ in 0..2 {
-        assert_eq!(book.take_news(ms(1000)).len(), 1);
+        assert_eq!(book.take_local_updates(ms(1000)).len(), 1);
         assert_eq!(book.take_zone_news(ms(1000)).len(), 1);
     }
-    assert_eq!(book.take_news(ms(1000)).len(), 0);
+    assert_eq!(book.take_local_updates(ms(1000)).len(), 0);
     assert_eq!(book.lasting(), &BTreeSet::from([REQUEST]));
     let notes = book.notes(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
     assert_eq!(other.hear(ms(9), ReporterScope::Router, &notes).len(), 1);
     assert_eq!(
-        other.take_news(ms(9)).len(),
+        other.take_local_updates(ms(9)).len(),
         0,
         "its zone was told by who told it"
     );
@@ -217,10 +217,10 @@
     other.hear(ms(1000), ReporterScope::Router, &notes);
     other.answered(ms(1000), REQUEST);
     for _ in 0..2 {
-        other.take_news(ms(1100));
+        other.take_local_updates(ms(1100));
     }
     other.hear(ms(2000), ReporterScope::Router, &notes);
-    let told = other.take_news(ms(2000));
+    let told = other.take_local_updates(ms(2000));
     missed.hear(ms(2000), ReporterScope::Router, &told);
     assert!(!is_held(&missed, ms(2000)));
 }
