--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -137,7 +137,7 @@
     ) -> usize {
         let gateway = &self.gateway;
         let notes = gateway.board().take_zone_notes();
-        let suspects = gateway.suspects().take_zone_news(now);
+        let suspects = gateway.suspects().take_zone_updates(now);
         let zones = gateway.peers.other_zones();
         let leaves = gateway.is_stopping() && gateway.peers.alive(now, SILENCE) > 0;
         let spoken: Vec<u32> = zones
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -74,7 +74,7 @@
     }
 
     /// The next updates to send to other zones: evidence of the routers of this zone.
-    pub fn take_zone_news(
+    pub fn take_zone_updates(
         &mut self,
         now: Moment,
     ) -> Vec<SuspectReport> {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -190,7 +190,7 @@
     let mut book = book(&[(0, 500), (600, 900)]);
     for _ in 0..2 {
         assert_eq!(book.take_local_updates(ms(1000)).len(), 1);
-        assert_eq!(book.take_zone_news(ms(1000)).len(), 1);
+        assert_eq!(book.take_zone_updates(ms(1000)).len(), 1);
     }
     assert_eq!(book.take_local_updates(ms(1000)).len(), 0);
     assert_eq!(book.lasting(), &BTreeSet::from([REQUEST]));
@@ -202,11 +202,11 @@
         0,
         "its zone was told by who told it"
     );
-    assert_eq!(other.take_zone_news(ms(9)).len(), 1);
+    assert_eq!(other.take_zone_updates(ms(9)).len(), 1);
     assert_eq!(other.hear(ms(10), ReporterScope::Router, &notes).len(), 0);
     let mut far = SuspectTracker::default();
     far.hear(ms(9), ReporterScope::Zone, &notes);
-    assert_eq!(far.take_zone_news(ms(9)).len(), 0);
+    assert_eq!(far.take_zone_updates(ms(9)).len(), 0);
 }
 
 #[test]
