--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -51,7 +51,7 @@
         now: Moment,
         replica: &UpstreamEntry,
     ) -> bool {
-        !self.notices.leaves(now, replica) && self.notices.rest_left(now, replica).is_zero()
+        !self.notices.leaves(now, replica) && self.notices.backoff_remaining(now, replica).is_zero()
     }
 
     /// How long until the first replica of a service takes requests again, of those that do
@@ -67,7 +67,7 @@
             .filter(|view| view.entry.state == UpstreamState::Ready)
             .filter(|view| !self.is_cordoned(&view.entry))
             .filter(|view| !self.notices.leaves(now, &view.entry));
-        stay.map(|view| self.notices.rest_left(now, &view.entry))
+        stay.map(|view| self.notices.backoff_remaining(now, &view.entry))
             .min()
     }
 
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -63,7 +63,7 @@
     }
 
     /// The remaining time for which a replica wants no requests.
-    pub fn rest_left(
+    pub fn backoff_remaining(
         &self,
         now: Moment,
         replica: &UpstreamEntry,
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -48,7 +48,7 @@
     now: Moment,
     replica: &UpstreamEntry,
 ) -> bool {
-    !book.leaves(now, replica) && book.rest_left(now, replica).is_zero()
+    !book.leaves(now, replica) && book.backoff_remaining(now, replica).is_zero()
 }
 
 /// When the words of these tests are said, in unix milliseconds.
@@ -78,7 +78,10 @@
     book.hear(at(1.0), SAID, &listed, rests(30.0));
     book.set_listed(at(5.0), std::slice::from_ref(&speaker));
     assert!(!permits(&book, at(5.0), &speaker));
-    assert_eq!(book.rest_left(at(5.0), &speaker), Duration::from_secs(26));
+    assert_eq!(
+        book.backoff_remaining(at(5.0), &speaker),
+        Duration::from_secs(26)
+    );
     // A clock that is wrong shuts a replica out for a bounded time.
     assert!(permits(&book, at(66.0), &speaker));
 }
@@ -103,7 +106,10 @@
     assert!(book.hear(at(0.0), SAID, &tired, rests(3.0)));
     assert!(!book.hear(at(1.0), SAID, &tired, rests(0.5)));
     book.set_listed(at(2.0), &[]);
-    assert_eq!(book.rest_left(at(2.0), &tired), Duration::from_secs(1));
+    assert_eq!(
+        book.backoff_remaining(at(2.0), &tired),
+        Duration::from_secs(1)
+    );
     assert!(!permits(&book, at(2.9), &tired));
     assert!(permits(&book, at(3.0), &tired));
     assert!(book.hear(at(3.0), SAID, &tired, rests(1.0)));
