--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -25,7 +25,7 @@
     /// Replicas that said to this router that they leave, by their starts' short names.
     pub fn heard_leaving(&self) -> Vec<u32> {
         let views = self.replicas.values();
-        let leaving = views.filter(|view| self.notices.heard_leaving_here(&view.entry));
+        let leaving = views.filter(|view| self.notices.received_leaving_here(&view.entry));
         leaving.map(|view| view.start).collect()
     }
 
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether a replica told this process itself that it leaves.
-    pub fn heard_leaving_here(
+    pub fn received_leaving_here(
         &self,
         replica: &UpstreamEntry,
     ) -> bool {
