--- a/src/policy/granted/dispatch/dispatcher_endings.rs
+++ b/src/policy/granted/dispatch/dispatcher_endings.rs
@@ -20,7 +20,7 @@
     }
 
     /// Drops grants and demand, which may be outdated after the process was suspended.
-    pub fn forget_views(
+    pub fn discard_stale_state(
         &mut self,
         now: Moment,
     ) {
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -113,7 +113,7 @@
     sidecar.node.audit.record("paused", None, None, detail);
     {
         let mut table = sidecar.table.lock().expect("table lock");
-        table.dispatcher.forget_views(sidecar.node.now());
+        table.dispatcher.discard_stale_state(sidecar.node.now());
     }
     if let Some(link) = sidecar.link() {
         for router in link.peers(HostRole::Router) {
