--- a/src/policy/granted/waiting/request_queue.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -121,7 +121,7 @@
     }
 
     /// Records that a host serves a request's prefix, for a request that did not wait.
-    pub fn note_prefix(
+    pub fn record_prefix_host(
         &mut self,
         request: &WaitingRequest,
         host: &Arc<str>,
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -188,7 +188,7 @@
             view.offered += 1;
             host
         };
-        waiting.room.note_prefix(request, &host);
+        waiting.room.record_prefix_host(request, &host);
         drop(waiting);
         link.peer(&host)
     }
