--- a/src/direct/caller_port.rs
+++ b/src/direct/caller_port.rs
@@ -126,7 +126,7 @@
         account_asked = share.usage.asked as u64,
         account_got = share.usage.got as u64,
         account_lately = share.lately,
-        account_level = share.level_tokens(),
+        account_level = share.fair_level_tokens(),
         divided = share.divided as u64,
         config = call.config_version,
         code = error.code.number(),
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -152,7 +152,7 @@
             standing = share.standing.name(),
             account_got = share.usage.got as u64,
             account_lately = share.lately,
-            account_level = share.level_tokens(),
+            account_level = share.fair_level_tokens(),
             prompt_tokens = tokens,
             reading_tokens = reading,
             front_ms = front_ms as u64,
--- a/src/policy/direct/shares/account_share.rs
+++ b/src/policy/direct/shares/account_share.rs
@@ -12,7 +12,7 @@
 
 impl AccountShare {
     /// The fair level in whole tokens; `None` if all requests can be met.
-    pub fn level_tokens(&self) -> Option<u64> {
+    pub fn fair_level_tokens(&self) -> Option<u64> {
         self.level.is_finite().then_some(self.level as u64)
     }
 }
