--- a/src/policy/granted/totals/totals_aggregator.rs
+++ b/src/policy/granted/totals/totals_aggregator.rs
@@ -77,7 +77,7 @@
     }
 
     /// Drops accounts that have had no work for long.
-    pub fn forget_idle(
+    pub fn remove_idle(
         &mut self,
         now: Moment,
     ) {
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -49,7 +49,7 @@
         }
         if now.saturating_sub(forgotten) > FORGET_INTERVAL {
             forgotten = now;
-            router.keeper.lock().expect("keeper lock").forget_idle(now);
+            router.keeper.lock().expect("keeper lock").remove_idle(now);
         }
     }
 }
