--- a/src/policy/granted/fleet/sidecar_subset.rs
+++ b/src/policy/granted/fleet/sidecar_subset.rs
@@ -28,7 +28,7 @@
 
     /// Doubles the subset if the oldest request has waited for long and not all of the `known`
     /// sidecars are in it. Returns whether it grew.
-    pub fn adapt(
+    pub fn grow_if_waiting(
         &mut self,
         now: Moment,
         oldest_wait: Duration,
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -42,7 +42,7 @@
         };
         let hosts = router.node.hosts.current();
         let known = hosts.live(HostRole::Sidecar).count();
-        let widened = reach.adapt(now, oldest_wait, known);
+        let widened = reach.grow_if_waiting(now, oldest_wait, known);
         if widened || lists.has_changed().unwrap_or(false) {
             lists.borrow_and_update();
             dials.set(dial_targets(&router, &hosts, &reach));
