--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -39,7 +39,7 @@
             return true;
         };
         &*view.entry.zone == request.zone
-            && view.start_pace.has_room(now, limit.per_second)
+            && view.start_pace.permits_send(now, limit.per_second)
             && self.zone_routers.owns(now, view.hash)
     }
 
--- a/src/policy/direct/slow_start/slow_start_state.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether one more request may be sent under a limit of `per_second`.
-    pub fn has_room(
+    pub fn permits_send(
         &self,
         now: Moment,
         per_second: u32,
