--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -58,7 +58,9 @@
             return true;
         };
         let is_same = view.start == work.start;
-        is_same && work.is_counted && now.saturating_sub(work.sent) <= SlowStartState::LATEST
+        is_same
+            && work.is_counted
+            && now.saturating_sub(work.sent) <= SlowStartState::MAX_SEND_DELAY
     }
 
     /// The shortest time until a replica of a service is through its start, if any that
--- a/src/policy/direct/slow_start/slow_start_state.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -5,7 +5,7 @@
 
 /// Period over which sends are counted: a second, plus the longest delay between counting a send
 /// and making it.
-const WINDOW: Duration = Duration::from_secs(1).saturating_add(SlowStartState::LATEST);
+const WINDOW: Duration = Duration::from_secs(1).saturating_add(SlowStartState::MAX_SEND_DELAY);
 
 /// The slow start of one replica, and this router's recent sends to it.
 #[derive(Debug, Clone, Default)]
@@ -18,7 +18,7 @@
 impl SlowStartState {
     /// The longest delay between counting a send and making it. Later sends are dropped, as
     /// sends that waited for connections would leave in a burst.
-    pub const LATEST: Duration = Duration::from_millis(100);
+    pub const MAX_SEND_DELAY: Duration = Duration::from_millis(100);
 
     /// Sets the remaining time of slow start as reported by the replica, in place of earlier
     /// reports and assumptions.
