--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -51,7 +51,7 @@
         let is_cleared_here = note
             .ends
             .iter()
-            .any(|end| suspect.has_cleared(end.key, end.is_excused));
+            .any(|end| suspect.has_cleared(end.key, end.is_cleared));
         let ends = note.ends.iter().map(|end| end.heard(now));
         let added = ends.filter(|end| suspect.record(*end)).count();
         let hold = self.refresh_hold(note.request);
--- a/src/policy/direct/suspects/crashed_attempt.rs
+++ b/src/policy/direct/suspects/crashed_attempt.rs
@@ -13,7 +13,7 @@
     pub began: SignedMoment, // when the request was sent to the replica
     pub ended: SignedMoment, // when the replica crashed
     pub is_early: bool,      // no event had arrived, or only for a short time
-    pub is_excused: bool,    // the request got a complete answer since
+    pub is_cleared: bool,    // the request got a complete answer since
 }
 
 impl CrashedAttempt {
@@ -32,7 +32,7 @@
             began: began.into(),
             ended: now.into(),
             is_early,
-            is_excused: false,
+            is_cleared: false,
         }
     }
 }
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -42,18 +42,18 @@
         end: CrashedAttempt,
     ) -> bool {
         if let Some(known) = self.ends.iter_mut().find(|known| known.key == end.key) {
-            let is_new = end.is_excused && !known.is_excused;
-            known.is_excused |= end.is_excused;
+            let is_new = end.is_cleared && !known.is_cleared;
+            known.is_cleared |= end.is_cleared;
             return is_new;
         }
         self.ends.push(end);
         self.ends.sort_by_key(|end| (end.ended, end.key));
-        if !end.is_excused {
+        if !end.is_cleared {
             self.trial = None;
         }
         if self.ends.len() > MAX_CRASHES {
             let least = (0..self.ends.len())
-                .min_by_key(|index| (Reverse(self.ends[*index].is_excused), *index));
+                .min_by_key(|index| (Reverse(self.ends[*index].is_cleared), *index));
             self.ends.remove(least.expect("more than none"));
         }
         true
@@ -63,8 +63,8 @@
     /// whether any did.
     pub fn clear(&mut self) -> bool {
         self.trial = None;
-        let counted = self.ends.iter_mut().filter(|end| !end.is_excused);
-        counted.map(|end| end.is_excused = true).count() > 0
+        let counted = self.ends.iter_mut().filter(|end| !end.is_cleared);
+        counted.map(|end| end.is_cleared = true).count() > 0
     }
 
     /// Whether a crash is excused here that another router still counts.
@@ -74,12 +74,12 @@
         is_excused_there: bool,
     ) -> bool {
         let known = self.ends.iter().find(|end| end.key == key);
-        !is_excused_there && known.is_some_and(|known| known.is_excused)
+        !is_excused_there && known.is_some_and(|known| known.is_cleared)
     }
 
     /// Whether any crash counts against the request.
     pub fn is_suspected(&self) -> bool {
-        self.ends.iter().any(|end| !end.is_excused)
+        self.ends.iter().any(|end| !end.is_cleared)
     }
 
     /// When the last replica crashed while running it.
@@ -90,7 +90,7 @@
 
     /// The hold that follows from its crashes.
     pub fn hold(&self) -> Option<Hold> {
-        let counted = self.ends.iter().filter(|end| !end.is_excused);
+        let counted = self.ends.iter().filter(|end| !end.is_cleared);
         let since = counted.clone().next_back()?.ended;
         let early = count_consecutive(counted.clone().filter(|end| end.is_early));
         let all = count_consecutive(counted);
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -21,7 +21,7 @@
     pub began_ms: u32, // how long ago the request was sent to the replica
     pub ended_ms: u32, // how long ago the replica crashed
     pub is_early: bool,
-    pub is_excused: bool,
+    pub is_cleared: bool,
 }
 
 impl CrashReport {
@@ -36,7 +36,7 @@
             began_ms: end.began.ago_ms(now),
             ended_ms: end.ended.ago_ms(now),
             is_early: end.is_early,
-            is_excused: end.is_excused,
+            is_cleared: end.is_cleared,
         }
     }
 
@@ -51,7 +51,7 @@
             began: SignedMoment::before(now, self.began_ms),
             ended: SignedMoment::before(now, self.ended_ms),
             is_early: self.is_early,
-            is_excused: self.is_excused,
+            is_cleared: self.is_cleared,
         }
     }
 }
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -68,7 +68,7 @@
         account: u32,
         mut end: CrashedAttempt,
     ) -> Option<Hold> {
-        end.is_excused |= self.answered.is_answered(now, request);
+        end.is_cleared |= self.answered.is_answered(now, request);
         self.evict_for(account, request);
         let suspect = self.suspects.entry(request);
         let suspect = suspect.or_insert_with(|| Suspect::new(account));
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -115,7 +115,7 @@
         began_ms: 2000,
         ended_ms: 1000,
         is_early: true,
-        is_excused: false,
+        is_cleared: false,
     };
     PeerMessage::Suspects(SuspectsTold {
         zone: 5,
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -226,13 +226,13 @@
 }
 
 fn notes_of_ends() -> impl Strategy<Value = Vec<SuspectReport>> {
-    let end = (0..6u32, any::<bool>()).prop_map(|(key, is_excused)| CrashReport {
+    let end = (0..6u32, any::<bool>()).prop_map(|(key, is_cleared)| CrashReport {
         key,
         replica: key / 2,
         began_ms: 10_000 - 1000 * key,
         ended_ms: 9500 - 1000 * key,
         is_early: key % 3 > 0,
-        is_excused,
+        is_cleared,
     });
     let note = prop::collection::vec(end, 0..4).prop_map(|ends| SuspectReport {
         request: REQUEST,
