--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -113,9 +113,9 @@
             return;
         }
         match choice {
-            Choice::Send { .. } => self.gateway.shares().count_room(now, true),
+            Choice::Send { .. } => self.gateway.shares().record_placement(now, true),
             Choice::Refuse { reason, .. } if *reason == RefusalReason::NoRoom => {
-                self.gateway.shares().count_room(now, false);
+                self.gateway.shares().record_placement(now, false);
             }
             Choice::Refuse { .. } => {}
         }
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -180,7 +180,7 @@
 
     /// Counts a request of an account that was not over its share: it was placed on a replica,
     /// or refused for lack of capacity.
-    pub fn count_room(
+    pub fn record_placement(
         &mut self,
         now: Moment,
         is_placed: bool,
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -54,7 +54,7 @@
     let mut count = |placed: usize, refused: usize| {
         for is_placed in [vec![false; refused], vec![true; placed]].concat() {
             now += Duration::from_millis(10);
-            book.count_room(now, is_placed);
+            book.record_placement(now, is_placed);
         }
         book.division(now).divided
     };
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -92,7 +92,7 @@
             ShareStatus::Behind => MOST_IN_FRONT_MS * 2.0,
         };
         let is_placed = self.in_front <= capacity * most_ms;
-        book.count_room(now, is_placed);
+        book.record_placement(now, is_placed);
         if !is_placed {
             return false;
         }
