--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -39,7 +39,7 @@
         let mut news = Vec::new();
         for start in starts {
             let entry = self.by_key(*start).map(|view| view.entry.clone());
-            news.extend(entry.filter(|entry| self.notices.hear_of_leaving(unix_ms, entry)));
+            news.extend(entry.filter(|entry| self.notices.apply_peer_leaving(unix_ms, entry)));
         }
         news
     }
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -36,7 +36,7 @@
 
     /// Applies a peer's message that a replica leaves, as of `unix_ms` by this host's clock.
     /// Returns whether this was unknown.
-    pub fn hear_of_leaving(
+    pub fn apply_peer_leaving(
         &mut self,
         unix_ms: u64,
         replica: &UpstreamEntry,
