--- a/src/policy/granted/dispatch/dispatcher_endings.rs
+++ b/src/policy/granted/dispatch/dispatcher_endings.rs
@@ -30,7 +30,7 @@
 
     /// Grants and admits nothing before `until`, as the upstream refuses connections or wants no
     /// requests. Returns the ready requests, which will never start here.
-    pub fn close_until(
+    pub fn suspend_until(
         &mut self,
         now: Moment,
         until: Moment,
--- a/src/sidecar/dispatch_table.rs
+++ b/src/sidecar/dispatch_table.rs
@@ -117,7 +117,7 @@
         now: Moment,
         until: Moment,
     ) {
-        let handed_back = self.dispatcher.close_until(now, until);
+        let handed_back = self.dispatcher.suspend_until(now, until);
         self.tell_handed_back(handed_back);
     }
 
