--- a/src/policy/granted/dispatch/dispatcher_endings.rs
+++ b/src/policy/granted/dispatch/dispatcher_endings.rs
@@ -15,7 +15,7 @@
     }
 
     /// Grants again after having stopped.
-    pub fn come_back(&mut self) {
+    pub fn resume(&mut self) {
         self.leaving = false;
     }
 
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -43,7 +43,7 @@
             let mut table = self.table.lock().expect("table lock");
             let comes_back = !self.leaves_for_good.load(Ordering::SeqCst);
             if comes_back {
-                table.dispatcher.come_back();
+                table.dispatcher.resume();
                 self.node.end_leaving();
             }
             comes_back
