--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -122,7 +122,7 @@
     ) -> PeerObservation {
         let sighting = {
             let mut membership = self.membership.lock().expect("membership lock");
-            let sighting = membership.sight(&peer.host, peer.incarnation);
+            let sighting = membership.observe(&peer.host, peer.incarnation);
             if peer.leaving && sighting != PeerObservation::Stale {
                 membership.leave(&peer.host);
             }
--- a/src/policy/granted/fleet/membership.rs
+++ b/src/policy/granted/fleet/membership.rs
@@ -23,7 +23,7 @@
 
 impl Membership {
     /// Records a peer's first message on a connection.
-    pub fn sight(
+    pub fn observe(
         &mut self,
         host: &str,
         incarnation: Incarnation,
