--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -120,7 +120,8 @@
         if let Some(view) = self.same_start(replica) {
             view.cache = PrefixCache::default();
             if let Some(limit) = limit {
-                view.start_pace.doubt(now, limit.lasts + LONGEST_ABSENCE);
+                view.start_pace
+                    .assume_restarted(now, limit.lasts + LONGEST_ABSENCE);
             }
         }
     }
--- a/src/policy/direct/slow_start/slow_start_state.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -33,7 +33,7 @@
 
     /// Assumes that the replica may have restarted: it counts as slow for `time`, unless it
     /// reports otherwise.
-    pub fn doubt(
+    pub fn assume_restarted(
         &mut self,
         now: Moment,
         time: Duration,
