--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -47,7 +47,7 @@
     }
 
     /// Sets the requests that are never held back, by the operator's choice.
-    pub fn let_through(
+    pub fn set_exempt(
         &mut self,
         requests: BTreeSet<RequestDigest>,
     ) {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -134,10 +134,10 @@
 #[test]
 fn what_the_operator_lets_through_is_not_held_back() {
     let mut book = book(&[(0, 500), (600, 900)]);
-    book.let_through(BTreeSet::from([REQUEST]));
+    book.set_exempt(BTreeSet::from([REQUEST]));
     assert_eq!(book.held_back(ms(1000), REQUEST), None);
     assert!(!is_held(&book, ms(1000)));
-    book.let_through(BTreeSet::new());
+    book.set_exempt(BTreeSet::new());
     assert!(book.held_back(ms(1000), REQUEST).is_some());
 }
 
