--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -32,7 +32,7 @@
             return Ok(());
         }
         let request = self.call.digest();
-        let Some(left) = suspects.held_back(now, request) else {
+        let Some(left) = suspects.hold_remaining(now, request) else {
             return Ok(());
         };
         drop(suspects);
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -79,7 +79,7 @@
 
     /// How long a request is still held back; `None` lets it through. The first one let through
     /// after a hold is a trial, for whose end others with the same digest wait.
-    pub fn held_back(
+    pub fn hold_remaining(
         &mut self,
         now: Moment,
         request: RequestDigest,
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -48,10 +48,10 @@
 #[test]
 fn one_end_says_nothing_and_a_second_after_it_holds_the_request_back() {
     let mut one = book(&[(0, 500)]);
-    assert_eq!(one.held_back(ms(600), REQUEST), None);
+    assert_eq!(one.hold_remaining(ms(600), REQUEST), None);
     let mut two = book(&[(0, 500), (600, 900)]);
-    assert_eq!(two.held_back(ms(1000), REQUEST), Some(ms(14_900)));
-    assert_eq!(two.held_back(ms(1000), RequestDigest(8)), None);
+    assert_eq!(two.hold_remaining(ms(1000), REQUEST), Some(ms(14_900)));
+    assert_eq!(two.hold_remaining(ms(1000), RequestDigest(8)), None);
 }
 
 #[test]
@@ -118,27 +118,27 @@
 #[test]
 fn after_the_hold_one_try_goes_and_the_next_end_holds_for_longer() {
     let mut book = book(&[(0, 500), (600, 900)]);
-    assert_eq!(book.held_back(ms(15_900), REQUEST), None);
-    let others = book.held_back(ms(15_950), REQUEST);
+    assert_eq!(book.hold_remaining(ms(15_900), REQUEST), None);
+    let others = book.hold_remaining(ms(15_950), REQUEST);
     assert_eq!(
         others,
         Some(ms(9950)),
         "they wait for the one that was let through"
     );
     book.ended(NOW, REQUEST, ACCOUNT, run(10, 15_900, 16_200));
-    assert_eq!(book.held_back(ms(16_200), REQUEST), Some(ms(120_000)));
+    assert_eq!(book.hold_remaining(ms(16_200), REQUEST), Some(ms(120_000)));
     book.ended(NOW, REQUEST, ACCOUNT, run(11, 139_000, 140_000));
-    assert_eq!(book.held_back(ms(140_000), REQUEST), Some(ms(600_000)));
+    assert_eq!(book.hold_remaining(ms(140_000), REQUEST), Some(ms(600_000)));
 }
 
 #[test]
 fn what_the_operator_lets_through_is_not_held_back() {
     let mut book = book(&[(0, 500), (600, 900)]);
     book.set_exempt(BTreeSet::from([REQUEST]));
-    assert_eq!(book.held_back(ms(1000), REQUEST), None);
+    assert_eq!(book.hold_remaining(ms(1000), REQUEST), None);
     assert!(!is_held(&book, ms(1000)));
     book.set_exempt(BTreeSet::new());
-    assert!(book.held_back(ms(1000), REQUEST).is_some());
+    assert!(book.hold_remaining(ms(1000), REQUEST).is_some());
 }
 
 #[test]
@@ -182,7 +182,7 @@
         &notes(&[(0, 50_500), (50_600, 50_900)]),
     );
     assert_eq!(held.len(), 1);
-    assert_eq!(started.held_back(ms(5), REQUEST), Some(ms(5900)));
+    assert_eq!(started.hold_remaining(ms(5), REQUEST), Some(ms(5900)));
 }
 
 #[test]
