--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -224,7 +224,7 @@
     pub(super) fn take_back(&mut self) {
         if let Some(account) = self.account() {
             let tokens = std::mem::take(&mut self.granted);
-            self.gateway.shares().take_back(account, tokens);
+            self.gateway.shares().record_unused(account, tokens);
         }
     }
 }
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -92,7 +92,7 @@
     }
 
     /// Records that allocated tokens were not produced: they no longer count.
-    pub fn take_back(
+    pub fn record_unused(
         &mut self,
         account: u32,
         tokens: f32,
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -177,7 +177,7 @@
     book.ask(now, big, 1000.0);
     book.ask(now, small, 1000.0);
     book.give(now, big, 1000.0);
-    book.take_back(big, 1000.0);
+    book.record_unused(big, 1000.0);
     assert_eq!(over_for(&mut book, now, big), None);
 }
 
