--- a/src/policy/granted/waiting/request_queue.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -90,7 +90,7 @@
 
     /// Puts back a request that a sidecar returned before starting it. It keeps its place and
     /// is never refused.
-    pub fn push_back(
+    pub fn requeue(
         &mut self,
         request: WaitingRequest,
     ) {
--- a/src/router/waiting_table.rs
+++ b/src/router/waiting_table.rs
@@ -35,7 +35,7 @@
         let (sender, receiver) = oneshot::channel();
         self.waiters.insert(request.id, sender);
         if again {
-            self.room.push_back(request);
+            self.room.requeue(request);
         } else {
             let shed = self.room.push(now, request);
             self.tell_shed(shed);
