--- a/src/policy/granted/waiting/request_queue.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -103,7 +103,7 @@
     }
 
     /// Removes and returns the request to send for a grant of a host to an account.
-    pub fn take_for(
+    pub fn take_for_host(
         &mut self,
         now: Moment,
         host: &Arc<str>,
--- a/src/router/waiting_table.rs
+++ b/src/router/waiting_table.rs
@@ -51,7 +51,7 @@
         account: AccountId,
         grant: GrantNumber,
     ) -> bool {
-        while let Some(request) = self.room.take_for(now, &peer.host, account) {
+        while let Some(request) = self.room.take_for_host(now, &peer.host, account) {
             let turn = Turn::Granted {
                 peer: peer.clone(),
                 grant,
--- a/tests/waiting_room.rs
+++ b/tests/waiting_room.rs
@@ -81,7 +81,7 @@
     // One start each 100 ms: 50 more take five seconds.
     for start in 0..10 {
         assert!(
-            room.take_for(ms(100 + 100 * start), &host, AccountId(1))
+            room.take_for_host(ms(100 + 100 * start), &host, AccountId(1))
                 .is_some()
         );
     }
@@ -122,10 +122,10 @@
     room.push(ms(1), bound);
     room.push(ms(2), request(2, 1, 1_000));
     let m1: Arc<str> = "m1".into();
-    let taken = room.take_for(ms(3), &m1, AccountId(1)).map(|r| r.id);
+    let taken = room.take_for_host(ms(3), &m1, AccountId(1)).map(|r| r.id);
     assert_eq!(taken, Some(2));
     let m3: Arc<str> = "m3".into();
-    assert!(room.take_for(ms(3), &m3, AccountId(1)).is_none());
+    assert!(room.take_for_host(ms(3), &m3, AccountId(1)).is_none());
 }
 
 #[test]
@@ -138,18 +138,18 @@
     let mut room = room(10, 10);
     room.push(ms(0), with_prefix(0, 7));
     assert_eq!(
-        room.take_for(ms(1), &m1, AccountId(1)).map(|r| r.id),
+        room.take_for_host(ms(1), &m1, AccountId(1)).map(|r| r.id),
         Some(0)
     );
     room.push(ms(10), with_prefix(10, 8));
     room.push(ms(100), with_prefix(100, 7));
     assert_eq!(
-        room.take_for(ms(101), &m1, AccountId(1)).map(|r| r.id),
+        room.take_for_host(ms(101), &m1, AccountId(1)).map(|r| r.id),
         Some(100)
     );
     room.push(ms(400), with_prefix(400, 7));
     assert_eq!(
-        room.take_for(ms(401), &m1, AccountId(1)).map(|r| r.id),
+        room.take_for_host(ms(401), &m1, AccountId(1)).map(|r| r.id),
         Some(10)
     );
 }
