--- a/src/policy/granted/waiting/request_queue.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -156,7 +156,7 @@
     }
 
     /// Drops the requests whose deadline has passed, and returns them to be answered at once.
-    pub fn give_up(
+    pub fn shed_overdue(
         &mut self,
         now: Moment,
     ) -> Vec<ShedRequest> {
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -36,7 +36,7 @@
         }
         let oldest_wait = {
             let mut waiting = router.waiting.lock().expect("waiting lock");
-            let given_up = waiting.room.give_up(now);
+            let given_up = waiting.room.shed_overdue(now);
             waiting.tell_shed(given_up);
             waiting.room.oldest_wait(now)
         };
--- a/tests/waiting_room.rs
+++ b/tests/waiting_room.rs
@@ -105,7 +105,7 @@
     let mut room = room(10, 10);
     room.push(ms(0), request(0, 1, 50));
     room.push(ms(1), request(1, 1, 500));
-    let given_up = room.give_up(ms(60));
+    let given_up = room.shed_overdue(ms(60));
     assert_eq!(given_up.len(), 1);
     assert_eq!(given_up[0].code, ResultCode::PatienceOver);
     assert_eq!(room.len(), 1);
