--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -47,7 +47,7 @@
         times: &mut SuspectTimes,
     ) -> Vec<SuspectReport> {
         let suspects = self.gateway.suspects();
-        let lasting = suspects.lasting();
+        let lasting = suspects.requests_with_hold();
         times.retain(|request, _| lasting.contains(request));
         let mut notes = news;
         for note in &notes {
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -84,7 +84,7 @@
 
     /// The requests that are held back or were. They are sent repeatedly, for routers that
     /// have just started.
-    pub fn lasting(&self) -> &BTreeSet<RequestDigest> {
+    pub fn requests_with_hold(&self) -> &BTreeSet<RequestDigest> {
         &self.with_hold
     }
 
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -193,7 +193,7 @@
         assert_eq!(book.take_zone_updates(ms(1000)).len(), 1);
     }
     assert_eq!(book.take_local_updates(ms(1000)).len(), 0);
-    assert_eq!(book.lasting(), &BTreeSet::from([REQUEST]));
+    assert_eq!(book.requests_with_hold(), &BTreeSet::from([REQUEST]));
     let notes = book.notes(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
     assert_eq!(other.hear(ms(9), ReporterScope::Router, &notes).len(), 1);
