--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -62,7 +62,7 @@
         for request in &due {
             times.insert(*request, now);
         }
-        notes.extend(suspects.notes(now, &due));
+        notes.extend(suspects.reports_for(now, &due));
         notes
     }
 
@@ -95,7 +95,7 @@
             true => ReporterScope::Router,
             false => ReporterScope::Zone,
         };
-        let held = self.gateway.suspects().hear(now, scope, &told.notes);
+        let held = self.gateway.suspects().hear(now, scope, &told.reports_for);
         for (request, hold) in held {
             log_held_back(now, request, &hold, "", &told.teller.to_string());
         }
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -70,7 +70,7 @@
         now: Moment,
     ) -> Vec<SuspectReport> {
         let due = take_due(&mut self.updates);
-        self.notes(now, &due)
+        self.reports_for(now, &due)
     }
 
     /// The next updates to send to other zones: evidence of the routers of this zone.
@@ -79,7 +79,7 @@
         now: Moment,
     ) -> Vec<SuspectReport> {
         let due = take_due(&mut self.zone_updates);
-        self.notes(now, &due)
+        self.reports_for(now, &due)
     }
 
     /// The requests that are held back or were. They are sent repeatedly, for routers that
@@ -89,7 +89,7 @@
     }
 
     /// What is known of these requests, to be sent to other routers.
-    pub fn notes(
+    pub fn reports_for(
         &self,
         now: Moment,
         requests: &[RequestDigest],
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -110,7 +110,7 @@
     book.ended(ms(900), REQUEST, ACCOUNT, run(2, 600, 900));
     assert!(!is_held(&book, ms(900)));
     let mut other = SuspectTracker::default();
-    let notes = book.notes(ms(900), &[REQUEST]);
+    let notes = book.reports_for(ms(900), &[REQUEST]);
     other.hear(ms(900), ReporterScope::Router, &notes);
     assert!(!is_held(&other, ms(900)));
 }
@@ -151,7 +151,7 @@
     }
     assert!(is_held(&book, ms(14_000)));
     let flood: Vec<RequestDigest> = (1000..21_000).map(RequestDigest).collect();
-    let told = book.notes(ms(21_000), &flood);
+    let told = book.reports_for(ms(21_000), &flood);
     assert!(told.len() <= 512, "{} are remembered", told.len());
 }
 
@@ -161,16 +161,16 @@
     let hour = 3_600_000;
     book.ended(NOW, RequestDigest(8), ACCOUNT, run(10, hour - 10, hour));
     book.forget_old(ms(hour));
-    assert_eq!(book.notes(ms(hour), &[REQUEST]).len(), 1);
+    assert_eq!(book.reports_for(ms(hour), &[REQUEST]).len(), 1);
     let later = hour + 2000;
     book.ended(NOW, RequestDigest(9), ACCOUNT, run(11, later - 10, later));
     book.forget_old(ms(later));
-    assert_eq!(book.notes(ms(later), &[REQUEST]).len(), 0);
+    assert_eq!(book.reports_for(ms(later), &[REQUEST]).len(), 0);
 }
 
 #[test]
 fn what_was_before_a_routers_start_keeps_its_order() {
-    let notes = |runs: &[(u64, u64)]| book(runs).notes(ms(60_000), &[REQUEST]);
+    let notes = |runs: &[(u64, u64)]| book(runs).reports_for(ms(60_000), &[REQUEST]);
     let together: Vec<(u64, u64)> = (0..6).map(|copy| (copy * 10, 1000 + copy)).collect();
     let mut started = SuspectTracker::default();
     started.hear(ms(5), ReporterScope::Router, &notes(&together));
@@ -194,7 +194,7 @@
     }
     assert_eq!(book.take_local_updates(ms(1000)).len(), 0);
     assert_eq!(book.requests_with_hold(), &BTreeSet::from([REQUEST]));
-    let notes = book.notes(ms(1000), &[REQUEST]);
+    let notes = book.reports_for(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
     assert_eq!(other.hear(ms(9), ReporterScope::Router, &notes).len(), 1);
     assert_eq!(
@@ -212,7 +212,7 @@
 #[test]
 fn a_router_that_missed_the_excuse_hears_of_it_when_it_tells_what_it_knows() {
     let mut missed = book(&[(0, 500), (600, 900)]);
-    let notes = missed.notes(ms(1000), &[REQUEST]);
+    let notes = missed.reports_for(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
     other.hear(ms(1000), ReporterScope::Router, &notes);
     other.answered(ms(1000), REQUEST);
@@ -262,6 +262,6 @@
             other.hear(now, ReporterScope::Zone, std::slice::from_ref(note));
         }
         prop_assert_eq!(one.held(now), other.held(now));
-        prop_assert_eq!(one.notes(now, &[REQUEST]), other.notes(now, &[REQUEST]));
+        prop_assert_eq!(one.reports_for(now, &[REQUEST]), other.reports_for(now, &[REQUEST]));
     }
 }
