--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -128,7 +128,7 @@
             settings.retry_ratio,
             settings.retry_extra,
         );
-        self.suspects().let_through(settings.let_through.clone());
+        self.suspects().set_exempt(settings.let_through.clone());
         self.peers.add_seeds(&settings.seeds);
         *self.settings.write().expect("settings lock") = Arc::new(settings);
     }
