--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -123,7 +123,7 @@
         );
         let request = run.call.digest();
         let account = run.call.account.as_deref().map_or(0, name_hash);
-        let hold = self.suspects().ended(now, request, account, end);
+        let hold = self.suspects().record_crash(now, request, account, end);
         self.report_wanted.notify_one();
         if let Some(hold) = &hold {
             log_held_back(now, request, hold, &run.call.request_id, "here");
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -61,7 +61,7 @@
 
     /// Records that a replica crashed while it ran a request of this router. Returns the hold
     /// that follows, if any.
-    pub fn ended(
+    pub fn record_crash(
         &mut self,
         now: Moment,
         request: RequestDigest,
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -33,7 +33,7 @@
 fn book(runs: &[(u64, u64)]) -> SuspectTracker {
     let mut book = SuspectTracker::default();
     for (key, (began, ended)) in (0..).zip(runs) {
-        book.ended(NOW, REQUEST, ACCOUNT, run(key, *began, *ended));
+        book.record_crash(NOW, REQUEST, ACCOUNT, run(key, *began, *ended));
     }
     book
 }
@@ -67,11 +67,11 @@
     let mut book = SuspectTracker::default();
     for (key, began) in [(1, 998), (2, 999), (3, 1001)] {
         let end = CrashedAttempt::seen(key, 7, ms(began), None, ms(began + 2));
-        book.ended(NOW, REQUEST, ACCOUNT, end);
+        book.record_crash(NOW, REQUEST, ACCOUNT, end);
     }
     assert!(!is_held(&book, ms(1100)));
     let later = CrashedAttempt::seen(4, 7, ms(2500), None, ms(2600));
-    book.ended(NOW, REQUEST, ACCOUNT, later);
+    book.record_crash(NOW, REQUEST, ACCOUNT, later);
     assert!(is_held(&book, ms(2600)), "it came back, and ended again");
 }
 
@@ -83,7 +83,7 @@
         let end =
             CrashedAttempt::seen(key, key, ms(began), Some(ms(began + 100)), ms(began + 2000));
         assert!(!is_held(&book, ms(began)));
-        book.ended(NOW, REQUEST, ACCOUNT, end);
+        book.record_crash(NOW, REQUEST, ACCOUNT, end);
     }
     assert!(is_held(&book, ms(11_100)));
 }
@@ -95,10 +95,10 @@
     assert!(!is_held(&book, ms(1000)));
     for (key, at) in [(10, 1500), (11, 2500), (12, 61_500)] {
         let end = run(key, at, at + 500);
-        book.ended(ms(at + 500), REQUEST, ACCOUNT, end);
+        book.record_crash(ms(at + 500), REQUEST, ACCOUNT, end);
         assert!(!is_held(&book, ms(at + 500)));
     }
-    book.ended(ms(63_000), REQUEST, ACCOUNT, run(13, 62_500, 63_000));
+    book.record_crash(ms(63_000), REQUEST, ACCOUNT, run(13, 62_500, 63_000));
     assert!(is_held(&book, ms(63_000)));
 }
 
@@ -106,8 +106,8 @@
 fn a_request_that_was_answered_lately_is_held_back_by_nobody() {
     let mut book = SuspectTracker::default();
     book.answered(ms(100), REQUEST);
-    book.ended(ms(500), REQUEST, ACCOUNT, run(1, 200, 500));
-    book.ended(ms(900), REQUEST, ACCOUNT, run(2, 600, 900));
+    book.record_crash(ms(500), REQUEST, ACCOUNT, run(1, 200, 500));
+    book.record_crash(ms(900), REQUEST, ACCOUNT, run(2, 600, 900));
     assert!(!is_held(&book, ms(900)));
     let mut other = SuspectTracker::default();
     let notes = book.reports_for(ms(900), &[REQUEST]);
@@ -125,9 +125,9 @@
         Some(ms(9950)),
         "they wait for the one that was let through"
     );
-    book.ended(NOW, REQUEST, ACCOUNT, run(10, 15_900, 16_200));
+    book.record_crash(NOW, REQUEST, ACCOUNT, run(10, 15_900, 16_200));
     assert_eq!(book.hold_remaining(ms(16_200), REQUEST), Some(ms(120_000)));
-    book.ended(NOW, REQUEST, ACCOUNT, run(11, 139_000, 140_000));
+    book.record_crash(NOW, REQUEST, ACCOUNT, run(11, 139_000, 140_000));
     assert_eq!(book.hold_remaining(ms(140_000), REQUEST), Some(ms(600_000)));
 }
 
@@ -147,7 +147,7 @@
     for number in 0..20_000u64 {
         let now = 1000 + number;
         let request = RequestDigest(1000 + number);
-        book.ended(NOW, request, 99, run(number as u32, now - 100, now));
+        book.record_crash(NOW, request, 99, run(number as u32, now - 100, now));
     }
     assert!(is_held(&book, ms(14_000)));
     let flood: Vec<RequestDigest> = (1000..21_000).map(RequestDigest).collect();
@@ -159,11 +159,11 @@
 fn a_request_is_forgotten_after_its_time() {
     let mut book = book(&[(0, 500), (600, 900)]);
     let hour = 3_600_000;
-    book.ended(NOW, RequestDigest(8), ACCOUNT, run(10, hour - 10, hour));
+    book.record_crash(NOW, RequestDigest(8), ACCOUNT, run(10, hour - 10, hour));
     book.forget_old(ms(hour));
     assert_eq!(book.reports_for(ms(hour), &[REQUEST]).len(), 1);
     let later = hour + 2000;
-    book.ended(NOW, RequestDigest(9), ACCOUNT, run(11, later - 10, later));
+    book.record_crash(NOW, RequestDigest(9), ACCOUNT, run(11, later - 10, later));
     book.forget_old(ms(later));
     assert_eq!(book.reports_for(ms(later), &[REQUEST]).len(), 0);
 }
