--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -65,7 +65,7 @@
     pub(super) fn note_request_success(&self) {
         let request = self.call.digest();
         let now = self.gateway.now();
-        let excused = self.gateway.suspects().answered(now, request);
+        let excused = self.gateway.suspects().record_answered(now, request);
         if excused {
             log::info!(
                 request_id = self.call.request_id.as_str(),
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -98,7 +98,7 @@
 
     /// Records that a request got a complete answer. Returns whether crashes had counted
     /// against it.
-    pub fn answered(
+    pub fn record_answered(
         &mut self,
         now: Moment,
         request: RequestDigest,
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -91,7 +91,7 @@
 #[test]
 fn a_whole_answer_speaks_for_the_request_until_more_replicas_end_long_after() {
     let mut book = book(&[(0, 500), (600, 900)]);
-    assert!(book.answered(ms(1000), REQUEST));
+    assert!(book.record_answered(ms(1000), REQUEST));
     assert!(!is_held(&book, ms(1000)));
     for (key, at) in [(10, 1500), (11, 2500), (12, 61_500)] {
         let end = run(key, at, at + 500);
@@ -105,7 +105,7 @@
 #[test]
 fn a_request_that_was_answered_lately_is_held_back_by_nobody() {
     let mut book = SuspectTracker::default();
-    book.answered(ms(100), REQUEST);
+    book.record_answered(ms(100), REQUEST);
     book.record_crash(ms(500), REQUEST, ACCOUNT, run(1, 200, 500));
     book.record_crash(ms(900), REQUEST, ACCOUNT, run(2, 600, 900));
     assert!(!is_held(&book, ms(900)));
@@ -215,7 +215,7 @@
     let notes = missed.reports_for(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
     other.hear(ms(1000), ReporterScope::Router, &notes);
-    other.answered(ms(1000), REQUEST);
+    other.record_answered(ms(1000), REQUEST);
     for _ in 0..2 {
         other.take_local_updates(ms(1100));
     }
