--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -112,7 +112,7 @@
                 .and_then(|table| table.account_named(account));
             known.map_or_else(|| account.to_string(), |name| name.to_string())
         };
-        let held = self.suspects().held(now);
+        let held = self.suspects().held_requests(now);
         let held = held.into_iter().map(|held| HeldStatus {
             request: held.request.to_string(),
             account: name(held.account),
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -114,7 +114,7 @@
     }
 
     /// The requests that are held back now, without the exempt ones.
-    pub fn held(
+    pub fn held_requests(
         &self,
         now: Moment,
     ) -> Vec<HeldRequest> {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -42,7 +42,9 @@
     book: &SuspectTracker,
     now: Moment,
 ) -> bool {
-    book.held(now).iter().any(|held| held.request == REQUEST)
+    book.held_requests(now)
+        .iter()
+        .any(|held| held.request == REQUEST)
 }
 
 #[test]
@@ -261,7 +263,7 @@
         for note in turned.chain(notes.iter().rev()) {
             other.hear(now, ReporterScope::Zone, std::slice::from_ref(note));
         }
-        prop_assert_eq!(one.held(now), other.held(now));
+        prop_assert_eq!(one.held_requests(now), other.held_requests(now));
         prop_assert_eq!(one.reports_for(now, &[REQUEST]), other.reports_for(now, &[REQUEST]));
     }
 }
