--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -108,7 +108,7 @@
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
             self.pool.tidy();
-            self.suspects().forget_old(self.now());
+            self.suspects().remove_expired(self.now());
             self.log_paces();
         }
     }
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -134,7 +134,7 @@
     }
 
     /// Removes requests whose retention time is over.
-    pub fn forget_old(
+    pub fn remove_expired(
         &mut self,
         now: Moment,
     ) {
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -162,11 +162,11 @@
     let mut book = book(&[(0, 500), (600, 900)]);
     let hour = 3_600_000;
     book.record_crash(NOW, RequestDigest(8), ACCOUNT, run(10, hour - 10, hour));
-    book.forget_old(ms(hour));
+    book.remove_expired(ms(hour));
     assert_eq!(book.reports_for(ms(hour), &[REQUEST]).len(), 1);
     let later = hour + 2000;
     book.record_crash(NOW, RequestDigest(9), ACCOUNT, run(11, later - 10, later));
-    book.forget_old(ms(later));
+    book.remove_expired(ms(later));
     assert_eq!(book.reports_for(ms(later), &[REQUEST]).len(), 0);
 }
 
