--- a/src/peers/tell_suspects.rs
+++ b/src/peers/tell_suspects.rs
@@ -95,7 +95,10 @@
             true => ReporterScope::Router,
             false => ReporterScope::Zone,
         };
-        let held = self.gateway.suspects().hear(now, scope, &told.notes);
+        let held = self
+            .gateway
+            .suspects()
+            .apply_reports(now, scope, &told.notes);
         for (request, hold) in held {
             log_held_back(now, request, &hold, "", &told.teller.to_string());
         }
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -25,7 +25,7 @@
 
     /// Applies reports of other routers. Returns the requests that are held back because of
     /// them and were not before, or are held back for more crashes than before.
-    pub fn hear(
+    pub fn apply_reports(
         &mut self,
         now: Moment,
         scope: ReporterScope,
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -113,7 +113,7 @@
     assert!(!is_held(&book, ms(900)));
     let mut other = SuspectTracker::default();
     let notes = book.reports_for(ms(900), &[REQUEST]);
-    other.hear(ms(900), ReporterScope::Router, &notes);
+    other.apply_reports(ms(900), ReporterScope::Router, &notes);
     assert!(!is_held(&other, ms(900)));
 }
 
@@ -175,10 +175,10 @@
     let notes = |runs: &[(u64, u64)]| book(runs).reports_for(ms(60_000), &[REQUEST]);
     let together: Vec<(u64, u64)> = (0..6).map(|copy| (copy * 10, 1000 + copy)).collect();
     let mut started = SuspectTracker::default();
-    started.hear(ms(5), ReporterScope::Router, &notes(&together));
+    started.apply_reports(ms(5), ReporterScope::Router, &notes(&together));
     assert!(!is_held(&started, ms(5)));
     let mut started = SuspectTracker::default();
-    let held = started.hear(
+    let held = started.apply_reports(
         ms(5),
         ReporterScope::Router,
         &notes(&[(0, 50_500), (50_600, 50_900)]),
@@ -198,16 +198,26 @@
     assert_eq!(book.requests_with_hold(), &BTreeSet::from([REQUEST]));
     let notes = book.reports_for(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
-    assert_eq!(other.hear(ms(9), ReporterScope::Router, &notes).len(), 1);
+    assert_eq!(
+        other
+            .apply_reports(ms(9), ReporterScope::Router, &notes)
+            .len(),
+        1
+    );
     assert_eq!(
         other.take_local_updates(ms(9)).len(),
         0,
         "its zone was told by who told it"
     );
     assert_eq!(other.take_zone_updates(ms(9)).len(), 1);
-    assert_eq!(other.hear(ms(10), ReporterScope::Router, &notes).len(), 0);
+    assert_eq!(
+        other
+            .apply_reports(ms(10), ReporterScope::Router, &notes)
+            .len(),
+        0
+    );
     let mut far = SuspectTracker::default();
-    far.hear(ms(9), ReporterScope::Zone, &notes);
+    far.apply_reports(ms(9), ReporterScope::Zone, &notes);
     assert_eq!(far.take_zone_updates(ms(9)).len(), 0);
 }
 
@@ -216,14 +226,14 @@
     let mut missed = book(&[(0, 500), (600, 900)]);
     let notes = missed.reports_for(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
-    other.hear(ms(1000), ReporterScope::Router, &notes);
+    other.apply_reports(ms(1000), ReporterScope::Router, &notes);
     other.record_answered(ms(1000), REQUEST);
     for _ in 0..2 {
         other.take_local_updates(ms(1100));
     }
-    other.hear(ms(2000), ReporterScope::Router, &notes);
+    other.apply_reports(ms(2000), ReporterScope::Router, &notes);
     let told = other.take_local_updates(ms(2000));
-    missed.hear(ms(2000), ReporterScope::Router, &told);
+    missed.apply_reports(ms(2000), ReporterScope::Router, &told);
     assert!(!is_held(&missed, ms(2000)));
 }
 
@@ -255,13 +265,13 @@
         let now = ms(20_000);
         let mut one = SuspectTracker::default();
         for note in &notes {
-            one.hear(now, ReporterScope::Router, std::slice::from_ref(note));
+            one.apply_reports(now, ReporterScope::Router, std::slice::from_ref(note));
         }
         let mut other = SuspectTracker::default();
         let turn = if notes.is_empty() { 0 } else { order.index(notes.len()) };
         let turned = notes.iter().cycle().skip(turn).take(notes.len());
         for note in turned.chain(notes.iter().rev()) {
-            other.hear(now, ReporterScope::Zone, std::slice::from_ref(note));
+            other.apply_reports(now, ReporterScope::Zone, std::slice::from_ref(note));
         }
         prop_assert_eq!(one.held_requests(now), other.held_requests(now));
         prop_assert_eq!(one.reports_for(now, &[REQUEST]), other.reports_for(now, &[REQUEST]));
