--- a/src/policy/direct/shares/fair_allocation.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -57,7 +57,7 @@
         asking: f32,
     ) -> AccountShare {
         let usage = self.usage.get(&account).copied().unwrap_or_default();
-        let lately = given.shares(now, account, usage, self);
+        let lately = given.ratio(now, account, usage, self);
         AccountShare {
             standing: self.standing(usage, lately, asking),
             usage,
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -76,7 +76,7 @@
         account: u32,
         tokens: f32,
     ) {
-        self.fade(now);
+        self.decay(now);
         self.own.entry(account).or_default().asked += tokens;
     }
 
@@ -87,7 +87,7 @@
         account: u32,
         tokens: f32,
     ) {
-        self.fade(now);
+        self.decay(now);
         self.own.entry(account).or_default().got += tokens;
     }
 
