--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -197,7 +197,9 @@
     pub(super) fn ask(&self) {
         if let Some(account) = self.account() {
             let now = self.gateway.now();
-            self.gateway.shares().ask(now, account, self.call.tokens());
+            self.gateway
+                .shares()
+                .record_requested(now, account, self.call.tokens());
         }
     }
 
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records that an account requested this many tokens.
-    pub fn ask(
+    pub fn record_requested(
         &mut self,
         now: Moment,
         account: u32,
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -31,14 +31,14 @@
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     // A moment of refusals: a little was given, more was asked for.
-    book.ask(now, big, 3000.0);
-    book.ask(now, small, 1000.0);
+    book.record_requested(now, big, 3000.0);
+    book.record_requested(now, small, 1000.0);
     book.give(now, big, 1000.0);
     assert!(over_for(&mut book, now, big).is_some());
     // All engines together make 2,000 tokens a second, 8,000 in a window.
     book.set_declared_capacity(Some(2000.0));
     assert_eq!(over_for(&mut book, now, big), None);
-    book.ask(now, big, 20_000.0);
+    book.record_requested(now, big, 20_000.0);
     book.give(now, big, 9000.0);
     assert!(over_for(&mut book, now, big).is_some());
     assert_eq!(over_for(&mut book, now, small), None);
@@ -98,7 +98,7 @@
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     for account in [big, small] {
-        book.ask(now, account, 1000.0);
+        book.record_requested(now, account, 1000.0);
     }
     book.give(now, big, 1000.0);
     assert!(over_for(&mut book, now, big).is_some());
@@ -120,9 +120,9 @@
     let mut here = ShareTracker::new(WINDOW, AGE);
     let mut there = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    here.ask(now, big, 500.0);
-    here.ask(now, small, 500.0);
-    there.ask(now, big, 3000.0);
+    here.record_requested(now, big, 500.0);
+    here.record_requested(now, small, 500.0);
+    there.record_requested(now, big, 3000.0);
     there.give(now, big, 3000.0);
     here.hear(now, PEER, &told(&mut there, now));
     assert!(over_for(&mut here, now, big).is_some());
@@ -137,17 +137,17 @@
     let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    book.ask(now, big, 10_000.0);
-    book.ask(now, small, 1000.0);
+    book.record_requested(now, big, 10_000.0);
+    book.record_requested(now, small, 1000.0);
     book.give(now, big, 4000.0);
     book.give(now, small, 500.0);
     let wait = over_for(&mut book, now, big).expect("over its share");
     assert!(wait > Duration::ZERO && wait < WINDOW * 3);
     // Nothing more is given to it, while the small one goes on as before.
     let then = now + wait + Duration::from_millis(100);
-    book.ask(then, small, 600.0);
+    book.record_requested(then, small, 600.0);
     book.give(then, small, 600.0);
-    book.ask(then, big, 100.0);
+    book.record_requested(then, big, 100.0);
     let left = over_for(&mut book, then, big).unwrap_or_default();
     assert!(left < wait, "{left:?} after {wait:?}");
 }
@@ -157,13 +157,13 @@
     let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    book.ask(now, big, 50_000.0);
+    book.record_requested(now, big, 50_000.0);
     book.give(now, big, 20_000.0);
     // Its first request: nothing was refused yet.
-    book.ask(now, small, 5000.0);
+    book.record_requested(now, small, 5000.0);
     assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Within);
     // It was refused, and comes again.
-    book.ask(now, small, 5000.0);
+    book.record_requested(now, small, 5000.0);
     assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Behind);
     book.give(now, small, 5000.0);
     assert_eq!(book.share(now, small, 0.0).standing, ShareStatus::Within);
@@ -174,8 +174,8 @@
     let (big, small) = (name_hash("big"), name_hash("small"));
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    book.ask(now, big, 1000.0);
-    book.ask(now, small, 1000.0);
+    book.record_requested(now, big, 1000.0);
+    book.record_requested(now, small, 1000.0);
     book.give(now, big, 1000.0);
     book.record_unused(big, 1000.0);
     assert_eq!(over_for(&mut book, now, big), None);
@@ -217,13 +217,13 @@
     let (hot, other) = (name_hash("hot"), name_hash("other"));
     let mut book = ShareTracker::new(window, AGE);
     let mut now = Duration::from_secs(10);
-    book.ask(now, hot, CAPACITY * 40.0);
+    book.record_requested(now, hot, CAPACITY * 40.0);
     book.give(now, hot, CAPACITY * 40.0);
     let mut got = (0.0, 0.0);
     for _ in 0..60 {
         now += step;
-        book.ask(now, hot, CAPACITY * 2.0);
-        book.ask(now, other, CAPACITY * 2.0);
+        book.record_requested(now, hot, CAPACITY * 2.0);
+        book.record_requested(now, other, CAPACITY * 2.0);
         let hot_may = over_for(&mut book, now, hot).is_none();
         let other_may = over_for(&mut book, now, other).is_none();
         let each = CAPACITY / f32::from(u8::from(hot_may) + u8::from(other_may)).max(1.0);
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -85,7 +85,7 @@
         capacity: f32,
     ) -> bool {
         let book = &mut self.books[router];
-        book.ask(now, demand.account, demand.tokens);
+        book.record_requested(now, demand.account, demand.tokens);
         let most_ms = match book.share(now, demand.account, demand.tokens).standing {
             ShareStatus::Over { .. } => return false,
             ShareStatus::Within => MOST_IN_FRONT_MS,
