--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records that an account was allocated this many tokens.
-    pub fn give(
+    pub fn record_allocated(
         &mut self,
         now: Moment,
         account: u32,
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -33,13 +33,13 @@
     // A moment of refusals: a little was given, more was asked for.
     book.record_requested(now, big, 3000.0);
     book.record_requested(now, small, 1000.0);
-    book.give(now, big, 1000.0);
+    book.record_allocated(now, big, 1000.0);
     assert!(over_for(&mut book, now, big).is_some());
     // All engines together make 2,000 tokens a second, 8,000 in a window.
     book.set_declared_capacity(Some(2000.0));
     assert_eq!(over_for(&mut book, now, big), None);
     book.record_requested(now, big, 20_000.0);
-    book.give(now, big, 9000.0);
+    book.record_allocated(now, big, 9000.0);
     assert!(over_for(&mut book, now, big).is_some());
     assert_eq!(over_for(&mut book, now, small), None);
     book.set_declared_capacity(None);
@@ -100,10 +100,10 @@
     for account in [big, small] {
         book.record_requested(now, account, 1000.0);
     }
-    book.give(now, big, 1000.0);
+    book.record_allocated(now, big, 1000.0);
     assert!(over_for(&mut book, now, big).is_some());
     assert_eq!(over_for(&mut book, now, small), None);
-    book.give(now, small, 1000.0);
+    book.record_allocated(now, small, 1000.0);
     assert_eq!(over_for(&mut book, now, big), None);
 }
 
@@ -123,7 +123,7 @@
     here.record_requested(now, big, 500.0);
     here.record_requested(now, small, 500.0);
     there.record_requested(now, big, 3000.0);
-    there.give(now, big, 3000.0);
+    there.record_allocated(now, big, 3000.0);
     here.hear(now, PEER, &told(&mut there, now));
     assert!(over_for(&mut here, now, big).is_some());
     assert_eq!(over_for(&mut here, now + AGE * 2, big), None);
@@ -139,14 +139,14 @@
     let now = Duration::from_secs(10);
     book.record_requested(now, big, 10_000.0);
     book.record_requested(now, small, 1000.0);
-    book.give(now, big, 4000.0);
-    book.give(now, small, 500.0);
+    book.record_allocated(now, big, 4000.0);
+    book.record_allocated(now, small, 500.0);
     let wait = over_for(&mut book, now, big).expect("over its share");
     assert!(wait > Duration::ZERO && wait < WINDOW * 3);
     // Nothing more is given to it, while the small one goes on as before.
     let then = now + wait + Duration::from_millis(100);
     book.record_requested(then, small, 600.0);
-    book.give(then, small, 600.0);
+    book.record_allocated(then, small, 600.0);
     book.record_requested(then, big, 100.0);
     let left = over_for(&mut book, then, big).unwrap_or_default();
     assert!(left < wait, "{left:?} after {wait:?}");
@@ -158,14 +158,14 @@
     let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     book.record_requested(now, big, 50_000.0);
-    book.give(now, big, 20_000.0);
+    book.record_allocated(now, big, 20_000.0);
     // Its first request: nothing was refused yet.
     book.record_requested(now, small, 5000.0);
     assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Within);
     // It was refused, and comes again.
     book.record_requested(now, small, 5000.0);
     assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Behind);
-    book.give(now, small, 5000.0);
+    book.record_allocated(now, small, 5000.0);
     assert_eq!(book.share(now, small, 0.0).standing, ShareStatus::Within);
 }
 
@@ -176,7 +176,7 @@
     let now = Duration::from_secs(10);
     book.record_requested(now, big, 1000.0);
     book.record_requested(now, small, 1000.0);
-    book.give(now, big, 1000.0);
+    book.record_allocated(now, big, 1000.0);
     book.record_unused(big, 1000.0);
     assert_eq!(over_for(&mut book, now, big), None);
 }
@@ -218,7 +218,7 @@
     let mut book = ShareTracker::new(window, AGE);
     let mut now = Duration::from_secs(10);
     book.record_requested(now, hot, CAPACITY * 40.0);
-    book.give(now, hot, CAPACITY * 40.0);
+    book.record_allocated(now, hot, CAPACITY * 40.0);
     let mut got = (0.0, 0.0);
     for _ in 0..60 {
         now += step;
@@ -228,11 +228,11 @@
         let other_may = over_for(&mut book, now, other).is_none();
         let each = CAPACITY / f32::from(u8::from(hot_may) + u8::from(other_may)).max(1.0);
         if hot_may {
-            book.give(now, hot, each);
+            book.record_allocated(now, hot, each);
             got.0 += each;
         }
         if other_may {
-            book.give(now, other, each);
+            book.record_allocated(now, other, each);
             got.1 += each;
         }
     }
@@ -259,7 +259,7 @@
     let (mut next_given, mut next_look) = (now, now);
     while now < Duration::from_secs(40) {
         if now >= next_given {
-            book.give(now, account, 1000.0);
+            book.record_allocated(now, account, 1000.0);
             next_given += Duration::from_millis(500);
         }
         if now >= next_look {
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -96,7 +96,7 @@
         if !is_placed {
             return false;
         }
-        book.give(now, demand.account, demand.tokens);
+        book.record_allocated(now, demand.account, demand.tokens);
         self.in_front += demand.tokens;
         true
     }
