--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -156,7 +156,9 @@
         board.hear_notes(now, teller.scope, &figures.notes);
         board.hear_engines(&figures.engines);
         drop(board);
-        self.gateway.shares().hear(now, teller, &figures.accounts);
+        self.gateway
+            .shares()
+            .apply_report(now, teller, &figures.accounts);
     }
 
     async fn answer_ask(
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -103,7 +103,7 @@
     }
 
     /// Applies a report of another router or zone on the usage of some accounts.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         now: Moment,
         teller: Reporter,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -216,10 +216,10 @@
         })
         .collect();
     for number in 1..(scale.routers / ZONES) as u32 {
-        book.hear(NOW, router(number), &usage);
+        book.apply_report(NOW, router(number), &usage);
     }
     for zone in 1..ZONES as u32 {
-        book.hear(NOW, other_zone(zone), &usage);
+        book.apply_report(NOW, other_zone(zone), &usage);
     }
     book
 }
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -124,10 +124,10 @@
     here.record_requested(now, small, 500.0);
     there.record_requested(now, big, 3000.0);
     there.record_allocated(now, big, 3000.0);
-    here.hear(now, PEER, &told(&mut there, now));
+    here.apply_report(now, PEER, &told(&mut there, now));
     assert!(over_for(&mut here, now, big).is_some());
     assert_eq!(over_for(&mut here, now + AGE * 2, big), None);
-    here.hear(now, PEER, &told(&mut there, now));
+    here.apply_report(now, PEER, &told(&mut there, now));
     here.forget(PEER.name);
     assert_eq!(over_for(&mut here, now, big), None);
 }
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -118,7 +118,7 @@
         };
         for (hearer, book) in self.books.iter_mut().enumerate() {
             if hearer != router {
-                book.hear(now, teller, &usage);
+                book.apply_report(now, teller, &usage);
             }
         }
     }
