--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -47,7 +47,7 @@
             let peers = &self.gateway.peers;
             for address in peers.forget_silent(now, settings.peer_forget) {
                 log::info!(peer = address.to_string().as_str(); "router forgotten");
-                self.gateway.shares().forget(router_name(&address));
+                self.gateway.shares().remove_reporter(router_name(&address));
             }
             metrics::gauge!(PEERS).set(peers.alive(now, settings.peer_forget) as f64);
             let addresses = peers.in_zone();
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -114,7 +114,7 @@
     }
 
     /// Removes all that a router or zone reported, as it is gone.
-    pub fn forget(
+    pub fn remove_reporter(
         &mut self,
         name: u32,
     ) {
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -128,7 +128,7 @@
     assert!(over_for(&mut here, now, big).is_some());
     assert_eq!(over_for(&mut here, now + AGE * 2, big), None);
     here.apply_report(now, PEER, &told(&mut there, now));
-    here.forget(PEER.name);
+    here.remove_reporter(PEER.name);
     assert_eq!(over_for(&mut here, now, big), None);
 }
 
