--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -219,7 +219,7 @@
         let replicas = board.reports(now);
         let engines = board.engine_reports();
         drop(board);
-        let usage = gateway.shares().own(now).clone();
+        let usage = gateway.shares().own_usage(now).clone();
         let mut told = self.told.lock().expect("told lock");
         let all = Figures {
             replicas,
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -123,7 +123,7 @@
 
     /// This router's own usage, to be reported to peers. Called for each report, also without
     /// any requests, so that recent allocations are counted at the fair level of their time.
-    pub fn own(
+    pub fn own_usage(
         &mut self,
         now: Moment,
     ) -> &HashMap<u32, AccountUsage> {
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -111,7 +111,7 @@
     book: &mut ShareTracker,
     now: Duration,
 ) -> Vec<(u32, AccountUsage)> {
-    book.own(now).clone().into_iter().collect()
+    book.own_usage(now).clone().into_iter().collect()
 }
 
 #[test]
@@ -263,12 +263,12 @@
             next_given += Duration::from_millis(500);
         }
         if now >= next_look {
-            book.own(now);
+            book.own_usage(now);
             next_look += look;
         }
         now += Duration::from_millis(1);
     }
-    book.own(now)[&account].got
+    book.own_usage(now)[&account].got
 }
 
 #[test]
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -107,7 +107,7 @@
         router: usize,
     ) {
         let usage: Vec<(u32, AccountUsage)> = self.books[router]
-            .own(now)
+            .own_usage(now)
             .iter()
             .map(|(account, usage)| (*account, *usage))
             .collect();
