--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -133,7 +133,7 @@
     }
 
     /// The share of an account that now requests `asking` tokens, which are already recorded.
-    pub fn share(
+    pub fn account_share(
         &mut self,
         now: Moment,
         account: u32,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -77,7 +77,7 @@
         let account = step % scale.accounts;
         // The sum of what others told is made anew every 20 ms, some 50 requests.
         let now = NOW + Duration::from_micros(400) * step;
-        std::hint::black_box(book.share(now, account, 100.0));
+        std::hint::black_box(book.account_share(now, account, 100.0));
     });
     let report_made = mean_us(|_| {
         std::hint::black_box(encoded(&board));
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -86,7 +86,7 @@
     now: Duration,
     account: u32,
 ) -> Option<Duration> {
-    match book.share(now, account, 0.0).standing {
+    match book.account_share(now, account, 0.0).standing {
         ShareStatus::Over { wait, .. } => Some(wait),
         ShareStatus::Within | ShareStatus::Behind => None,
     }
@@ -161,12 +161,21 @@
     book.record_allocated(now, big, 20_000.0);
     // Its first request: nothing was refused yet.
     book.record_requested(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Within);
+    assert_eq!(
+        book.account_share(now, small, 5000.0).standing,
+        ShareStatus::Within
+    );
     // It was refused, and comes again.
     book.record_requested(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 5000.0).standing, ShareStatus::Behind);
+    assert_eq!(
+        book.account_share(now, small, 5000.0).standing,
+        ShareStatus::Behind
+    );
     book.record_allocated(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 0.0).standing, ShareStatus::Within);
+    assert_eq!(
+        book.account_share(now, small, 0.0).standing,
+        ShareStatus::Within
+    );
 }
 
 #[test]
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -86,7 +86,10 @@
     ) -> bool {
         let book = &mut self.books[router];
         book.record_requested(now, demand.account, demand.tokens);
-        let most_ms = match book.share(now, demand.account, demand.tokens).standing {
+        let most_ms = match book
+            .account_share(now, demand.account, demand.tokens)
+            .standing
+        {
             ShareStatus::Over { .. } => return false,
             ShareStatus::Within => MOST_IN_FRONT_MS,
             ShareStatus::Behind => MOST_IN_FRONT_MS * 2.0,
