--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -140,7 +140,7 @@
         asking: f32,
     ) -> AccountShare {
         self.update_recent(now);
-        let division = self.division(now);
+        let division = self.fair_allocation(now);
         division.share(now, &self.recent, account, asking)
     }
 
@@ -150,7 +150,7 @@
         now: Moment,
     ) -> (FairAllocation, Vec<AccountShare>) {
         self.update_recent(now);
-        let division = self.division(now);
+        let division = self.fair_allocation(now);
         let accounts = division.usage().map(|(account, _)| account);
         let shares = accounts
             .map(|account| division.share(now, &self.recent, account, 0.0))
@@ -159,7 +159,7 @@
     }
 
     /// The current division among all accounts that recently sent requests.
-    pub fn division(
+    pub fn fair_allocation(
         &mut self,
         now: Moment,
     ) -> FairAllocation {
@@ -173,7 +173,7 @@
         now: Moment,
     ) {
         if self.recent.is_due(now, STEP) {
-            let division = self.division(now);
+            let division = self.fair_allocation(now);
             self.recent.update(now, &division);
         }
     }
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -56,14 +56,17 @@
             now += Duration::from_millis(10);
             book.record_placement(now, is_placed);
         }
-        book.division(now).divided
+        book.fair_allocation(now).divided
     };
     assert!(count(50, 2) > 3600.0);
     assert!(count(30, 70) < 400.0);
     assert!(count(300, 0) > 3600.0);
     // What no request has tried for long is believed.
     assert!(count(0, 100) < 400.0);
-    assert_eq!(book.division(now + Duration::from_secs(60)).divided, 4000.0);
+    assert_eq!(
+        book.fair_allocation(now + Duration::from_secs(60)).divided,
+        4000.0
+    );
 }
 
 proptest! {
