--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -207,7 +207,7 @@
         let account = self.account()?;
         let now = self.gateway.now();
         let asking = self.call.tokens();
-        Some(self.gateway.shares().share(now, account, asking))
+        Some(self.gateway.shares().account_share(now, account, asking))
     }
 
     /// Charges the account, once.
@@ -218,7 +218,9 @@
         if let Some(account) = self.account() {
             self.granted = self.call.tokens();
             let now = self.gateway.now();
-            self.gateway.shares().give(now, account, self.granted);
+            self.gateway
+                .shares()
+                .record_allocated(now, account, self.granted);
         }
     }
 
