--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -145,7 +145,7 @@
     }
 
     /// The current division, and the share of each account that recently sent requests.
-    pub fn shares(
+    pub fn account_shares(
         &mut self,
         now: Moment,
     ) -> (FairAllocation, Vec<AccountShare>) {
