--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -89,7 +89,7 @@
 impl Gateway {
     fn measure_shares(&self) {
         let now = self.now();
-        let (division, accounts) = self.account_shares().account_shares(now);
+        let (division, accounts) = self.shares().account_shares(now);
         metrics::gauge!(SHARE_DIVIDED).set(f64::from(division.divided));
         let level = Some(division.level).filter(|level| level.is_finite());
         metrics::gauge!(SHARE_LEVEL).set(f64::from(level.unwrap_or(-1.0)));
