--- a/src/direct/caller_port.rs
+++ b/src/direct/caller_port.rs
@@ -123,7 +123,7 @@
         account = call.account.as_deref().unwrap_or(""),
         tokens = call.tokens() as u64,
         standing = share.standing.name(),
-        account_asked = share.usage.asked as u64,
+        account_asked = share.usage.requested as u64,
         account_got = share.usage.got as u64,
         account_lately = share.lately,
         account_level = share.fair_level_tokens(),
--- a/src/peers/told_reports.rs
+++ b/src/peers/told_reports.rs
@@ -71,7 +71,7 @@
             });
             let is_due = believed.is_none_or(|(age, believed)| {
                 age >= refresh
-                    || differs(believed.asked, usage.asked)
+                    || differs(believed.requested, usage.requested)
                     || differs(believed.got, usage.got)
             });
             if is_due {
--- a/src/policy/direct/shares/account_usage.rs
+++ b/src/policy/direct/shares/account_usage.rs
@@ -6,8 +6,8 @@
 /// The tokens that one account recently requested and was allocated, both with exponential decay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    pub asked: f32, // tokens requested
-    pub got: f32,   // tokens allocated
+    pub requested: f32, // tokens requested
+    pub got: f32,       // tokens allocated
 }
 
 impl AccountUsage {
@@ -16,7 +16,7 @@
         &mut self,
         factor: f32,
     ) {
-        self.asked *= factor;
+        self.requested *= factor;
         self.got *= factor;
     }
 
@@ -36,7 +36,7 @@
         &mut self,
         other: Self,
     ) {
-        self.asked += other.asked;
+        self.requested += other.requested;
         self.got += other.got;
     }
 }
--- a/src/policy/direct/shares/fair_allocation.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -33,9 +33,9 @@
         usage: HashMap<u32, AccountUsage>,
         divided: f32,
     ) -> Self {
-        let asked = usage.values().map(|usage| usage.asked.max(usage.got));
+        let requested = usage.values().map(|usage| usage.requested.max(usage.got));
         Self {
-            level: fair_level(asked.collect(), divided),
+            level: fair_level(requested.collect(), divided),
             window,
             usage,
             divided,
@@ -47,19 +47,19 @@
         self.usage.iter().map(|(account, usage)| (*account, *usage))
     }
 
-    /// The share of an account that now requests `asking` tokens, which its usage already
+    /// The share of an account that now requests `request_tokens` tokens, which its usage already
     /// contains.
     pub fn share(
         &self,
         now: Moment,
         given: &RecentAllocations,
         account: u32,
-        asking: f32,
+        request_tokens: f32,
     ) -> AccountShare {
         let usage = self.usage.get(&account).copied().unwrap_or_default();
         let lately = given.ratio(now, account, usage, self);
         AccountShare {
-            standing: self.standing(usage, lately, asking),
+            standing: self.standing(usage, lately, request_tokens),
             usage,
             lately,
             level: self.level,
@@ -71,7 +71,7 @@
         &self,
         usage: AccountUsage,
         lately: f32,
-        asking: f32,
+        request_tokens: f32,
     ) -> ShareStatus {
         let bound = self.level * TOLERANCE;
         if usage.got > bound && lately >= MIN_RECENT {
@@ -79,8 +79,8 @@
             let wait = self.window.mul_f32(factor.ln());
             return ShareStatus::Over { wait, factor };
         }
-        let asked_before = usage.asked - asking;
-        let is_under = usage.got < asked_before * UNDER && lately < UNDER;
+        let requested_before = usage.requested - request_tokens;
+        let is_under = usage.got < requested_before * UNDER && lately < UNDER;
         if is_under {
             ShareStatus::Behind
         } else {
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -77,7 +77,7 @@
         tokens: f32,
     ) {
         self.decay(now);
-        self.own.entry(account).or_default().asked += tokens;
+        self.own.entry(account).or_default().requested += tokens;
     }
 
     /// Records that an account was allocated this many tokens.
@@ -132,16 +132,16 @@
         &self.own
     }
 
-    /// The share of an account that now requests `asking` tokens, which are already recorded.
+    /// The share of an account that now requests `request_tokens` tokens, which are already recorded.
     pub fn account_share(
         &mut self,
         now: Moment,
         account: u32,
-        asking: f32,
+        request_tokens: f32,
     ) -> AccountShare {
         self.update_recent(now);
         let division = self.fair_allocation(now);
-        division.share(now, &self.recent, account, asking)
+        division.share(now, &self.recent, account, request_tokens)
     }
 
     /// The current division, and the share of each account that recently sent requests.
@@ -238,7 +238,7 @@
         let factor = (-passed.as_secs_f32() / self.window.as_secs_f32()).exp();
         self.own.retain(|_, usage| {
             usage.fade(factor);
-            usage.asked > NEGLIGIBLE_TOKENS || usage.got > NEGLIGIBLE_TOKENS
+            usage.requested > NEGLIGIBLE_TOKENS || usage.got > NEGLIGIBLE_TOKENS
         });
     }
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -209,7 +209,7 @@
     let usage: Vec<(u32, AccountUsage)> = (0..scale.accounts)
         .map(|account| {
             let usage = AccountUsage {
-                asked: 9000.0,
+                requested: 9000.0,
                 got: 5000.0,
             };
             (account, usage)
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -49,7 +49,7 @@
         accounts: vec![(
             9,
             AccountUsage {
-                asked: 1.5,
+                requested: 1.5,
                 got: 0.25,
             },
         )],
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -59,7 +59,7 @@
 fn an_account_whose_usage_only_fades_is_told_in_its_turn_only() {
     let mut told = ToldReports::default();
     let usage = AccountUsage {
-        asked: 90_000.0,
+        requested: 90_000.0,
         got: 30_000.0,
     };
     let at = |age| vec![(7, usage.faded(age, WINDOW))];
@@ -72,7 +72,7 @@
     let more = vec![(
         7,
         AccountUsage {
-            asked: 95_000.0,
+            requested: 95_000.0,
             ..usage
         },
     )];
