--- a/src/direct/caller_port.rs
+++ b/src/direct/caller_port.rs
@@ -124,7 +124,7 @@
         tokens = call.tokens() as u64,
         standing = share.standing.name(),
         account_asked = share.usage.requested as u64,
-        account_got = share.usage.got as u64,
+        account_got = share.usage.allocated as u64,
         account_lately = share.lately,
         account_level = share.fair_level_tokens(),
         divided = share.divided as u64,
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -150,7 +150,7 @@
             account = self.call.account.as_deref().unwrap_or(""),
             tokens = self.call.tokens() as u64,
             standing = share.standing.name(),
-            account_got = share.usage.got as u64,
+            account_got = share.usage.allocated as u64,
             account_lately = share.lately,
             account_level = share.fair_level_tokens(),
             prompt_tokens = tokens,
--- a/src/peers/told_reports.rs
+++ b/src/peers/told_reports.rs
@@ -72,7 +72,7 @@
             let is_due = believed.is_none_or(|(age, believed)| {
                 age >= refresh
                     || differs(believed.requested, usage.requested)
-                    || differs(believed.got, usage.got)
+                    || differs(believed.allocated, usage.allocated)
             });
             if is_due {
                 due.push((*account, *usage));
--- a/src/policy/direct/shares/account_usage.rs
+++ b/src/policy/direct/shares/account_usage.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
     pub requested: f32, // tokens requested
-    pub got: f32,       // tokens allocated
+    pub allocated: f32, // tokens allocated
 }
 
 impl AccountUsage {
@@ -17,7 +17,7 @@
         factor: f32,
     ) {
         self.requested *= factor;
-        self.got *= factor;
+        self.allocated *= factor;
     }
 
     /// The usage decayed over `age`, with `window` as the time constant.
@@ -37,6 +37,6 @@
         other: Self,
     ) {
         self.requested += other.requested;
-        self.got += other.got;
+        self.allocated += other.allocated;
     }
 }
--- a/src/policy/direct/shares/fair_allocation.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -33,7 +33,9 @@
         usage: HashMap<u32, AccountUsage>,
         divided: f32,
     ) -> Self {
-        let requested = usage.values().map(|usage| usage.requested.max(usage.got));
+        let requested = usage
+            .values()
+            .map(|usage| usage.requested.max(usage.allocated));
         Self {
             level: fair_level(requested.collect(), divided),
             window,
@@ -74,13 +76,13 @@
         request_tokens: f32,
     ) -> ShareStatus {
         let bound = self.level * TOLERANCE;
-        if usage.got > bound && lately >= MIN_RECENT {
-            let factor = usage.got / bound.max(1.0);
+        if usage.allocated > bound && lately >= MIN_RECENT {
+            let factor = usage.allocated / bound.max(1.0);
             let wait = self.window.mul_f32(factor.ln());
             return ShareStatus::Over { wait, factor };
         }
         let requested_before = usage.requested - request_tokens;
-        let is_under = usage.got < requested_before * UNDER && lately < UNDER;
+        let is_under = usage.allocated < requested_before * UNDER && lately < UNDER;
         if is_under {
             ShareStatus::Behind
         } else {
--- a/src/policy/direct/shares/recent_allocations.rs
+++ b/src/policy/direct/shares/recent_allocations.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Recent {
     ratio: f32,
-    got: f32, // tokens allocated over the fleet that the ratio accounts for
+    allocated: f32, // tokens allocated over the fleet that the ratio accounts for
 }
 
 impl RecentAllocations {
@@ -47,12 +47,12 @@
                 account,
                 Recent {
                     ratio,
-                    got: usage.got,
+                    allocated: usage.allocated,
                 },
             )
         });
         let recent = recent
-            .filter(|(_, recent)| recent.ratio > NEGLIGIBLE || recent.got > 0.0)
+            .filter(|(_, recent)| recent.ratio > NEGLIGIBLE || recent.allocated > 0.0)
             .collect();
         self.accounts = recent;
         self.updated = now;
@@ -69,7 +69,8 @@
         let known = self.accounts.get(&account).copied().unwrap_or_default();
         let windows =
             now.saturating_sub(self.updated).as_secs_f32() / division.window.as_secs_f32();
-        let added = (usage.got - known.got * (-windows).exp()) / division.level.max(1.0);
+        let added =
+            (usage.allocated - known.allocated * (-windows).exp()) / division.level.max(1.0);
         (known.ratio * (-windows / DECAY_FRACTION).exp() + added / DECAY_FRACTION).max(0.0)
     }
 }
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -88,7 +88,7 @@
         tokens: f32,
     ) {
         self.decay(now);
-        self.own.entry(account).or_default().got += tokens;
+        self.own.entry(account).or_default().allocated += tokens;
     }
 
     /// Records that allocated tokens were not produced: they no longer count.
@@ -98,7 +98,7 @@
         tokens: f32,
     ) {
         if let Some(usage) = self.own.get_mut(&account) {
-            usage.got = (usage.got - tokens).max(0.0);
+            usage.allocated = (usage.allocated - tokens).max(0.0);
         }
     }
 
@@ -164,7 +164,7 @@
         now: Moment,
     ) -> FairAllocation {
         let usage = self.fleet_usage(now);
-        let allocated = usage.values().map(|usage| usage.got).sum();
+        let allocated = usage.values().map(|usage| usage.allocated).sum();
         FairAllocation::new(self.window, usage, self.divisible(now, allocated))
     }
 
@@ -238,7 +238,7 @@
         let factor = (-passed.as_secs_f32() / self.window.as_secs_f32()).exp();
         self.own.retain(|_, usage| {
             usage.fade(factor);
-            usage.requested > NEGLIGIBLE_TOKENS || usage.got > NEGLIGIBLE_TOKENS
+            usage.requested > NEGLIGIBLE_TOKENS || usage.allocated > NEGLIGIBLE_TOKENS
         });
     }
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -210,7 +210,7 @@
         .map(|account| {
             let usage = AccountUsage {
                 requested: 9000.0,
-                got: 5000.0,
+                allocated: 5000.0,
             };
             (account, usage)
         })
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -280,7 +280,7 @@
         }
         now += Duration::from_millis(1);
     }
-    book.own_usage(now)[&account].got
+    book.own_usage(now)[&account].allocated
 }
 
 #[test]
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -50,7 +50,7 @@
             9,
             AccountUsage {
                 requested: 1.5,
-                got: 0.25,
+                allocated: 0.25,
             },
         )],
         notes: vec![CacheNote {
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -60,7 +60,7 @@
     let mut told = ToldReports::default();
     let usage = AccountUsage {
         requested: 90_000.0,
-        got: 30_000.0,
+        allocated: 30_000.0,
     };
     let at = |age| vec![(7, usage.faded(age, WINDOW))];
     let mut times = 0;
