--- a/src/policy/direct/shares/account_usage.rs
+++ b/src/policy/direct/shares/account_usage.rs
@@ -12,7 +12,7 @@
 
 impl AccountUsage {
     /// Multiplies both by a factor.
-    pub fn fade(
+    pub fn decay(
         &mut self,
         factor: f32,
     ) {
@@ -26,7 +26,7 @@
         age: Duration,
         window: Duration,
     ) -> Self {
-        self.fade((-age.as_secs_f32() / window.as_secs_f32()).exp());
+        self.decay((-age.as_secs_f32() / window.as_secs_f32()).exp());
         self
     }
 }
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -237,7 +237,7 @@
         self.decayed += passed;
         let factor = (-passed.as_secs_f32() / self.window.as_secs_f32()).exp();
         self.own.retain(|_, usage| {
-            usage.fade(factor);
+            usage.decay(factor);
             usage.requested > NEGLIGIBLE_TOKENS || usage.allocated > NEGLIGIBLE_TOKENS
         });
     }
