--- a/src/peers/told_reports.rs
+++ b/src/peers/told_reports.rs
@@ -67,7 +67,7 @@
         for (account, usage) in usage {
             let believed = self.accounts.get(account).map(|(at, told)| {
                 let age = now.saturating_sub(*at);
-                (age, told.faded(age, window))
+                (age, told.decayed(age, window))
             });
             let is_due = believed.is_none_or(|(age, believed)| {
                 age >= refresh
--- a/src/policy/direct/shares/account_usage.rs
+++ b/src/policy/direct/shares/account_usage.rs
@@ -21,7 +21,7 @@
     }
 
     /// The usage decayed over `age`, with `window` as the time constant.
-    pub fn faded(
+    pub fn decayed(
         mut self,
         age: Duration,
         window: Duration,
--- a/src/policy/direct/shares/reported_usage.rs
+++ b/src/policy/direct/shares/reported_usage.rs
@@ -97,7 +97,7 @@
         for (account, (received, usage)) in reported.flat_map(|reported| &reported.usage) {
             let report_age = now.saturating_sub(*received);
             if report_age <= age {
-                *sum.entry(*account).or_default() += usage.faded(report_age, window);
+                *sum.entry(*account).or_default() += usage.decayed(report_age, window);
             }
         }
         sum
