--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -45,7 +45,7 @@
 mod zone_table;
 
 pub use {
-    behind::Behind,
+    behind::Under,
     catalog_news::CatalogNews,
     evidence_told::EvidenceTold,
     evidence_turn::EvidenceTurn,
--- a/src/policy/direct/placement/board/board_refusals.rs
+++ b/src/policy/direct/placement/board/board_refusals.rs
@@ -86,7 +86,7 @@
         let room_in = Duration::from_secs_f64(wait_ms / 1000.0);
         let (reason, wait) = match request.standing {
             ShareStatus::Over { wait, .. } => (RefusalReason::OverShare, wait.max(room_in)),
-            ShareStatus::Within | ShareStatus::Behind => (RefusalReason::NoRoom, room_in),
+            ShareStatus::Within | ShareStatus::Under => (RefusalReason::NoRoom, room_in),
         };
         Choice::Refuse {
             reason,
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -34,7 +34,7 @@
         let share = match request.standing {
             ShareStatus::Over { factor, .. } => settings.over_share / f64::from(factor * factor),
             ShareStatus::Within => 1.0,
-            ShareStatus::Behind => settings.behind_share,
+            ShareStatus::Under => settings.behind_share,
         };
         let most_late = match is_over(request.standing) {
             true => MOST_LATE_OVER,
--- a/src/policy/direct/shares/fair_allocation.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -84,7 +84,7 @@
         let requested_before = usage.requested - request_tokens;
         let is_under = usage.allocated < requested_before * UNDER && lately < UNDER;
         if is_under {
-            ShareStatus::Behind
+            ShareStatus::Under
         } else {
             ShareStatus::Within
         }
--- a/src/policy/direct/shares/share_status.rs
+++ b/src/policy/direct/shares/share_status.rs
@@ -11,7 +11,7 @@
     Within,
     /// It was allocated less than half of what it requested, and now gets less than half of
     /// its share.
-    Behind,
+    Under,
 }
 
 impl ShareStatus {
@@ -20,7 +20,7 @@
         match self {
             Self::Over { .. } => "over",
             Self::Within => "within",
-            Self::Behind => "behind",
+            Self::Under => "behind",
         }
     }
 }
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -91,7 +91,7 @@
 ) -> Option<Duration> {
     match book.account_share(now, account, 0.0).standing {
         ShareStatus::Over { wait, .. } => Some(wait),
-        ShareStatus::Within | ShareStatus::Behind => None,
+        ShareStatus::Within | ShareStatus::Under => None,
     }
 }
 
@@ -172,7 +172,7 @@
     book.record_requested(now, small, 5000.0);
     assert_eq!(
         book.account_share(now, small, 5000.0).standing,
-        ShareStatus::Behind
+        ShareStatus::Under
     );
     book.record_allocated(now, small, 5000.0);
     assert_eq!(
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -383,7 +383,7 @@
     }
     let another = prompt(last, last);
     let behind = PlacementRequest {
-        standing: ShareStatus::Behind,
+        standing: ShareStatus::Under,
         ..request(&another)
     };
     sent(board.choose(NOW, &behind));
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -92,7 +92,7 @@
         {
             ShareStatus::Over { .. } => return false,
             ShareStatus::Within => MOST_IN_FRONT_MS,
-            ShareStatus::Behind => MOST_IN_FRONT_MS * 2.0,
+            ShareStatus::Under => MOST_IN_FRONT_MS * 2.0,
         };
         let is_placed = self.in_front <= capacity * most_ms;
         book.record_placement(now, is_placed);
