--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -28,9 +28,7 @@
         let now = self.gateway.now();
         let call = self.call.clone();
         self.share = self.account_share();
-        let standing = self
-            .share
-            .map_or(ShareStatus::Within, |share| share.standing);
+        let standing = self.share.map_or(ShareStatus::Within, |share| share.status);
         let zone = self.gateway.settings().process.zone.clone();
         let mut board = self.gateway.board();
         let request = PlacementRequest {
@@ -149,9 +147,9 @@
             service = &*self.call.service,
             account = self.call.account.as_deref().unwrap_or(""),
             tokens = self.call.tokens() as u64,
-            standing = share.standing.name(),
+            standing = share.status.name(),
             account_got = share.usage.allocated as u64,
-            account_lately = share.lately,
+            account_lately = share.recent_ratio,
             account_level = share.fair_level_tokens(),
             prompt_tokens = tokens,
             reading_tokens = reading,
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -90,12 +90,12 @@
     fn measure_shares(&self) {
         let now = self.now();
         let (division, accounts) = self.shares().account_shares(now);
-        metrics::gauge!(SHARE_DIVIDED).set(f64::from(division.divided));
-        let level = Some(division.level).filter(|level| level.is_finite());
+        metrics::gauge!(SHARE_DIVIDED).set(f64::from(division.capacity));
+        let level = Some(division.fair_level).filter(|level| level.is_finite());
         metrics::gauge!(SHARE_LEVEL).set(f64::from(level.unwrap_or(-1.0)));
         let mut standings = BTreeMap::from([("over", 0_u32), ("within", 0), ("behind", 0)]);
         for account in accounts {
-            *standings.entry(account.standing.name()).or_default() += 1;
+            *standings.entry(account.status.name()).or_default() += 1;
         }
         for (standing, count) in standings {
             metrics::gauge!(ACCOUNTS, "standing" => standing).set(f64::from(count));
--- a/src/peers/behind.rs
+++ b/src/peers/behind.rs
@@ -12,11 +12,11 @@
 /// Whether what another router knows and this one does not is still on its way from the
 /// store, or has to be asked for.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Under {
+pub struct Behind {
     heard: Option<(CatalogVersion, Moment)>, // the first version not reached yet, and when
 }
 
-impl Under {
+impl Behind {
     /// Whether to ask for news now. `theirs` is a version that another has and this router
     /// has not, if there is one. One that the store tells waits for it.
     pub fn should_ask(
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -1,7 +1,7 @@
 //! Learning what the catalogs of others have in advance.
 
 use {
-    super::{PeerLink, SILENCE, Under, ask_news::ask_news},
+    super::{Behind, PeerLink, SILENCE, ask_news::ask_news},
     crate::{catalog::CatalogVersion, codes::Fault, policy::Moment},
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
@@ -16,7 +16,7 @@
     /// Asks a router that is ahead for its news, once the store had its time to
     /// tell them.
     pub(super) async fn catch_up(self: Arc<Self>) {
-        let mut behind = Under::default();
+        let mut behind = Behind::default();
         loop {
             // Hearing nothing is no fault: what it asked for may not have come.
             let _nothing = tokio::time::timeout(LOOK_EVERY, self.newer_heard.notified()).await;
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -45,7 +45,7 @@
 mod zone_table;
 
 pub use {
-    behind::Under,
+    behind::Behind,
     catalog_news::CatalogNews,
     evidence_told::EvidenceTold,
     evidence_turn::EvidenceTurn,
--- a/src/policy/direct/shares/account_usage.rs
+++ b/src/policy/direct/shares/account_usage.rs
@@ -6,8 +6,8 @@
 /// The tokens that one account recently requested and was allocated, both with exponential decay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    pub requested: f32, // tokens requested
-    pub allocated: f32, // tokens allocated
+    pub requested: f32,
+    pub allocated: f32,
 }
 
 impl AccountUsage {
--- a/src/policy/direct/shares/fair_allocation.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -22,25 +22,25 @@
 pub struct FairAllocation {
     usage: HashMap<u32, AccountUsage>,
     pub window: Duration,
-    pub divided: f32, // tokens
-    pub level: f32,   // tokens that each account may have; infinite if all requests can be met
+    pub capacity: f32,   // tokens
+    pub fair_level: f32, // tokens that each account may have; infinite if enough for all
 }
 
 impl FairAllocation {
-    /// Divides `divided` tokens among accounts with this usage in a window.
+    /// Divides `capacity` tokens among accounts with this usage in a window.
     pub fn new(
         window: Duration,
         usage: HashMap<u32, AccountUsage>,
-        divided: f32,
+        capacity: f32,
     ) -> Self {
         let requested = usage
             .values()
             .map(|usage| usage.requested.max(usage.allocated));
         Self {
-            level: fair_level(requested.collect(), divided),
+            fair_level: fair_level(requested.collect(), capacity),
             window,
             usage,
-            divided,
+            capacity,
         }
     }
 
@@ -49,40 +49,40 @@
         self.usage.iter().map(|(account, usage)| (*account, *usage))
     }
 
-    /// The share of an account that now requests `request_tokens` tokens, which its usage already
-    /// contains.
+    /// The share of an account whose usage already contains a request of `request_tokens` that
+    /// it now sends.
     pub fn share(
         &self,
         now: Moment,
-        given: &RecentAllocations,
+        recent: &RecentAllocations,
         account: u32,
         request_tokens: f32,
     ) -> AccountShare {
         let usage = self.usage.get(&account).copied().unwrap_or_default();
-        let lately = given.ratio(now, account, usage, self);
+        let recent_ratio = recent.ratio(now, account, usage, self);
         AccountShare {
-            standing: self.standing(usage, lately, request_tokens),
+            status: self.status(usage, recent_ratio, request_tokens),
             usage,
-            lately,
-            level: self.level,
-            divided: self.divided,
+            recent_ratio,
+            fair_level: self.fair_level,
+            capacity: self.capacity,
         }
     }
 
-    fn standing(
+    fn status(
         &self,
         usage: AccountUsage,
-        lately: f32,
+        recent_ratio: f32,
         request_tokens: f32,
     ) -> ShareStatus {
-        let bound = self.level * TOLERANCE;
-        if usage.allocated > bound && lately >= MIN_RECENT {
+        let bound = self.fair_level * TOLERANCE;
+        if usage.allocated > bound && recent_ratio >= MIN_RECENT {
             let factor = usage.allocated / bound.max(1.0);
             let wait = self.window.mul_f32(factor.ln());
             return ShareStatus::Over { wait, factor };
         }
         let requested_before = usage.requested - request_tokens;
-        let is_under = usage.allocated < requested_before * UNDER && lately < UNDER;
+        let is_under = usage.allocated < requested_before * UNDER && recent_ratio < UNDER;
         if is_under {
             ShareStatus::Under
         } else {
--- a/src/policy/direct/shares/recent_allocations.rs
+++ b/src/policy/direct/shares/recent_allocations.rs
@@ -39,10 +39,10 @@
     pub fn update(
         &mut self,
         now: Moment,
-        division: &FairAllocation,
+        allocation: &FairAllocation,
     ) {
-        let recent = division.usage().map(|(account, usage)| {
-            let ratio = self.ratio(now, account, usage, division);
+        let recent = allocation.usage().map(|(account, usage)| {
+            let ratio = self.ratio(now, account, usage, allocation);
             (
                 account,
                 Recent {
@@ -64,13 +64,13 @@
         now: Moment,
         account: u32,
         usage: AccountUsage,
-        division: &FairAllocation,
+        allocation: &FairAllocation,
     ) -> f32 {
         let known = self.accounts.get(&account).copied().unwrap_or_default();
         let windows =
-            now.saturating_sub(self.updated).as_secs_f32() / division.window.as_secs_f32();
+            now.saturating_sub(self.updated).as_secs_f32() / allocation.window.as_secs_f32();
         let added =
-            (usage.allocated - known.allocated * (-windows).exp()) / division.level.max(1.0);
+            (usage.allocated - known.allocated * (-windows).exp()) / allocation.fair_level.max(1.0);
         (known.ratio * (-windows / DECAY_FRACTION).exp() + added / DECAY_FRACTION).max(0.0)
     }
 }
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -132,7 +132,8 @@
         &self.own
     }
 
-    /// The share of an account that now requests `request_tokens` tokens, which are already recorded.
+    /// The share of an account that now sends a request of `request_tokens`, which are already
+    /// recorded.
     pub fn account_share(
         &mut self,
         now: Moment,
@@ -140,25 +141,25 @@
         request_tokens: f32,
     ) -> AccountShare {
         self.update_recent(now);
-        let division = self.fair_allocation(now);
-        division.share(now, &self.recent, account, request_tokens)
+        let allocation = self.fair_allocation(now);
+        allocation.share(now, &self.recent, account, request_tokens)
     }
 
-    /// The current division, and the share of each account that recently sent requests.
+    /// The current allocation, and the share of each account that recently sent requests.
     pub fn account_shares(
         &mut self,
         now: Moment,
     ) -> (FairAllocation, Vec<AccountShare>) {
         self.update_recent(now);
-        let division = self.fair_allocation(now);
-        let accounts = division.usage().map(|(account, _)| account);
+        let allocation = self.fair_allocation(now);
+        let accounts = allocation.usage().map(|(account, _)| account);
         let shares = accounts
-            .map(|account| division.share(now, &self.recent, account, 0.0))
+            .map(|account| allocation.share(now, &self.recent, account, 0.0))
             .collect();
-        (division, shares)
+        (allocation, shares)
     }
 
-    /// The current division among all accounts that recently sent requests.
+    /// The current allocation among all accounts that recently sent requests.
     pub fn fair_allocation(
         &mut self,
         now: Moment,
@@ -173,8 +174,8 @@
         now: Moment,
     ) {
         if self.recent.is_due(now, STEP) {
-            let division = self.fair_allocation(now);
-            self.recent.update(now, &division);
+            let allocation = self.fair_allocation(now);
+            self.recent.update(now, &allocation);
         }
     }
 
--- a/tests/catching_up.rs
+++ b/tests/catching_up.rs
@@ -1,7 +1,7 @@
 //! When a router asks another for news of the catalog that the store did not tell it.
 
 use {
-    archmast::{catalog::CatalogVersion, peers::Under},
+    archmast::{catalog::CatalogVersion, peers::Behind},
     std::time::Duration,
 };
 
@@ -21,7 +21,7 @@
 /// a question and its answer besides.
 #[test]
 fn a_reader_whose_connection_to_the_store_fell_silent_asks_in_time() {
-    let mut behind = Under::default();
+    let mut behind = Behind::default();
     let mut now = START;
     while !behind.should_ask(now, version(1), Some(version(2)), true) {
         now += TICK;
@@ -31,14 +31,14 @@
         "{:?}",
         now - START
     );
-    assert!(Under::default().should_ask(START, version(1), Some(version(2)), false));
+    assert!(Behind::default().should_ask(START, version(1), Some(version(2)), false));
 }
 
 /// Load: fifty changes a second for ten seconds, which the store tells this router 60 ms
 /// after others.
 #[test]
 fn a_reader_that_keeps_up_with_many_changes_asks_nobody() {
-    let mut behind = Under::default();
+    let mut behind = Behind::default();
     for tick in 0..1000_u32 {
         let now = START + TICK * tick;
         let theirs = version(u64::from(tick / 2) + 10);
@@ -54,7 +54,7 @@
 /// it asked for may take some.
 #[test]
 fn patience_begins_anew_with_each_change_and_each_question() {
-    let mut behind = Under::default();
+    let mut behind = Behind::default();
     let ms = |ms| START + Duration::from_millis(ms);
     assert!(!behind.should_ask(ms(0), version(1), Some(version(2)), true));
     assert!(!behind.should_ask(ms(140), version(2), Some(version(3)), true));
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -56,7 +56,7 @@
             now += Duration::from_millis(10);
             book.record_placement(now, is_placed);
         }
-        book.fair_allocation(now).divided
+        book.fair_allocation(now).capacity
     };
     assert!(count(50, 2) > 3600.0);
     assert!(count(30, 70) < 400.0);
@@ -64,7 +64,7 @@
     // What no request has tried for long is believed.
     assert!(count(0, 100) < 400.0);
     assert_eq!(
-        book.fair_allocation(now + Duration::from_secs(60)).divided,
+        book.fair_allocation(now + Duration::from_secs(60)).capacity,
         4000.0
     );
 }
@@ -89,7 +89,7 @@
     now: Duration,
     account: u32,
 ) -> Option<Duration> {
-    match book.account_share(now, account, 0.0).standing {
+    match book.account_share(now, account, 0.0).status {
         ShareStatus::Over { wait, .. } => Some(wait),
         ShareStatus::Within | ShareStatus::Under => None,
     }
@@ -165,18 +165,18 @@
     // Its first request: nothing was refused yet.
     book.record_requested(now, small, 5000.0);
     assert_eq!(
-        book.account_share(now, small, 5000.0).standing,
+        book.account_share(now, small, 5000.0).status,
         ShareStatus::Within
     );
     // It was refused, and comes again.
     book.record_requested(now, small, 5000.0);
     assert_eq!(
-        book.account_share(now, small, 5000.0).standing,
+        book.account_share(now, small, 5000.0).status,
         ShareStatus::Under
     );
     book.record_allocated(now, small, 5000.0);
     assert_eq!(
-        book.account_share(now, small, 0.0).standing,
+        book.account_share(now, small, 0.0).status,
         ShareStatus::Within
     );
 }
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -88,7 +88,7 @@
         book.record_requested(now, demand.account, demand.tokens);
         let most_ms = match book
             .account_share(now, demand.account, demand.tokens)
-            .standing
+            .status
         {
             ShareStatus::Over { .. } => return false,
             ShareStatus::Within => MOST_IN_FRONT_MS,
