--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -99,7 +99,7 @@
         let teller = Reporter {
             scope: ReporterScope::Router,
             name: router_name(&report.address),
-            source: report.incarnation,
+            source_id: report.incarnation,
         };
         self.hear_version(report.version);
         self.take_figures(now, teller, &report.figures);
@@ -126,7 +126,7 @@
         let teller = Reporter {
             scope: ReporterScope::Zone,
             name: sum.zone,
-            source: mix_hashes(stable_hash(&sum.carrier), sum.incarnation),
+            source_id: mix_hashes(stable_hash(&sum.carrier), sum.incarnation),
         };
         self.hear_version(sum.version);
         self.take_figures(now, teller, &sum.figures);
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -114,7 +114,7 @@
             ReporterScope::Router => &mut self.routers,
             ReporterScope::Zone => &mut self.zones,
         };
-        let placed = loads.hear(now, age, teller.name, teller.source, report);
+        let placed = loads.hear(now, age, teller.name, teller.source_id, report);
         if teller.scope == ReporterScope::Router {
             self.placed_by_zone += placed;
         }
--- a/src/policy/direct/reporter.rs
+++ b/src/policy/direct/reporter.rs
@@ -3,7 +3,7 @@
 pub struct Reporter {
     pub scope: ReporterScope,
     pub name: u32, // hash of the router's address or the zone's name; a newer report replaces it
-    pub source: u64, // identifies the process that counts; another one counts from zero again
+    pub source_id: u64, // identifies the process that counts; another one counts from zero again
 }
 
 /// Whose figures a report holds.
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -192,7 +192,7 @@
     Reporter {
         scope: ReporterScope::Router,
         name: number,
-        source: 1,
+        source_id: 1,
     }
 }
 
@@ -200,7 +200,7 @@
     Reporter {
         scope: ReporterScope::Zone,
         name: 1_000_000 + number,
-        source: 1,
+        source_id: 1,
     }
 }
 
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -13,7 +13,7 @@
 const PEER: Reporter = Reporter {
     scope: ReporterScope::Router,
     name: 1,
-    source: 1,
+    source_id: 1,
 };
 const AGE: Duration = Duration::from_secs(1);
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -22,7 +22,7 @@
 const PEER: Reporter = Reporter {
     scope: ReporterScope::Router,
     name: 1,
-    source: 1,
+    source_id: 1,
 };
 const AIM: Duration = Duration::from_millis(600);
 const ENGINE: EngineFacts = EngineFacts {
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -30,7 +30,7 @@
 const PEER: Reporter = Reporter {
     scope: ReporterScope::Router,
     name: 1,
-    source: 1,
+    source_id: 1,
 };
 
 fn start(
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -117,7 +117,7 @@
         let teller = Reporter {
             scope: ReporterScope::Router,
             name: router as u32,
-            source: 1,
+            source_id: 1,
         };
         for (hearer, book) in self.books.iter_mut().enumerate() {
             if hearer != router {
