--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -105,12 +105,12 @@
             max_connections: callers.number("max_connections", 1..=1_000_000)?,
             regions: regions(file)?,
             answer_memory: MemoryBudget {
-                one: memory / ONE_ANSWER,
-                all: memory / ALL_ANSWERS,
+                per_connection: memory / ONE_ANSWER,
+                total: memory / ALL_ANSWERS,
             },
             request_memory: MemoryBudget {
-                one: memory / ALL_REQUESTS,
-                all: memory / ALL_REQUESTS,
+                per_connection: memory / ALL_REQUESTS,
+                total: memory / ALL_REQUESTS,
             },
             most_busy: callers.number("most_busy", 0.01..=1.0)?,
             hand_on: callers.number("hand_on", 0.0..=1.0)?,
--- a/src/policy/direct/memory/memory_budget.rs
+++ b/src/policy/direct/memory/memory_budget.rs
@@ -1,8 +1,8 @@
 /// Limits in bytes on the memory held for one request or answer, and for all of them together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryBudget {
-    pub one: u64,
-    pub all: u64,
+    pub per_connection: u64,
+    pub total: u64,
 }
 
 impl MemoryBudget {
@@ -15,7 +15,7 @@
         own: u64,
         others: u64,
     ) -> bool {
-        let free = self.all.saturating_sub(own.saturating_add(others));
-        own <= self.one && (others == 0 || own <= free)
+        let free = self.total.saturating_sub(own.saturating_add(others));
+        own <= self.per_connection && (others == 0 || own <= free)
     }
 }
--- a/tests/direct_settings.rs
+++ b/tests/direct_settings.rs
@@ -71,8 +71,11 @@
     assert_eq!(settings.process.cores, 0.09);
     assert_eq!(settings.regions.get("y").map(String::as_str), Some("south"));
     let (answers, requests) = (settings.answer_memory, settings.request_memory);
-    assert_eq!((answers.one, answers.all), (1_250_000, 20_000_000));
-    assert_eq!(requests.all, 40_000_000);
+    assert_eq!(
+        (answers.per_connection, answers.total),
+        (1_250_000, 20_000_000)
+    );
+    assert_eq!(requests.total, 40_000_000);
     assert_eq!(settings.catalog_pace.apply, Duration::from_millis(2500));
     let starts = settings.start_bounds;
     assert_eq!((starts.overage, starts.tolerance), (1.5, 5.0));
--- a/tests/memory_budget.rs
+++ b/tests/memory_budget.rs
@@ -9,8 +9,8 @@
 
 /// A host of 120 MB: 15 MB for answers, of which one may have 960 KB.
 const BUDGET: MemoryBudget = MemoryBudget {
-    one: 960 * KB,
-    all: 15_000 * KB,
+    per_connection: 960 * KB,
+    total: 15_000 * KB,
 };
 
 /// What each of so many callers comes to hold that read nothing, taking turns.
@@ -36,7 +36,7 @@
     for (count, least) in [(1, 960), (10, 900), (100, 140), (1_000, 10)] {
         let held = held_by_each(count);
         let sum: u64 = held.iter().sum();
-        assert!(sum < BUDGET.all, "{count} hold {sum}");
+        assert!(sum < BUDGET.total, "{count} hold {sum}");
         let fewest = held.iter().min().copied().unwrap_or_default();
         assert!(fewest >= least * KB, "{count}: {fewest}");
         assert!(BUDGET.permits(KB, sum), "{count}");
@@ -52,8 +52,8 @@
     assert!(!must_abort_answer(BUDGET, short, 0, 600 * second));
     assert!(!must_abort_answer(BUDGET, long, 0, second));
     assert!(must_abort_answer(BUDGET, long, 0, 2 * second));
-    assert!(must_abort_answer(BUDGET, short, BUDGET.all, 2 * second));
-    assert!(!must_abort_answer(BUDGET, 0, BUDGET.all, 2 * second));
+    assert!(must_abort_answer(BUDGET, short, BUDGET.total, 2 * second));
+    assert!(!must_abort_answer(BUDGET, 0, BUDGET.total, 2 * second));
 }
 
 /// Load: uploads of 4 MB on a host that takes 30 MB of them. Reason: a body as long as the
@@ -61,8 +61,8 @@
 #[test]
 fn long_uploads_leave_room_for_short_ones() {
     let budget = MemoryBudget {
-        one: 30_000 * KB,
-        all: 30_000 * KB,
+        per_connection: 30_000 * KB,
+        total: 30_000 * KB,
     };
     assert!(budget.permits(30_000 * KB, 0));
     assert!(budget.permits(4_000 * KB, 22_000 * KB));
