--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -238,8 +238,8 @@
             let busy = f64::from(entry.busy) / 100.0;
             let callers = entry.callers.filter(|_| busy <= most_busy)?;
             Some(Neighbour {
-                callers,
-                spare: f64::from(entry.millicores) / 1000.0 * (1.0 - busy).max(0.0),
+                caller_address: callers,
+                spare_cores: f64::from(entry.millicores) / 1000.0 * (1.0 - busy).max(0.0),
             })
         });
         told.collect()
--- a/src/policy/direct/processor/neighbour.rs
+++ b/src/policy/direct/processor/neighbour.rs
@@ -3,8 +3,8 @@
 /// A router of this zone that may take over connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Neighbour {
-    pub callers: SocketAddr, // where it accepts callers
-    pub spare: f64,          // unused CPU capacity, in cores
+    pub caller_address: SocketAddr, // where it accepts callers
+    pub spare_cores: f64,           // unused CPU capacity, in cores
 }
 
 /// A neighbour with less spare CPU than this, in cores, takes over no connections: a ninth of the
@@ -18,14 +18,14 @@
     neighbours: &[Neighbour],
     draw: f64,
 ) -> Option<SocketAddr> {
-    let eligible = || neighbours.iter().filter(|other| other.spare >= MIN_SPARE);
-    let total: f64 = eligible().map(|other| other.spare).sum();
+    let eligible = || neighbours.iter().filter(|it| it.spare_cores >= MIN_SPARE);
+    let total: f64 = eligible().map(|other| other.spare_cores).sum();
     let mut remaining = draw * total;
     for other in eligible() {
-        remaining -= other.spare;
+        remaining -= other.spare_cores;
         if remaining <= 0.0 {
-            return Some(other.callers);
+            return Some(other.caller_address);
         }
     }
-    eligible().next_back().map(|other| other.callers)
+    eligible().next_back().map(|other| other.caller_address)
 }
--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -10,8 +10,8 @@
     spare: f64,
 ) -> Neighbour {
     Neighbour {
-        callers: SocketAddr::from(([127, 0, 0, 1], port)),
-        spare,
+        caller_address: SocketAddr::from(([127, 0, 0, 1], port)),
+        spare_cores: spare,
     }
 }
 
@@ -39,5 +39,5 @@
     assert_eq!(taken(&fleet, 2), 1000);
     assert_eq!(choose_neighbour(&fleet[..1], 0.5), None);
     assert_eq!(choose_neighbour(&[], 0.5), None);
-    assert_eq!(choose_neighbour(&fleet, 1.0), Some(fleet[1].callers));
+    assert_eq!(choose_neighbour(&fleet, 1.0), Some(fleet[1].caller_address));
 }
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -44,6 +44,6 @@
         assert!(table.hear(NOW, &report, AGE));
     }
     let neighbours = table.neighbours(NOW, AGE, 0.5);
-    let callers: Vec<SocketAddr> = neighbours.iter().map(|it| it.callers).collect();
+    let callers: Vec<SocketAddr> = neighbours.iter().map(|it| it.caller_address).collect();
     assert_eq!(callers, [address(1005)]);
 }
