--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -182,7 +182,7 @@
         service: &str,
     ) {
         let mut retries = self.retries.lock().expect("retries lock");
-        retries.request(self.now(), service);
+        retries.record_request(self.now(), service);
     }
 
     /// Takes a repeat from the service's budget.
--- a/src/policy/direct/shares/retry_window.rs
+++ b/src/policy/direct/shares/retry_window.rs
@@ -47,7 +47,7 @@
     }
 
     /// Counts a first attempt.
-    pub fn request(
+    pub fn record_request(
         &mut self,
         now: Moment,
         service: &str,
--- a/src/policy/granted/exchange/retry_budget.rs
+++ b/src/policy/granted/exchange/retry_budget.rs
@@ -18,7 +18,7 @@
     }
 
     /// Counts a first attempt.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.saved = (self.saved + self.fraction).min(MAX_SAVED);
     }
 
