--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -192,7 +192,7 @@
     ) -> bool {
         let routers = self.router_count();
         let mut retries = self.retries.lock().expect("retries lock");
-        retries.take(self.now(), service, routers)
+        retries.try_take_retry(self.now(), service, routers)
     }
 
     /// Routers in the fleet as far as known, this one too; never fewer than
--- a/src/policy/direct/shares/retry_window.rs
+++ b/src/policy/direct/shares/retry_window.rs
@@ -59,7 +59,7 @@
     }
 
     /// Takes a retry if the limit leaves one for this router, one of `routers` in the fleet.
-    pub fn take(
+    pub fn try_take_retry(
         &mut self,
         now: Moment,
         service: &str,
--- a/src/policy/granted/exchange/retry_budget.rs
+++ b/src/policy/granted/exchange/retry_budget.rs
@@ -23,7 +23,7 @@
     }
 
     /// Takes one retry. Returns whether there was one left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take_retry(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
         }
