--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -147,12 +147,12 @@
 
     /// Counts a first attempt towards the retry budget.
     pub fn count_request(&self) {
-        self.budget.lock().expect("budget lock").request();
+        self.budget.lock().expect("budget lock").record_request();
     }
 
     /// Takes a retry from the budget.
     pub fn take_retry(&self) -> bool {
-        self.budget.lock().expect("budget lock").take()
+        self.budget.lock().expect("budget lock").try_take_retry()
     }
 
     /// Waits for a grant, or to be given up. None if the router stops first.
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -206,10 +206,10 @@
         let now = Duration::from_millis(u64::from(step) * 10);
         let router = &mut retries[step as usize % routers];
         if step % 3 == 0 {
-            router.request(now, "s");
+            router.record_request(now, "s");
             requests.push(now);
         }
-        if router.take(now, "s", routers) {
+        if router.try_take_retry(now, "s", routers) {
             taken.push(now);
         }
     }
