--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -123,14 +123,14 @@
             match self.replicas.get_mut(&entry.id) {
                 Some(view) if view.entry.is_same_start(entry) => {
                     if !Arc::ptr_eq(&view.entry, entry) {
-                        view.start_pace.told(now, entry.slow_for);
+                        view.start_pace.set_remaining(now, entry.slow_for);
                     }
                     view.entry = entry.clone();
                 }
                 known => {
                     restarted.extend(known.map(|_| entry.id.clone()));
                     let mut view = ReplicaView::new(entry.clone());
-                    view.start_pace.told(now, entry.slow_for);
+                    view.start_pace.set_remaining(now, entry.slow_for);
                     self.replicas.insert(entry.id.clone(), view);
                 }
             }
--- a/src/policy/direct/slow_start/slow_start_state.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -22,7 +22,7 @@
 
     /// Sets the remaining time of slow start as reported by the replica, in place of earlier
     /// reports and assumptions.
-    pub fn told(
+    pub fn set_remaining(
         &mut self,
         now: Moment,
         left: Duration,
