--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -73,7 +73,7 @@
         let views = self.replicas.values();
         let of_service = views.filter(|view| &*view.entry.service == service);
         let slow = of_service.filter(|view| self.slow_limit(now, view).is_some());
-        slow.map(|view| view.start_pace.left(now)).min()
+        slow.map(|view| view.start_pace.remaining(now)).min()
     }
 
     /// The limit that binds at a replica now; none if it is not slow.
--- a/src/policy/direct/slow_start/slow_start_state.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -50,7 +50,7 @@
     }
 
     /// How much longer the replica is in slow start, or may be.
-    pub fn left(
+    pub fn remaining(
         &self,
         now: Moment,
     ) -> Duration {
