--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -67,7 +67,7 @@
         let is_slow =
             view.start_pace.is_slow(now) && self.start_limits.contains_key(&view.entry.service);
         if is_slow {
-            view.start_pace.sent(now);
+            view.start_pace.record_send(now);
         }
         let work = Work {
             is_counted: is_slow,
--- a/src/policy/direct/slow_start/slow_start_state.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -69,7 +69,7 @@
     }
 
     /// Counts a request as sent.
-    pub fn sent(
+    pub fn record_send(
         &mut self,
         now: Moment,
     ) {
