--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -121,7 +121,7 @@
             view.cache = PrefixCache::default();
             if let Some(limit) = limit {
                 view.start_pace
-                    .assume_restarted(now, limit.lasts + LONGEST_ABSENCE);
+                    .assume_restarted(now, limit.duration + LONGEST_ABSENCE);
             }
         }
     }
--- a/src/policy/direct/slow_start/slow_start_limit.rs
+++ b/src/policy/direct/slow_start/slow_start_limit.rs
@@ -14,8 +14,8 @@
 /// Limit on what one router sends to a replica that has just started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlowStartLimit {
-    pub per_second: u32, // requests
-    pub lasts: Duration, // how long a replica's slow start takes
+    pub per_second: u32,    // requests
+    pub duration: Duration, // how long a replica's slow start takes
 }
 
 impl SlowStartBounds {
@@ -25,7 +25,7 @@
     pub fn limit(
         &self,
         per_second: f64,
-        lasts: Duration,
+        duration: Duration,
     ) -> Option<SlowStartLimit> {
         if per_second <= 0.0 {
             return None;
@@ -36,7 +36,7 @@
             .max(if total >= 1.0 { 1.0 } else { 0.0 });
         Some(SlowStartLimit {
             per_second: per_router.min(f64::from(u32::MAX)) as u32,
-            lasts,
+            duration,
         })
     }
 }
