--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -52,7 +52,7 @@
             .ends
             .iter()
             .any(|end| suspect.has_cleared(end.key, end.is_cleared));
-        let ends = note.ends.iter().map(|end| end.heard(now));
+        let ends = note.ends.iter().map(|end| end.received_at(now));
         let added = ends.filter(|end| suspect.record(*end)).count();
         let hold = self.refresh_hold(note.request);
         if is_cleared_here {
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -41,7 +41,7 @@
     }
 
     /// The crash, if the message was received at `now`.
-    pub fn heard(
+    pub fn received_at(
         &self,
         now: Moment,
     ) -> CrashedAttempt {
