--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -114,7 +114,7 @@
             return None;
         }
         let replica = run.entry.start_name();
-        let end = CrashedAttempt::seen(
+        let end = CrashedAttempt::observed(
             rand::random(),
             replica,
             run.sent,
--- a/src/policy/direct/suspects/crashed_attempt.rs
+++ b/src/policy/direct/suspects/crashed_attempt.rs
@@ -18,7 +18,7 @@
 
 impl CrashedAttempt {
     /// An attempt whose replica crashed `now`, as seen by this router.
-    pub fn seen(
+    pub fn observed(
         key: u32,
         replica: u32,
         began: Moment,
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -26,7 +26,7 @@
     began: u64,
     ended: u64,
 ) -> CrashedAttempt {
-    CrashedAttempt::seen(key, key, ms(began), None, ms(ended))
+    CrashedAttempt::observed(key, key, ms(began), None, ms(ended))
 }
 
 /// A book in which runs of the request ended with their replicas.
@@ -68,11 +68,11 @@
 fn one_replica_that_ends_under_several_copies_counts_once() {
     let mut book = SuspectTracker::default();
     for (key, began) in [(1, 998), (2, 999), (3, 1001)] {
-        let end = CrashedAttempt::seen(key, 7, ms(began), None, ms(began + 2));
+        let end = CrashedAttempt::observed(key, 7, ms(began), None, ms(began + 2));
         book.record_crash(NOW, REQUEST, ACCOUNT, end);
     }
     assert!(!is_held(&book, ms(1100)));
-    let later = CrashedAttempt::seen(4, 7, ms(2500), None, ms(2600));
+    let later = CrashedAttempt::observed(4, 7, ms(2500), None, ms(2600));
     book.record_crash(NOW, REQUEST, ACCOUNT, later);
     assert!(is_held(&book, ms(2600)), "it came back, and ended again");
 }
@@ -83,7 +83,7 @@
     for key in 0..4u32 {
         let began = u64::from(key) * 3000;
         let end =
-            CrashedAttempt::seen(key, key, ms(began), Some(ms(began + 100)), ms(began + 2000));
+            CrashedAttempt::observed(key, key, ms(began), Some(ms(began + 100)), ms(began + 2000));
         assert!(!is_held(&book, ms(began)));
         book.record_crash(NOW, REQUEST, ACCOUNT, end);
     }
