--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -143,7 +143,7 @@
     log::warn!(
         request_id = request_id, request = request.to_string().as_str(), ends = hold.ends,
         last_end_ms = hold.since.ago_ms(now),
-        for_ms = hold.until.left(now).as_millis() as u64, from = from;
+        for_ms = hold.until.remaining(now).as_millis() as u64, from = from;
         "request held back: replicas ended under it"
     );
 }
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -118,7 +118,7 @@
             account: name(held.account),
             ends: held.hold.ends,
             since_ms: held.hold.since.ago_ms(now).into(),
-            left_ms: held.hold.until.left(now).as_millis() as u64,
+            left_ms: held.hold.until.remaining(now).as_millis() as u64,
         });
         held.collect()
     }
--- a/src/policy/direct/suspects/hold.rs
+++ b/src/policy/direct/suspects/hold.rs
@@ -37,14 +37,14 @@
 
     /// The remaining time of the hold, or of the trial that was let through at `trial` after
     /// it. `None` if the request may be tried.
-    pub fn left(
+    pub fn remaining(
         &self,
         now: Moment,
         trial: Option<Moment>,
     ) -> Option<Duration> {
         let trial = trial.map(|at| SignedMoment::from(at).plus(TRIAL_TIME));
         let until = trial.map_or(self.until, |trial| trial.max(self.until));
-        let left = until.left(now);
+        let left = until.remaining(now);
         (!left.is_zero()).then_some(left)
     }
 }
--- a/src/policy/direct/suspects/signed_moment.rs
+++ b/src/policy/direct/suspects/signed_moment.rs
@@ -32,7 +32,7 @@
     }
 
     /// The time until this moment; zero once it has passed.
-    pub fn left(
+    pub fn remaining(
         self,
         now: Moment,
     ) -> Duration {
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -89,7 +89,7 @@
         if self.exempt.contains(&request) {
             return None;
         }
-        let left = hold.left(now, suspect.trial);
+        let left = hold.remaining(now, suspect.trial);
         if left.is_none() {
             suspect.trial = Some(now);
         }
@@ -122,7 +122,7 @@
             let suspect = self.suspects.get(request)?;
             let hold = suspect
                 .hold()
-                .filter(|hold| hold.left(now, None).is_some())?;
+                .filter(|hold| hold.remaining(now, None).is_some())?;
             let is_held = !self.exempt.contains(request);
             is_held.then_some(HeldRequest {
                 request: *request,
@@ -144,7 +144,11 @@
                 true => HELD_RETENTION,
                 false => RETENTION,
             };
-            !suspect.last_crash().plus(retention).left(now).is_zero()
+            !suspect
+                .last_crash()
+                .plus(retention)
+                .remaining(now)
+                .is_zero()
         });
         let known = &self.suspects;
         self.with_hold.retain(|request| known.contains_key(request));
