--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -141,7 +141,7 @@
     from: &str,
 ) {
     log::warn!(
-        request_id = request_id, request = request.to_string().as_str(), ends = hold.ends,
+        request_id = request_id, request = request.to_string().as_str(), ends = hold.crashes,
         last_end_ms = hold.since.ago_ms(now),
         for_ms = hold.until.remaining(now).as_millis() as u64, from = from;
         "request held back: replicas ended under it"
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -116,7 +116,7 @@
         let held = held.into_iter().map(|held| HeldStatus {
             request: held.request.to_string(),
             account: name(held.account),
-            ends: held.hold.ends,
+            ends: held.hold.crashes,
             since_ms: held.hold.since.ago_ms(now).into(),
             left_ms: held.hold.until.remaining(now).as_millis() as u64,
         });
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -49,11 +49,11 @@
         let suspect = suspect.or_insert_with(|| Suspect::new(note.account));
         let before = suspect.hold();
         let is_cleared_here = note
-            .ends
+            .crashes
             .iter()
             .any(|end| suspect.has_cleared(end.key, end.is_cleared));
-        let ends = note.ends.iter().map(|end| end.received_at(now));
-        let added = ends.filter(|end| suspect.record(*end)).count();
+        let crashes = note.crashes.iter().map(|end| end.received_at(now));
+        let added = crashes.filter(|end| suspect.record(*end)).count();
         let hold = self.refresh_hold(note.request);
         if is_cleared_here {
             self.queue_update(note.request);
@@ -61,7 +61,7 @@
         if added > 0 && scope == ReporterScope::Router {
             self.zone_updates.insert(note.request, SENDS_PER_UPDATE);
         }
-        hold.filter(|hold| before.is_none_or(|before| before.ends < hold.ends))
+        hold.filter(|hold| before.is_none_or(|before| before.crashes < hold.crashes))
     }
 
     /// The next updates to send to the routers of this zone: evidence of this router.
@@ -99,8 +99,8 @@
             Some(SuspectReport {
                 request: *request,
                 account: suspect.account,
-                ends: suspect
-                    .ends
+                crashes: suspect
+                    .crashes
                     .iter()
                     .map(|end| CrashReport::new(now, end))
                     .collect(),
--- a/src/policy/direct/suspects/hold.rs
+++ b/src/policy/direct/suspects/hold.rs
@@ -16,7 +16,7 @@
 /// Why, since when and until when a request is held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
-    pub ends: usize, // replicas that crashed while running it, one after the other
+    pub crashes: usize, // replicas that crashed while running it, one after the other
     pub since: SignedMoment, // the last crash
     pub until: SignedMoment,
 }
@@ -24,12 +24,14 @@
 impl Hold {
     /// The hold after this many crashes, the last of them at `since`; `None` for too few.
     pub fn after(
-        ends: usize,
+        crashes: usize,
         since: SignedMoment,
     ) -> Option<Self> {
-        let (_, time) = HOLD_TIMES.into_iter().rfind(|(least, _)| ends >= *least)?;
+        let (_, time) = HOLD_TIMES
+            .into_iter()
+            .rfind(|(least, _)| crashes >= *least)?;
         Some(Self {
-            ends,
+            crashes,
             since,
             until: since.plus(time),
         })
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -21,9 +21,9 @@
 /// A request during which replicas crashed.
 #[derive(Debug, Clone)]
 pub(super) struct Suspect {
-    pub account: u32,              // hash of its name
-    pub ends: Vec<CrashedAttempt>, // ordered by the time of the crash
-    pub trial: Option<Moment>,     // when it was last let through after a hold
+    pub account: u32,                 // hash of its name
+    pub crashes: Vec<CrashedAttempt>, // ordered by the time of the crash
+    pub trial: Option<Moment>,        // when it was last let through after a hold
 }
 
 impl Suspect {
@@ -31,7 +31,7 @@
     pub fn new(account: u32) -> Self {
         Self {
             account,
-            ends: Vec::new(),
+            crashes: Vec::new(),
             trial: None,
         }
     }
@@ -41,20 +41,20 @@
         &mut self,
         end: CrashedAttempt,
     ) -> bool {
-        if let Some(known) = self.ends.iter_mut().find(|known| known.key == end.key) {
+        if let Some(known) = self.crashes.iter_mut().find(|known| known.key == end.key) {
             let is_new = end.is_cleared && !known.is_cleared;
             known.is_cleared |= end.is_cleared;
             return is_new;
         }
-        self.ends.push(end);
-        self.ends.sort_by_key(|end| (end.ended, end.key));
+        self.crashes.push(end);
+        self.crashes.sort_by_key(|end| (end.ended, end.key));
         if !end.is_cleared {
             self.trial = None;
         }
-        if self.ends.len() > MAX_CRASHES {
-            let least = (0..self.ends.len())
-                .min_by_key(|index| (Reverse(self.ends[*index].is_cleared), *index));
-            self.ends.remove(least.expect("more than none"));
+        if self.crashes.len() > MAX_CRASHES {
+            let least = (0..self.crashes.len())
+                .min_by_key(|index| (Reverse(self.crashes[*index].is_cleared), *index));
+            self.crashes.remove(least.expect("more than none"));
         }
         true
     }
@@ -63,7 +63,7 @@
     /// whether any did.
     pub fn clear(&mut self) -> bool {
         self.trial = None;
-        let counted = self.ends.iter_mut().filter(|end| !end.is_cleared);
+        let counted = self.crashes.iter_mut().filter(|end| !end.is_cleared);
         counted.map(|end| end.is_cleared = true).count() > 0
     }
 
@@ -73,24 +73,24 @@
         key: u32,
         is_excused_there: bool,
     ) -> bool {
-        let known = self.ends.iter().find(|end| end.key == key);
+        let known = self.crashes.iter().find(|end| end.key == key);
         !is_excused_there && known.is_some_and(|known| known.is_cleared)
     }
 
     /// Whether any crash counts against the request.
     pub fn is_suspected(&self) -> bool {
-        self.ends.iter().any(|end| !end.is_cleared)
+        self.crashes.iter().any(|end| !end.is_cleared)
     }
 
     /// When the last replica crashed while running it.
     pub fn last_crash(&self) -> SignedMoment {
-        let last = self.ends.last();
+        let last = self.crashes.last();
         last.map_or(Moment::ZERO.into(), |end| end.ended)
     }
 
     /// The hold that follows from its crashes.
     pub fn hold(&self) -> Option<Hold> {
-        let counted = self.ends.iter().filter(|end| !end.is_cleared);
+        let counted = self.crashes.iter().filter(|end| !end.is_cleared);
         let since = counted.clone().next_back()?.ended;
         let early = count_consecutive(counted.clone().filter(|end| end.is_early));
         let all = count_consecutive(counted);
@@ -100,9 +100,9 @@
 
 /// The number of crashes whose attempts followed each other. Replicas that crash together, each
 /// while running a copy of the request, count once, and so does one replica that runs several.
-fn count_consecutive<'e>(ends: impl Iterator<Item = &'e CrashedAttempt>) -> usize {
+fn count_consecutive<'e>(crashes: impl Iterator<Item = &'e CrashedAttempt>) -> usize {
     let mut counted: Vec<&CrashedAttempt> = Vec::new();
-    for end in ends {
+    for end in crashes {
         let follows = counted
             .last()
             .is_none_or(|last| end.began.plus(REPORT_DELAY) >= last.ended);
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -10,7 +10,7 @@
 pub struct SuspectReport {
     pub request: RequestDigest,
     pub account: u32, // hash of its name
-    pub ends: Vec<CrashReport>,
+    pub crashes: Vec<CrashReport>,
 }
 
 /// One crash, with ages in place of moments, since moments of two processes cannot be compared.
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -191,9 +191,9 @@
         };
         let of_account = self.suspects.iter().filter(|(_, it)| it.account == full);
         let least = of_account.min_by_key(|(request, suspect)| {
-            let ends = suspect.hold().map_or(0, |hold| hold.ends);
+            let crashes = suspect.hold().map_or(0, |hold| hold.crashes);
             (
-                ends,
+                crashes,
                 suspect.is_suspected(),
                 suspect.last_crash(),
                 **request,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -123,7 +123,7 @@
         notes: vec![SuspectReport {
             request: RequestDigest::new("POST", "/a/b", "lot", b"body"),
             account: 13,
-            ends: vec![end],
+            crashes: vec![end],
         }],
     })
 }
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -249,7 +249,7 @@
     let note = prop::collection::vec(end, 0..4).prop_map(|ends| SuspectReport {
         request: REQUEST,
         account: ACCOUNT,
-        ends,
+        crashes: ends,
     });
     prop::collection::vec(note, 0..8)
 }
