--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/book_notes.rs
@@ -51,9 +51,9 @@
         let is_cleared_here = note
             .crashes
             .iter()
-            .any(|end| suspect.has_cleared(end.key, end.is_cleared));
-        let crashes = note.crashes.iter().map(|end| end.received_at(now));
-        let added = crashes.filter(|end| suspect.record(*end)).count();
+            .any(|crash| suspect.has_cleared(crash.key, crash.is_cleared));
+        let crashes = note.crashes.iter().map(|crash| crash.received_at(now));
+        let added = crashes.filter(|crash| suspect.record(*crash)).count();
         let hold = self.refresh_hold(note.request);
         if is_cleared_here {
             self.queue_update(note.request);
@@ -102,7 +102,7 @@
                 crashes: suspect
                     .crashes
                     .iter()
-                    .map(|end| CrashReport::new(now, end))
+                    .map(|crash| CrashReport::new(now, crash))
                     .collect(),
             })
         });
--- a/src/policy/direct/suspects/crashed_attempt.rs
+++ b/src/policy/direct/suspects/crashed_attempt.rs
@@ -8,12 +8,12 @@
 /// An attempt at a request that was running when its replica crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CrashedAttempt {
-    pub key: u32,            // random, drawn by the router that saw the crash
-    pub replica: u32,        // hash of the id and start of the replica
-    pub began: SignedMoment, // when the request was sent to the replica
-    pub ended: SignedMoment, // when the replica crashed
-    pub is_early: bool,      // no event had arrived, or only for a short time
-    pub is_cleared: bool,    // the request got a complete answer since
+    pub key: u32,                 // random, drawn by the router that saw the crash
+    pub replica: u32,             // hash of the id and start of the replica
+    pub started_at: SignedMoment, // when the request was sent to the replica
+    pub crashed_at: SignedMoment, // when the replica crashed
+    pub is_early: bool,           // no event had arrived, or only for a short time
+    pub is_cleared: bool,         // the request got a complete answer since
 }
 
 impl CrashedAttempt {
@@ -21,7 +21,7 @@
     pub fn observed(
         key: u32,
         replica: u32,
-        began: Moment,
+        started_at: Moment,
         first_event: Option<Moment>,
         now: Moment,
     ) -> Self {
@@ -29,8 +29,8 @@
         Self {
             key,
             replica,
-            began: began.into(),
-            ended: now.into(),
+            started_at: started_at.into(),
+            crashed_at: now.into(),
             is_early,
             is_cleared: false,
         }
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -39,16 +39,17 @@
     /// Records a crash, or that a known one is excused. Returns whether that is new.
     pub fn record(
         &mut self,
-        end: CrashedAttempt,
+        crash: CrashedAttempt,
     ) -> bool {
-        if let Some(known) = self.crashes.iter_mut().find(|known| known.key == end.key) {
-            let is_new = end.is_cleared && !known.is_cleared;
-            known.is_cleared |= end.is_cleared;
+        if let Some(known) = self.crashes.iter_mut().find(|known| known.key == crash.key) {
+            let is_new = crash.is_cleared && !known.is_cleared;
+            known.is_cleared |= crash.is_cleared;
             return is_new;
         }
-        self.crashes.push(end);
-        self.crashes.sort_by_key(|end| (end.ended, end.key));
-        if !end.is_cleared {
+        self.crashes.push(crash);
+        self.crashes
+            .sort_by_key(|crash| (crash.crashed_at, crash.key));
+        if !crash.is_cleared {
             self.trial = None;
         }
         if self.crashes.len() > MAX_CRASHES {
@@ -63,8 +64,8 @@
     /// whether any did.
     pub fn clear(&mut self) -> bool {
         self.trial = None;
-        let counted = self.crashes.iter_mut().filter(|end| !end.is_cleared);
-        counted.map(|end| end.is_cleared = true).count() > 0
+        let counted = self.crashes.iter_mut().filter(|crash| !crash.is_cleared);
+        counted.map(|crash| crash.is_cleared = true).count() > 0
     }
 
     /// Whether a crash is excused here that another router still counts.
@@ -73,26 +74,26 @@
         key: u32,
         is_excused_there: bool,
     ) -> bool {
-        let known = self.crashes.iter().find(|end| end.key == key);
+        let known = self.crashes.iter().find(|crash| crash.key == key);
         !is_excused_there && known.is_some_and(|known| known.is_cleared)
     }
 
     /// Whether any crash counts against the request.
     pub fn is_suspected(&self) -> bool {
-        self.crashes.iter().any(|end| !end.is_cleared)
+        self.crashes.iter().any(|crash| !crash.is_cleared)
     }
 
     /// When the last replica crashed while running it.
     pub fn last_crash(&self) -> SignedMoment {
         let last = self.crashes.last();
-        last.map_or(Moment::ZERO.into(), |end| end.ended)
+        last.map_or(Moment::ZERO.into(), |crash| crash.crashed_at)
     }
 
     /// The hold that follows from its crashes.
     pub fn hold(&self) -> Option<Hold> {
-        let counted = self.crashes.iter().filter(|end| !end.is_cleared);
-        let since = counted.clone().next_back()?.ended;
-        let early = count_consecutive(counted.clone().filter(|end| end.is_early));
+        let counted = self.crashes.iter().filter(|crash| !crash.is_cleared);
+        let since = counted.clone().next_back()?.crashed_at;
+        let early = count_consecutive(counted.clone().filter(|crash| crash.is_early));
         let all = count_consecutive(counted);
         Hold::after(early.max(all / LATE_PER_EARLY), since)
     }
@@ -102,15 +103,15 @@
 /// while running a copy of the request, count once, and so does one replica that runs several.
 fn count_consecutive<'e>(crashes: impl Iterator<Item = &'e CrashedAttempt>) -> usize {
     let mut counted: Vec<&CrashedAttempt> = Vec::new();
-    for end in crashes {
+    for crash in crashes {
         let follows = counted
             .last()
-            .is_none_or(|last| end.began.plus(REPORT_DELAY) >= last.ended);
-        let is_known = counted
-            .iter()
-            .any(|known| known.replica == end.replica && known.ended.plus(SAME_CRASH) >= end.ended);
+            .is_none_or(|last| crash.started_at.plus(REPORT_DELAY) >= last.crashed_at);
+        let is_known = counted.iter().any(|known| {
+            known.replica == crash.replica && known.crashed_at.plus(SAME_CRASH) >= crash.crashed_at
+        });
         if follows && !is_known {
-            counted.push(end);
+            counted.push(crash);
         }
     }
     counted.len()
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -28,15 +28,15 @@
     /// A crash as it is sent to other routers now.
     pub fn new(
         now: Moment,
-        end: &CrashedAttempt,
+        crash: &CrashedAttempt,
     ) -> Self {
         Self {
-            key: end.key,
-            replica: end.replica,
-            began_ms: end.began.ago_ms(now),
-            ended_ms: end.ended.ago_ms(now),
-            is_early: end.is_early,
-            is_cleared: end.is_cleared,
+            key: crash.key,
+            replica: crash.replica,
+            began_ms: crash.started_at.ago_ms(now),
+            ended_ms: crash.crashed_at.ago_ms(now),
+            is_early: crash.is_early,
+            is_cleared: crash.is_cleared,
         }
     }
 
@@ -48,8 +48,8 @@
         CrashedAttempt {
             key: self.key,
             replica: self.replica,
-            began: SignedMoment::before(now, self.began_ms),
-            ended: SignedMoment::before(now, self.ended_ms),
+            started_at: SignedMoment::before(now, self.began_ms),
+            crashed_at: SignedMoment::before(now, self.ended_ms),
             is_early: self.is_early,
             is_cleared: self.is_cleared,
         }
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -66,13 +66,13 @@
         now: Moment,
         request: RequestDigest,
         account: u32,
-        mut end: CrashedAttempt,
+        mut crash: CrashedAttempt,
     ) -> Option<Hold> {
-        end.is_cleared |= self.answered.is_answered(now, request);
+        crash.is_cleared |= self.answered.is_answered(now, request);
         self.evict_for(account, request);
         let suspect = self.suspects.entry(request);
         let suspect = suspect.or_insert_with(|| Suspect::new(account));
-        suspect.record(end);
+        suspect.record(crash);
         self.queue_update(request);
         self.refresh_hold(request)
     }
