--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -5,7 +5,6 @@
 //! evidence, and a complete answer at any router clears the request for a while.
 
 mod answered_requests;
-mod book_notes;
 mod crashed_attempt;
 mod hold;
 mod request_digest;
@@ -13,6 +12,7 @@
 mod suspect;
 mod suspect_report;
 mod suspect_tracker;
+mod tracker_reports;
 
 pub use {
     crashed_attempt::CrashedAttempt,
--- a/src/policy/direct/suspects/book_notes.rs
+++ b/src/policy/direct/suspects/tracker_reports.rs
@@ -29,11 +29,11 @@
         &mut self,
         now: Moment,
         scope: ReporterScope,
-        notes: &[SuspectReport],
+        reports: &[SuspectReport],
     ) -> Vec<(RequestDigest, Hold)> {
-        let newly_held = notes.iter().filter_map(|note| {
-            let hold = self.apply_one(now, scope, note)?;
-            Some((note.request, hold))
+        let newly_held = reports.iter().filter_map(|report| {
+            let hold = self.apply_one(now, scope, report)?;
+            Some((report.request, hold))
         });
         newly_held.collect()
     }
@@ -42,24 +42,24 @@
         &mut self,
         now: Moment,
         scope: ReporterScope,
-        note: &SuspectReport,
+        report: &SuspectReport,
     ) -> Option<Hold> {
-        self.make_room(note.account, note.request);
-        let suspect = self.suspects.entry(note.request);
-        let suspect = suspect.or_insert_with(|| Suspect::new(note.account));
+        self.make_room(report.account, report.request);
+        let suspect = self.suspects.entry(report.request);
+        let suspect = suspect.or_insert_with(|| Suspect::new(report.account));
         let before = suspect.hold();
-        let is_cleared_here = note
+        let is_cleared_here = report
             .crashes
             .iter()
             .any(|crash| suspect.has_cleared(crash.key, crash.is_cleared));
-        let crashes = note.crashes.iter().map(|crash| crash.received_at(now));
+        let crashes = report.crashes.iter().map(|crash| crash.received_at(now));
         let added = crashes.filter(|crash| suspect.record(*crash)).count();
-        let hold = self.refresh_hold(note.request);
+        let hold = self.refresh_hold(report.request);
         if is_cleared_here {
-            self.queue_update(note.request);
+            self.queue_update(report.request);
         }
         if added > 0 && scope == ReporterScope::Router {
-            self.zone_updates.insert(note.request, SENDS_PER_UPDATE);
+            self.zone_updates.insert(report.request, SENDS_PER_UPDATE);
         }
         hold.filter(|hold| before.is_none_or(|before| before.crashes < hold.crashes))
     }
