--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -19,7 +19,7 @@
         replica: &UpstreamEntry,
         notice: ReplicaNotice,
     ) -> bool {
-        self.notices.hear(now, unix_ms, replica, notice)
+        self.notices.apply_notice(now, unix_ms, replica, notice)
     }
 
     /// Replicas that said to this router that they leave, by their starts' short names.
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -21,7 +21,7 @@
 impl NoticeTracker {
     /// Applies a notice of a replica, received at `unix_ms` by this host's clock. Returns
     /// whether it changes anything: the replica leaves, or a backoff begins.
-    pub fn hear(
+    pub fn apply_notice(
         &mut self,
         now: Moment,
         unix_ms: u64,
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -60,8 +60,8 @@
     let old = replica("a", Some(SAID - 60_000));
     let new = replica("a", Some(SAID + 2_000));
     let other = replica("b", None);
-    assert!(book.hear(at(1.0), SAID, &old, LEAVES));
-    assert!(!book.hear(at(2.0), SAID, &old, LEAVES));
+    assert!(book.apply_notice(at(1.0), SAID, &old, LEAVES));
+    assert!(!book.apply_notice(at(2.0), SAID, &old, LEAVES));
     book.set_listed(at(1000.0), &[old.clone(), other.clone()]);
     assert!(!permits(&book, at(1000.0), &old));
     assert!(permits(&book, at(1000.0), &new));
@@ -74,8 +74,8 @@
     let mut book = NoticeTracker::default();
     let listed = replica("a", Some(SAID - 60_000));
     let speaker = replica("a", Some(SAID - 500));
-    book.hear(at(1.0), SAID, &listed, LEAVES);
-    book.hear(at(1.0), SAID, &listed, rests(30.0));
+    book.apply_notice(at(1.0), SAID, &listed, LEAVES);
+    book.apply_notice(at(1.0), SAID, &listed, rests(30.0));
     book.set_listed(at(5.0), std::slice::from_ref(&speaker));
     assert!(!permits(&book, at(5.0), &speaker));
     assert_eq!(
@@ -90,7 +90,7 @@
 fn a_word_outlives_a_lapse_of_its_entry_and_is_forgotten_long_after() {
     let mut book = NoticeTracker::default();
     let leaves = replica("a", None);
-    book.hear(at(1.0), SAID, &leaves, LEAVES);
+    book.apply_notice(at(1.0), SAID, &leaves, LEAVES);
     book.set_listed(at(2.0), &[]);
     book.set_listed(at(300.0), std::slice::from_ref(&leaves));
     book.set_listed(at(700.0), &[]);
@@ -103,8 +103,8 @@
 fn the_latest_end_of_several_rests_counts() {
     let mut book = NoticeTracker::default();
     let tired = replica("a", Some(1));
-    assert!(book.hear(at(0.0), SAID, &tired, rests(3.0)));
-    assert!(!book.hear(at(1.0), SAID, &tired, rests(0.5)));
+    assert!(book.apply_notice(at(0.0), SAID, &tired, rests(3.0)));
+    assert!(!book.apply_notice(at(1.0), SAID, &tired, rests(0.5)));
     book.set_listed(at(2.0), &[]);
     assert_eq!(
         book.backoff_remaining(at(2.0), &tired),
@@ -112,7 +112,7 @@
     );
     assert!(!permits(&book, at(2.9), &tired));
     assert!(permits(&book, at(3.0), &tired));
-    assert!(book.hear(at(3.0), SAID, &tired, rests(1.0)));
+    assert!(book.apply_notice(at(3.0), SAID, &tired, rests(1.0)));
 }
 
 /// A replica's refusal with no sensible `Retry-After` took it out for ten minutes.
@@ -162,7 +162,7 @@
     for text in ["31", "601", "99999999999999999999", &"9".repeat(400)] {
         let mut book = NoticeTracker::default();
         let tired = replica("a", None);
-        book.hear(at(0.0), SAID, &tired, turned_away(text));
+        book.apply_notice(at(0.0), SAID, &tired, turned_away(text));
         assert!(!permits(&book, at(29.9), &tired), "{text}");
         assert!(permits(&book, at(30.0), &tired), "{text}");
     }
