--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -51,7 +51,7 @@
     ) -> bool {
         let view = self.replicas.get(&replica.id);
         let is_ready = view.is_some_and(|view| view.entry.state == UpstreamState::Ready);
-        !is_ready || self.notices.leaves(now, replica)
+        !is_ready || self.notices.is_leaving(now, replica)
     }
 
     /// A request ended well at a replica.
--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -51,7 +51,8 @@
         now: Moment,
         replica: &UpstreamEntry,
     ) -> bool {
-        !self.notices.leaves(now, replica) && self.notices.backoff_remaining(now, replica).is_zero()
+        !self.notices.is_leaving(now, replica)
+            && self.notices.backoff_remaining(now, replica).is_zero()
     }
 
     /// How long until the first replica of a service takes requests again, of those that do
@@ -66,7 +67,7 @@
             .filter(|view| &*view.entry.service == service)
             .filter(|view| view.entry.state == UpstreamState::Ready)
             .filter(|view| !self.is_cordoned(&view.entry))
-            .filter(|view| !self.notices.leaves(now, &view.entry));
+            .filter(|view| !self.notices.is_leaving(now, &view.entry));
         stay.map(|view| self.notices.backoff_remaining(now, &view.entry))
             .min()
     }
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether a replica said that it leaves.
-    pub fn leaves(
+    pub fn is_leaving(
         &self,
         now: Moment,
         replica: &UpstreamEntry,
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -48,7 +48,7 @@
     now: Moment,
     replica: &UpstreamEntry,
 ) -> bool {
-    !book.leaves(now, replica) && book.backoff_remaining(now, replica).is_zero()
+    !book.is_leaving(now, replica) && book.backoff_remaining(now, replica).is_zero()
 }
 
 /// When the words of these tests are said, in unix milliseconds.
