--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -40,7 +40,7 @@
     if !is_news {
         return;
     }
-    if notice.leaves {
+    if notice.is_leaving {
         // An answer on a connection that a fellow handed on tells that one nothing.
         gateway.report_wanted.notify_one();
     }
@@ -49,7 +49,7 @@
         replica = &*replica.id,
         born = replica.born,
         service = &*replica.service,
-        leaves = notice.leaves,
+        leaves = notice.is_leaving,
         rest_ms = notice.rest.as_millis() as u64,
         upstreams_at = gateway.catalog.version().upstreams;
         "replica said of itself"
--- a/src/policy/notices/incarnation_notice.rs
+++ b/src/policy/notices/incarnation_notice.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct IncarnationNotice {
     pub born: Option<u64>, // start time of the incarnation that was listed then
-    pub leaves: bool,
+    pub is_leaving: bool,
     pub was_received_here: bool, // that it leaves, and not only by a peer
     backoff_until: Moment,       // it wants no requests until then
     said_ms: u64,                // the last notice, unix milliseconds
@@ -23,7 +23,7 @@
     pub fn of(born: Option<u64>) -> Self {
         Self {
             born,
-            leaves: false,
+            is_leaving: false,
             was_received_here: false,
             backoff_until: Moment::ZERO,
             said_ms: 0,
@@ -39,9 +39,9 @@
         notice: ReplicaNotice,
     ) -> bool {
         let begins_backoff = !notice.rest.is_zero() && self.backoff_remaining(now).is_zero();
-        let is_change = begins_backoff || (notice.leaves && !self.leaves);
-        self.leaves |= notice.leaves;
-        self.was_received_here |= notice.leaves;
+        let is_change = begins_backoff || (notice.is_leaving && !self.is_leaving);
+        self.is_leaving |= notice.is_leaving;
+        self.was_received_here |= notice.is_leaving;
         self.backoff_until = self.backoff_until.max(now + notice.rest);
         self.said_ms = unix_ms;
         is_change
@@ -53,7 +53,7 @@
         unix_ms: u64,
     ) -> bool {
         self.said_ms = self.said_ms.max(unix_ms);
-        !std::mem::replace(&mut self.leaves, true)
+        !std::mem::replace(&mut self.is_leaving, true)
     }
 
     /// The remaining time for which it wants no requests.
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -59,7 +59,8 @@
         now: Moment,
         replica: &UpstreamEntry,
     ) -> bool {
-        self.applicable(now, replica).any(|notice| notice.leaves)
+        self.applicable(now, replica)
+            .any(|notice| notice.is_leaving)
     }
 
     /// The remaining time for which a replica wants no requests.
@@ -93,7 +94,7 @@
             notices.retain_mut(|notice| {
                 notice.set_listed(now, listed == Some(&notice.born));
                 notice.unlisted_for(now) <= UNLISTED_RETENTION
-                    && (notice.leaves || !notice.backoff_remaining(now).is_zero())
+                    && (notice.is_leaving || !notice.backoff_remaining(now).is_zero())
             });
             !notices.is_empty()
         });
--- a/src/policy/notices/replica_notice.rs
+++ b/src/policy/notices/replica_notice.rs
@@ -3,30 +3,30 @@
 /// What the headers of an answer say about the replica that sent it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaNotice {
-    pub leaves: bool,   // it takes no new work, for good
-    pub rest: Duration, // it wants no requests of this process for so long; zero if not stated
+    pub is_leaving: bool, // it takes no new work, for good
+    pub rest: Duration,   // it wants no requests of this process for so long; zero if not stated
 }
 
 impl ReplicaNotice {
     /// A notice of whether the replica leaves, and for how long it wants no requests, if it
     /// stated that when it refused one.
     pub fn new(
-        leaves: bool,
+        is_leaving: bool,
         rest: Option<Duration>,
     ) -> Self {
         Self {
-            leaves,
+            is_leaving,
             rest: rest.unwrap_or_default(),
         }
     }
 
     /// The kind of notice, as a label in metrics.
     pub fn kind(&self) -> &'static str {
-        if self.leaves { "leaves" } else { "rests" }
+        if self.is_leaving { "leaves" } else { "rests" }
     }
 
     /// Whether the notice says nothing.
     pub fn is_empty(&self) -> bool {
-        !self.leaves && self.rest.is_zero()
+        !self.is_leaving && self.rest.is_zero()
     }
 }
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -19,7 +19,7 @@
         metrics::counter!(NOTICES, "says" => notice.kind()).increment(1);
         log::info!(
             request_id = request_id,
-            leaves = notice.leaves,
+            leaves = notice.is_leaving,
             rest_ms = notice.rest.as_millis() as u64;
             "the upstream said of itself"
         );
@@ -27,7 +27,7 @@
         if !notice.rest.is_zero() {
             self.rest(notice.rest);
         }
-        if notice.leaves {
+        if notice.is_leaving {
             tokio::spawn(self.clone().leave_with_upstream());
         }
     }
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -14,7 +14,7 @@
 };
 
 const LEAVES: ReplicaNotice = ReplicaNotice {
-    leaves: true,
+    is_leaving: true,
     rest: Duration::ZERO,
 };
 
