--- a/src/policy/direct/suspects/tracker_reports.rs
+++ b/src/policy/direct/suspects/tracker_reports.rs
@@ -44,7 +44,7 @@
         scope: ReporterScope,
         report: &SuspectReport,
     ) -> Option<Hold> {
-        self.make_room(report.account, report.request);
+        self.evict_for(report.account, report.request);
         let suspect = self.suspects.entry(report.request);
         let suspect = suspect.or_insert_with(|| Suspect::new(report.account));
         let before = suspect.hold();
