--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -50,7 +50,7 @@
         born = replica.born,
         service = &*replica.service,
         leaves = notice.is_leaving,
-        rest_ms = notice.rest.as_millis() as u64,
+        rest_ms = notice.backoff.as_millis() as u64,
         upstreams_at = gateway.catalog.version().upstreams;
         "replica said of itself"
     );
--- a/src/policy/notices/incarnation_notice.rs
+++ b/src/policy/notices/incarnation_notice.rs
@@ -38,11 +38,11 @@
         unix_ms: u64,
         notice: ReplicaNotice,
     ) -> bool {
-        let begins_backoff = !notice.rest.is_zero() && self.backoff_remaining(now).is_zero();
+        let begins_backoff = !notice.backoff.is_zero() && self.backoff_remaining(now).is_zero();
         let is_change = begins_backoff || (notice.is_leaving && !self.is_leaving);
         self.is_leaving |= notice.is_leaving;
         self.was_received_here |= notice.is_leaving;
-        self.backoff_until = self.backoff_until.max(now + notice.rest);
+        self.backoff_until = self.backoff_until.max(now + notice.backoff);
         self.said_ms = unix_ms;
         is_change
     }
--- a/src/policy/notices/replica_notice.rs
+++ b/src/policy/notices/replica_notice.rs
@@ -3,8 +3,8 @@
 /// What the headers of an answer say about the replica that sent it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaNotice {
-    pub is_leaving: bool, // it takes no new work, for good
-    pub rest: Duration,   // it wants no requests of this process for so long; zero if not stated
+    pub is_leaving: bool,  // it takes no new work, for good
+    pub backoff: Duration, // it wants no requests of this process for so long; zero if not stated
 }
 
 impl ReplicaNotice {
@@ -12,11 +12,11 @@
     /// stated that when it refused one.
     pub fn new(
         is_leaving: bool,
-        rest: Option<Duration>,
+        backoff: Option<Duration>,
     ) -> Self {
         Self {
             is_leaving,
-            rest: rest.unwrap_or_default(),
+            backoff: backoff.unwrap_or_default(),
         }
     }
 
@@ -27,6 +27,6 @@
 
     /// Whether the notice says nothing.
     pub fn is_empty(&self) -> bool {
-        !self.is_leaving && self.rest.is_zero()
+        !self.is_leaving && self.backoff.is_zero()
     }
 }
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -20,12 +20,12 @@
         log::info!(
             request_id = request_id,
             leaves = notice.is_leaving,
-            rest_ms = notice.rest.as_millis() as u64;
+            rest_ms = notice.backoff.as_millis() as u64;
             "the upstream said of itself"
         );
         // What the upstream was told to wait for is its own word, and no other may cut it short.
-        if !notice.rest.is_zero() {
-            self.rest(notice.rest);
+        if !notice.backoff.is_zero() {
+            self.backoff(notice.backoff);
         }
         if notice.is_leaving {
             tokio::spawn(self.clone().leave_with_upstream());
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -15,7 +15,7 @@
 
 const LEAVES: ReplicaNotice = ReplicaNotice {
     is_leaving: true,
-    rest: Duration::ZERO,
+    backoff: Duration::ZERO,
 };
 
 fn replica(
