--- a/src/policy/notices/replica_notice.rs
+++ b/src/policy/notices/replica_notice.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaNotice {
     pub is_leaving: bool,  // it takes no new work, for good
-    pub backoff: Duration, // it wants no requests of this process for so long; zero if not stated
+    pub backoff: Duration, // it wants no requests of this process for so long; zero if unset
 }
 
 impl ReplicaNotice {
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -25,7 +25,7 @@
         );
         // What the upstream was told to wait for is its own word, and no other may cut it short.
         if !notice.backoff.is_zero() {
-            self.backoff(notice.backoff);
+            self.rest(notice.backoff);
         }
         if notice.is_leaving {
             tokio::spawn(self.clone().leave_with_upstream());
