--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -144,7 +144,7 @@
         let now = self.now();
         let (pause, is_unconfirmed) = {
             let mut standstill = self.standstill.lock().expect("standstill lock");
-            (standstill.look(now), standstill.is_unconfirmed(now))
+            (standstill.check(now), standstill.is_unconfirmed(now))
         };
         if let Some(pause) = pause {
             metrics::counter!(PAUSES).increment(1);
--- a/src/policy/clock/suspension_guard.rs
+++ b/src/policy/clock/suspension_guard.rs
@@ -33,7 +33,7 @@
 
     /// Returns the length of the suspension that just ended, if there was one. Must be called
     /// far more often than the limit, and before any state is used.
-    pub fn look(
+    pub fn check(
         &mut self,
         now: Moment,
     ) -> Option<Duration> {
--- a/tests/standstill.rs
+++ b/tests/standstill.rs
@@ -12,16 +12,16 @@
 fn woken() -> SuspensionGuard {
     let mut standstill = SuspensionGuard::new(LIMIT, ms(0));
     for step in 1..=250 {
-        assert_eq!(standstill.look(ms(step * 20)), None);
+        assert_eq!(standstill.check(ms(step * 20)), None);
     }
-    assert_eq!(standstill.look(ms(10_000)), Some(ms(5000)));
+    assert_eq!(standstill.check(ms(10_000)), Some(ms(5000)));
     standstill
 }
 
 #[test]
 fn it_is_noticed_once_and_lasts_until_it_is_confirmed() {
     let mut standstill = woken();
-    assert_eq!(standstill.look(ms(10_020)), None);
+    assert_eq!(standstill.check(ms(10_020)), None);
     assert!(standstill.is_unconfirmed(ms(10_020)));
     standstill.confirm(ms(10_100));
     assert!(!standstill.is_unconfirmed(ms(10_100)));
@@ -44,6 +44,6 @@
 #[test]
 fn shorter_gaps_are_let_pass() {
     let mut standstill = SuspensionGuard::new(LIMIT, ms(0));
-    assert_eq!(standstill.look(ms(1500)), None);
+    assert_eq!(standstill.check(ms(1500)), None);
     assert!(!standstill.is_unconfirmed(ms(1500)));
 }
