--- a/src/policy/granted/totals/totals_aggregator.rs
+++ b/src/policy/granted/totals/totals_aggregator.rs
@@ -53,7 +53,7 @@
     /// `floor` is the least service per share among the accounts that wait at the reporting
     /// sidecar, `share` is that of the account.
     #[allow(clippy::too_many_arguments)]
-    pub fn report(
+    pub fn apply_report(
         &mut self,
         now: Moment,
         host: &Arc<str>,
