--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -248,7 +248,7 @@
                 .iter()
                 .map(|entry| {
                     let share = share_of(entry).unwrap_or(1.0);
-                    keeper.report(
+                    keeper.apply_report(
                         now,
                         &peer.host,
                         peer.incarnation,
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -54,7 +54,7 @@
         keeper: &mut TotalsAggregator,
     ) {
         let (host, incarnation, sequence, entry) = self.report();
-        let reply = keeper.report(GRACE, &host, incarnation, sequence, NO_FLOOR, 1.0, &entry);
+        let reply = keeper.apply_report(GRACE, &host, incarnation, sequence, NO_FLOOR, 1.0, &entry);
         self.heard = reply.total;
         self.included = reply.included;
     }
@@ -85,7 +85,7 @@
         let mut keeper = keeper();
         for index in &order {
             let (host, incarnation, sequence, entry) = index.get(&sent);
-            keeper.report(GRACE, host, *incarnation, *sequence, NO_FLOOR, 1.0, entry);
+            keeper.apply_report(GRACE, host, *incarnation, *sequence, NO_FLOOR, 1.0, entry);
         }
         for source in &mut sources {
             source.hear(&mut keeper);
@@ -157,7 +157,7 @@
     behind.hear(&mut keeper);
     let later = GRACE * 3;
     let (host, incarnation, sequence, entry) = behind.report();
-    let reply = keeper.report(
+    let reply = keeper.apply_report(
         later,
         &host,
         incarnation,
@@ -170,10 +170,10 @@
     let mut ahead = Source::new(2);
     ahead.own = 1e6;
     let (host, incarnation, sequence, entry) = ahead.report();
-    keeper.report(later, &host, incarnation, sequence, None, 1.0, &entry);
+    keeper.apply_report(later, &host, incarnation, sequence, None, 1.0, &entry);
     let much_later = later + GRACE * 3;
     let (host, incarnation, sequence, entry) = ahead.report();
-    let reply = keeper.report(
+    let reply = keeper.apply_report(
         much_later,
         &host,
         incarnation,
