--- a/src/policy/granted/dispatch/dispatcher.rs
+++ b/src/policy/granted/dispatch/dispatcher.rs
@@ -207,7 +207,7 @@
     }
 
     /// Applies a total that an aggregating router sent.
-    pub fn hear(
+    pub fn apply_total(
         &mut self,
         total: &TotalEntry,
     ) {
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -59,7 +59,7 @@
                 let mut table = self.table.lock().expect("table lock");
                 entries
                     .iter()
-                    .for_each(|entry| table.dispatcher.hear(entry));
+                    .for_each(|entry| table.dispatcher.apply_total(entry));
             }
             ControlMessage::Leaving => {
                 let mut membership = self.node.membership.lock().expect("membership lock");
