--- a/src/policy/granted/dispatch/dispatcher_arrivals.rs
+++ b/src/policy/granted/dispatch/dispatcher_arrivals.rs
@@ -7,7 +7,7 @@
 
 impl<R: Copy + Ord> Dispatcher<R> {
     /// Decides whether a request that reached the sidecar starts, waits for a slot or is refused.
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         now: Moment,
         arrival: &Arrival<R>,
--- a/src/sidecar/dispatch_table.rs
+++ b/src/sidecar/dispatch_table.rs
@@ -43,7 +43,7 @@
         now: Moment,
         arrival: &Arrival<RouterKey>,
     ) -> (Admission, Option<oneshot::Receiver<Turn>>) {
-        let admission = self.dispatcher.arrive(now, arrival);
+        let admission = self.dispatcher.admit(now, arrival);
         if admission == Admission::Start {
             self.set_out(arrival.exchange);
         }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -62,7 +62,7 @@
         let now = ms(step);
         while let Some((router, grant)) = dispatcher.next_grant(now) {
             exchange += 1;
-            dispatcher.arrive(
+            dispatcher.admit(
                 now,
                 &Arrival {
                     exchange,
@@ -127,7 +127,7 @@
                     let arrival = Arrival {
                         exchange, router, account: grant.account, grant: Some(grant.number),
                     };
-                    if !matches!(dispatcher.arrive(now, &arrival), Admission::Refused(_)) {
+                    if !matches!(dispatcher.admit(now, &arrival), Admission::Refused(_)) {
                         open.push(exchange);
                     }
                 },
@@ -158,9 +158,9 @@
         account: grant.account,
         grant: Some(grant.number),
     };
-    assert_eq!(dispatcher.arrive(ms(10), &arrival(1)), Admission::Start);
+    assert_eq!(dispatcher.admit(ms(10), &arrival(1)), Admission::Start);
     assert_eq!(
-        dispatcher.arrive(ms(11), &arrival(2)),
+        dispatcher.admit(ms(11), &arrival(2)),
         Admission::Refused(ResultCode::GrantExpired)
     );
     let (_, late) = dispatcher.next_grant(ms(20)).expect("room and demand");
@@ -171,7 +171,7 @@
         grant: Some(late.number),
     };
     assert_eq!(
-        dispatcher.arrive(ms(900), &arrival),
+        dispatcher.admit(ms(900), &arrival),
         Admission::Refused(ResultCode::GrantExpired)
     );
     assert_eq!(dispatcher.expire(ms(900)), 1);
@@ -192,7 +192,7 @@
         account: used.account,
         grant: Some(used.number),
     };
-    assert_eq!(dispatcher.arrive(ms(1), &arrival), Admission::Start);
+    assert_eq!(dispatcher.admit(ms(1), &arrival), Admission::Start);
     dispatcher.finish(1, Finished::Cost(1.0), ms(2));
     assert_eq!(dispatcher.expire(ms(900)), 1, "grant {}", unused.number);
     // The router connects anew and no longer knows that it saw any grant.
@@ -214,7 +214,7 @@
     grants.extend(dispatcher.next_grant(ms(0)));
     grants.extend(dispatcher.next_grant(ms(0)));
     for (exchange, (router, grant)) in grants.iter().enumerate() {
-        admissions.push(dispatcher.arrive(
+        admissions.push(dispatcher.admit(
             ms(1),
             &Arrival {
                 exchange: exchange as u64,
@@ -245,7 +245,7 @@
     dispatcher.announce(ROUTER, ms(3), 0, &[line(1, 5)]);
     assert_eq!(dispatcher.next_grant(ms(3)), None);
     assert_eq!(
-        dispatcher.arrive(ms(4), &offer(9)),
+        dispatcher.admit(ms(4), &offer(9)),
         Admission::Refused(ResultCode::Leaving)
     );
 }
@@ -262,7 +262,7 @@
     assert_eq!(dispatcher.next_grant(ms(3_001)), None);
     assert_eq!(dispatcher.start_ready(ms(3_001)), None);
     assert_eq!(
-        dispatcher.arrive(ms(3_001), &offer(9)),
+        dispatcher.admit(ms(3_001), &offer(9)),
         Admission::Refused(ResultCode::UpstreamUnreachable)
     );
     assert!(dispatcher.next_grant(ms(3_002)).is_some());
@@ -295,7 +295,7 @@
     let mut serve = |dispatcher: &mut Dispatcher<u32>, now: Duration, cost: f64| {
         let (router, grant) = dispatcher.next_grant(now).expect("room and demand");
         exchange += 1;
-        dispatcher.arrive(
+        dispatcher.admit(
             now,
             &Arrival {
                 exchange,
