--- a/src/policy/granted/dispatch/dispatcher.rs
+++ b/src/policy/granted/dispatch/dispatcher.rs
@@ -45,7 +45,7 @@
     }
 
     /// Applies a router's announcement of demand.
-    pub fn announce(
+    pub fn update_demand(
         &mut self,
         router: R,
         now: Moment,
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -252,7 +252,7 @@
             let router = table.routers.key(&peer.host);
             table
                 .dispatcher
-                .announce(router, self.node.now(), seen, lines);
+                .update_demand(router, self.node.now(), seen, lines);
         }
         self.pump();
     }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -54,7 +54,7 @@
 ) -> BTreeMap<u64, f64> {
     let mut dispatcher = Dispatcher::new(settings());
     let lines: Vec<DemandLine> = (0..accounts).map(|a| line(a, u32::MAX)).collect();
-    dispatcher.announce(ROUTER, ms(0), 0, &lines);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &lines);
     let mut served = BTreeMap::new();
     let mut running = std::collections::VecDeque::new();
     let mut exchange = 0;
@@ -120,7 +120,7 @@
         for (step, number, passed) in steps {
             now += ms(passed);
             match step {
-                0 => dispatcher.announce(ROUTER, now, 0, &[line(number, 10)]),
+                0 => dispatcher.update_demand(ROUTER, now, 0, &[line(number, 10)]),
                 1 => granted.extend(dispatcher.next_grant(now)),
                 2 => if let Some((router, grant)) = granted.pop() {
                     exchange += 1;
@@ -150,7 +150,7 @@
 #[test]
 fn an_expired_or_used_grant_is_refused_and_its_charge_taken_back() {
     let mut dispatcher = Dispatcher::new(settings());
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 5)]);
     let (router, grant) = dispatcher.next_grant(ms(0)).expect("room and demand");
     let arrival = |exchange| Arrival {
         exchange,
@@ -183,7 +183,7 @@
 #[test]
 fn a_router_that_lost_its_view_is_granted_for_all_that_it_announces() {
     let mut dispatcher = Dispatcher::new(settings());
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 2)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 2)]);
     let (router, used) = dispatcher.next_grant(ms(0)).expect("room and demand");
     let (_, unused) = dispatcher.next_grant(ms(0)).expect("room and demand");
     let arrival = Arrival {
@@ -196,7 +196,7 @@
     dispatcher.finish(1, Finished::Cost(1.0), ms(2));
     assert_eq!(dispatcher.expire(ms(900)), 1, "grant {}", unused.number);
     // The router connects anew and no longer knows that it saw any grant.
-    dispatcher.announce(ROUTER, ms(901), 0, &[line(1, 2)]);
+    dispatcher.update_demand(ROUTER, ms(901), 0, &[line(1, 2)]);
     assert!(dispatcher.next_grant(ms(901)).is_some());
     assert!(dispatcher.next_grant(ms(901)).is_some());
     assert!(dispatcher.next_grant(ms(901)).is_none());
@@ -208,7 +208,7 @@
         slots: 1,
         ..settings()
     });
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 5)]);
     let mut admissions = Vec::new();
     let mut grants = Vec::new();
     grants.extend(dispatcher.next_grant(ms(0)));
@@ -242,7 +242,7 @@
 fn a_leaving_sidecar_grants_nothing_and_hands_back_what_has_not_started() {
     let mut dispatcher = one_runs_and_one_waits();
     assert_eq!(dispatcher.leave(ms(2)), [1]);
-    dispatcher.announce(ROUTER, ms(3), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(3), 0, &[line(1, 5)]);
     assert_eq!(dispatcher.next_grant(ms(3)), None);
     assert_eq!(
         dispatcher.admit(ms(4), &offer(9)),
@@ -257,7 +257,7 @@
     let mut dispatcher = one_runs_and_one_waits();
     assert_eq!(dispatcher.suspend_until(ms(2), ms(3_002)), [1]);
     assert!(dispatcher.suspend_until(ms(10), ms(510)).is_empty());
-    dispatcher.announce(ROUTER, ms(600), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(600), 0, &[line(1, 5)]);
     dispatcher.finish(0, Finished::Cost(1.0), ms(600));
     assert_eq!(dispatcher.next_grant(ms(3_001)), None);
     assert_eq!(dispatcher.start_ready(ms(3_001)), None);
@@ -278,7 +278,7 @@
         patience_ms: 50,
         ..line(2, 1)
     };
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 1), urgent, line(3, 1)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 1), urgent, line(3, 1)]);
     let (_, grant) = dispatcher.next_grant(ms(0)).expect("room and demand");
     assert_eq!(grant.account, AccountId(2));
 }
@@ -307,9 +307,9 @@
         dispatcher.finish(exchange, Finished::Cost(cost), now);
         grant.account
     };
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 1)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 1)]);
     serve(&mut dispatcher, ms(0), 1e7);
-    dispatcher.announce(ROUTER, ms(10), 9, &[line(1, 1_000), line(2, 1_000)]);
+    dispatcher.update_demand(ROUTER, ms(10), 9, &[line(1, 1_000), line(2, 1_000)]);
     let served: Vec<AccountId> = (0..40)
         .map(|step| serve(&mut dispatcher, ms(20 + step), 100.0))
         .collect();
