--- a/src/policy/granted/dispatch/demand_table.rs
+++ b/src/policy/granted/dispatch/demand_table.rs
@@ -153,7 +153,7 @@
     }
 
     /// Removes all that a router announced.
-    pub fn forget_router(
+    pub fn remove_router(
         &mut self,
         router: R,
     ) {
--- a/src/policy/granted/dispatch/dispatcher.rs
+++ b/src/policy/granted/dispatch/dispatcher.rs
@@ -59,14 +59,14 @@
     }
 
     /// Removes a router that is gone, with its demand and its grants.
-    pub fn forget_router(
+    pub fn remove_router(
         &mut self,
         router: R,
         now: Moment,
     ) {
         let waiting: Vec<AccountId> = self.demand.waiting().collect();
-        self.demand.forget_router(router);
-        for grant in self.grants.forget_router(router) {
+        self.demand.remove_router(router);
+        for grant in self.grants.remove_router(router) {
             self.refund(&grant, now);
         }
         for account in waiting {
--- a/src/policy/granted/dispatch/grant_table.rs
+++ b/src/policy/granted/dispatch/grant_table.rs
@@ -72,7 +72,7 @@
     }
 
     /// Removes the grants of a router that is gone.
-    pub fn forget_router(
+    pub fn remove_router(
         &mut self,
         router: R,
     ) -> Vec<IssuedGrant<R>> {
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -280,7 +280,7 @@
         {
             let mut table = self.table.lock().expect("table lock");
             let router = table.routers.key(host);
-            table.dispatcher.forget_router(router, self.node.now());
+            table.dispatcher.remove_router(router, self.node.now());
         }
         self.pump();
     }
