--- a/src/policy/granted/dispatch/dispatcher.rs
+++ b/src/policy/granted/dispatch/dispatcher.rs
@@ -132,7 +132,7 @@
     }
 
     /// Charges what a running request has cost so far beyond what was charged already.
-    pub fn progress(
+    pub fn charge_progress(
         &mut self,
         exchange: ExchangeId,
         units: f64,
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -158,7 +158,7 @@
         now: Moment,
     ) {
         let mut table = self.table.lock().expect("table lock");
-        table.dispatcher.progress(exchange, units, now);
+        table.dispatcher.charge_progress(exchange, units, now);
     }
 
     /// Ends an exchange and gives its slot on.
