--- a/src/policy/granted/dispatch/announced_demand.rs
+++ b/src/policy/granted/dispatch/announced_demand.rs
@@ -106,7 +106,7 @@
 
     /// The lines that have changed enough to be announced now. `cap` is the largest count to
     /// announce, `bytes_per_second` is this sidecar's part of the router's budget for demand.
-    pub fn changes(
+    pub fn take_due_lines(
         &mut self,
         now: Moment,
         cap: u32,
--- a/src/router/announcer.rs
+++ b/src/router/announcer.rs
@@ -34,7 +34,9 @@
         let told = sidecars.len() as f64;
         for (host, view) in sidecars.iter_mut().filter(|(_, view)| !view.leaving) {
             let current = demand_for(&waiting.room, host);
-            let lines = view.announced.changes(now, cap, budget / told, &current);
+            let lines = view
+                .announced
+                .take_due_lines(now, cap, budget / told, &current);
             if !lines.is_empty() {
                 messages.push((
                     host.clone(),
--- a/tests/announced_demand.rs
+++ b/tests/announced_demand.rs
@@ -35,13 +35,15 @@
     let mut messages = 0;
     for step in 0..10_000 {
         messages += announced
-            .changes(ms(step), CAP, SHARE, &current(1 + step as u32))
+            .take_due_lines(ms(step), CAP, SHARE, &current(1 + step as u32))
             .len();
     }
     assert!(messages <= 4, "{messages} messages");
     let mut announced = AnnouncedDemand::default();
     assert_eq!(
-        announced.changes(ms(0), CAP, SHARE, &current(9_000)).len(),
+        announced
+            .take_due_lines(ms(0), CAP, SHARE, &current(9_000))
+            .len(),
         1
     );
     for grant in 1..=48 {
@@ -49,14 +51,14 @@
         announced.granted(now, ACCOUNT);
         assert!(
             announced
-                .changes(now, CAP, SHARE, &current(9_000))
+                .take_due_lines(now, CAP, SHARE, &current(9_000))
                 .is_empty()
         );
     }
     announced.granted(ms(60_000), ACCOUNT);
     assert_eq!(
         announced
-            .changes(ms(60_000), CAP, SHARE, &current(9_000))
+            .take_due_lines(ms(60_000), CAP, SHARE, &current(9_000))
             .len(),
         1
     );
@@ -65,28 +67,33 @@
 #[test]
 fn a_queue_that_runs_empty_for_a_moment_is_not_told() {
     let mut announced = AnnouncedDemand::default();
-    assert_eq!(announced.changes(ms(0), CAP, SHARE, &current(1)).len(), 1);
+    assert_eq!(
+        announced
+            .take_due_lines(ms(0), CAP, SHARE, &current(1))
+            .len(),
+        1
+    );
     assert!(
         announced
-            .changes(ms(10), CAP, SHARE, &current(0))
+            .take_due_lines(ms(10), CAP, SHARE, &current(0))
             .is_empty()
     );
     assert!(
         announced
-            .changes(ms(50), CAP, SHARE, &current(1))
+            .take_due_lines(ms(50), CAP, SHARE, &current(1))
             .is_empty()
     );
     assert!(
         announced
-            .changes(ms(60), CAP, SHARE, &current(0))
+            .take_due_lines(ms(60), CAP, SHARE, &current(0))
             .is_empty()
     );
     assert!(
         announced
-            .changes(ms(200), CAP, SHARE, &current(0))
+            .take_due_lines(ms(200), CAP, SHARE, &current(0))
             .is_empty()
     );
-    let ended = announced.changes(ms(300), CAP, SHARE, &current(0));
+    let ended = announced.take_due_lines(ms(300), CAP, SHARE, &current(0));
     assert_eq!(ended.iter().map(|line| line.count).collect::<Vec<_>>(), [0]);
 }
 
@@ -100,7 +107,7 @@
         if step % 2 == 0 {
             demand.insert(AccountId(2), current(1)[&ACCOUNT]);
         }
-        lines += announced.changes(ms(step), CAP, 10.0, &demand).len();
+        lines += announced.take_due_lines(ms(step), CAP, 10.0, &demand).len();
     }
     assert!(
         lines <= 30,
@@ -112,7 +119,7 @@
 fn a_decline_that_arrives_late_leaves_a_newer_announcement_alone() {
     let mut announced = AnnouncedDemand::default();
     let mut table = DemandTable::default();
-    let line = announced.changes(ms(0), CAP, SHARE, &current(1))[0];
+    let line = announced.take_due_lines(ms(0), CAP, SHARE, &current(1))[0];
     table.announce(1u32, ms(0), 0, &line);
     table.granted(ACCOUNT, 1, 7);
     // The router declines grant 7, and announces a new request that overtakes
@@ -125,14 +132,21 @@
 #[test]
 fn what_waits_without_any_grant_is_told_again() {
     let mut announced = AnnouncedDemand::default();
-    assert_eq!(announced.changes(ms(0), CAP, SHARE, &current(3)).len(), 1);
+    assert_eq!(
+        announced
+            .take_due_lines(ms(0), CAP, SHARE, &current(3))
+            .len(),
+        1
+    );
     assert!(
         announced
-            .changes(ms(4_000), CAP, SHARE, &current(3))
+            .take_due_lines(ms(4_000), CAP, SHARE, &current(3))
             .is_empty()
     );
     assert_eq!(
-        announced.changes(ms(6_000), CAP, SHARE, &current(3)).len(),
+        announced
+            .take_due_lines(ms(6_000), CAP, SHARE, &current(3))
+            .len(),
         1
     );
 }
@@ -140,15 +154,22 @@
 #[test]
 fn what_waits_after_the_last_grant_is_told_again() {
     let mut announced = AnnouncedDemand::default();
-    assert_eq!(announced.changes(ms(0), CAP, SHARE, &current(3)).len(), 1);
+    assert_eq!(
+        announced
+            .take_due_lines(ms(0), CAP, SHARE, &current(3))
+            .len(),
+        1
+    );
     announced.granted(ms(1_000), ACCOUNT);
     assert!(
         announced
-            .changes(ms(5_500), CAP, SHARE, &current(2))
+            .take_due_lines(ms(5_500), CAP, SHARE, &current(2))
             .is_empty()
     );
     assert_eq!(
-        announced.changes(ms(6_500), CAP, SHARE, &current(2)).len(),
+        announced
+            .take_due_lines(ms(6_500), CAP, SHARE, &current(2))
+            .len(),
         1
     );
 }
@@ -163,7 +184,7 @@
         let (mut number, mut seen) = (0, 0);
         for (step, (count, grants)) in counts.into_iter().enumerate() {
             let now = ms(step as u64 * 7);
-            for line in announced.changes(now, CAP, SHARE, &current(count)) {
+            for line in announced.take_due_lines(now, CAP, SHARE, &current(count)) {
                 table.announce(1u32, now, seen, &line);
             }
             if count > 0 {
