--- a/src/policy/granted/dispatch/dispatch_settings.rs
+++ b/src/policy/granted/dispatch/dispatch_settings.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct DispatchSettings {
     pub slots: u32,           // requests the upstream runs at once
-    pub ahead: u32,           // granted requests held ready at most
+    pub max_ready: u32,       // granted requests held ready at most
     pub order: OrderMode,     // fair, or a baseline
     pub totals: TotalsMode,   // fleet, or a baseline
     pub slack: f64,           // difference that is ignored, in service units per share
--- a/src/policy/granted/dispatch/dispatcher.rs
+++ b/src/policy/granted/dispatch/dispatcher.rs
@@ -227,7 +227,7 @@
         let held = self.running.len() + self.ready.len() + self.grants.len();
         let ready = self
             .ready_target
-            .target(self.settings.slots, self.settings.ahead);
+            .target(self.settings.slots, self.settings.max_ready);
         (self.settings.slots + ready).saturating_sub(held as u32)
     }
 
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -69,7 +69,7 @@
     ) -> Self {
         let dispatch = DispatchSettings {
             slots: settings.slots,
-            ahead: settings.ahead,
+            max_ready: settings.ahead,
             order: settings.order,
             totals: settings.totals,
             slack: settings.slack,
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -19,7 +19,7 @@
 fn settings() -> DispatchSettings {
     DispatchSettings {
         slots: SLOTS,
-        ahead: 2,
+        max_ready: 2,
         order: OrderMode::Fair,
         totals: TotalsMode::Local,
         slack: 0.0,
@@ -287,7 +287,7 @@
 fn an_account_that_got_much_is_not_starved_beyond_the_ceiling() {
     let mut dispatcher = Dispatcher::new(DispatchSettings {
         slots: 1,
-        ahead: 0,
+        max_ready: 0,
         debt_ceiling: 1_000.0,
         ..settings()
     });
