--- a/src/policy/granted/totals/account_total.rs
+++ b/src/policy/granted/totals/account_total.rs
@@ -131,7 +131,7 @@
             first_own: entry.own,
         };
         let grown: f64 = self.sources.values().map(Source::grown).sum();
-        self.base = self.base.max(entry.heard - grown);
+        self.base = self.base.max(entry.known_total - grown);
         if let Some(ended) = self.sources.insert(host.clone(), first) {
             self.base += ended.counted();
         }
--- a/src/policy/granted/totals/ledger_entry.rs
+++ b/src/policy/granted/totals/ledger_entry.rs
@@ -147,10 +147,10 @@
         ReportEntry {
             account,
             own: self.own,
-            heard: self.known_total,
+            known_total: self.known_total,
             included: self.included,
             waiting: self.active,
-            returning: self.was_idle && is_recent,
+            was_idle: self.was_idle && is_recent,
         }
     }
 
--- a/src/policy/granted/totals/report.rs
+++ b/src/policy/granted/totals/report.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReportEntry {
     pub account: AccountId,
-    pub own: f64,        // service units of this incarnation of the sidecar
-    pub heard: f64,      // the last fleet total that the sidecar received
-    pub included: f64,   // the part of `own` that this total contains
-    pub waiting: bool,   // the account has work here
-    pub returning: bool, // the account was idle here until recently
+    pub own: f64,         // service units of this incarnation of the sidecar
+    pub known_total: f64, // the last fleet total that the sidecar received
+    pub included: f64,    // the part of `own` that this total contains
+    pub waiting: bool,    // the account has work here
+    pub was_idle: bool,   // the account was idle here until recently
 }
 
 /// The aggregating router's reply on one account.
--- a/src/policy/granted/totals/totals_aggregator.rs
+++ b/src/policy/granted/totals/totals_aggregator.rs
@@ -67,7 +67,7 @@
         let returns = entry.waiting
             && account
                 .was_idle(now, self.idle_grace)
-                .unwrap_or(entry.returning);
+                .unwrap_or(entry.was_idle);
         let mut reply = account.apply_report(now, host, incarnation, sequence, entry);
         if let (true, Some(floor)) = (returns, floor) {
             account.clamp(floor * share, (floor + self.debt_ceiling) * share);
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -41,10 +41,10 @@
         let entry = ReportEntry {
             account: ACCOUNT,
             own: self.own,
-            heard: self.heard,
+            known_total: self.heard,
             included: self.included,
             waiting: true,
-            returning: false,
+            was_idle: false,
         };
         (self.host.clone(), self.incarnation, self.sequence, entry)
     }
