--- a/src/policy/direct/shares/reported_usage.rs
+++ b/src/policy/direct/shares/reported_usage.rs
@@ -34,15 +34,15 @@
     pub fn apply_report(
         &mut self,
         now: Moment,
-        teller: Reporter,
+        reporter: Reporter,
         usage: &[(u32, AccountUsage)],
         age: Duration,
     ) {
         let reported = self
             .reporters
-            .entry(teller.name)
+            .entry(reporter.name)
             .or_insert_with(|| Reported {
-                scope: teller.scope,
+                scope: reporter.scope,
                 usage: HashMap::new(),
             });
         reported.usage.extend(
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -106,11 +106,11 @@
     pub fn apply_report(
         &mut self,
         now: Moment,
-        teller: Reporter,
+        reporter: Reporter,
         usage: &[(u32, AccountUsage)],
     ) {
         self.reported
-            .apply_report(now, teller, usage, self.peer_age);
+            .apply_report(now, reporter, usage, self.peer_age);
     }
 
     /// Removes all that a router or zone reported, as it is gone.
