--- a/src/policy/direct/suspects/answered_requests.rs
+++ b/src/policy/direct/suspects/answered_requests.rs
@@ -7,7 +7,7 @@
     },
 };
 
-/// AnsweredRequests requests that are remembered, at 24 bytes each.
+/// Answered requests that are remembered, at 24 bytes each.
 const MAX_REQUESTS: usize = 2048;
 
 /// How long a complete answer clears its request. Without this, a harmless request that is sent
--- a/src/policy/direct/suspects/crashed_attempt.rs
+++ b/src/policy/direct/suspects/crashed_attempt.rs
@@ -25,7 +25,7 @@
         first_event: Option<Moment>,
         now: Moment,
     ) -> Self {
-        let is_early = first_event.is_none_or(|first| now.saturating_sub(first) <= EARLY);
+        let is_early = first_event.is_none_or(|first| now.saturating_sub(first) <= EARLY_WINDOW);
         Self {
             key,
             replica,
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -1,7 +1,7 @@
 //! Requests during which replicas crashed: which these are, and how long each is held back.
 //!
-//! A request is recognised by its digest, whatever its request id. Evidence against it are
-//! attempts that were running when their replica crashed, at any router. Routers exchange this
+//! A request is recognised by its digest, whatever its request id. Each attempt at it that was
+//! running when its replica crashed, at any router, is evidence against it. Routers exchange this
 //! evidence, and a complete answer at any router clears the request for a while.
 
 mod answered_requests;
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Records a crash, or that a known one is excused. Returns whether that is new.
+    /// Records a crash, or that a known one is cleared. Returns whether that is new.
     pub fn record(
         &mut self,
         crash: CrashedAttempt,
@@ -68,14 +68,14 @@
         counted.map(|crash| crash.is_cleared = true).count() > 0
     }
 
-    /// Whether a crash is excused here that another router still counts.
+    /// Whether a crash is cleared here that another router still counts.
     pub fn has_cleared(
         &self,
         key: u32,
-        is_excused_there: bool,
+        is_cleared_there: bool,
     ) -> bool {
         let known = self.crashes.iter().find(|crash| crash.key == key);
-        !is_excused_there && known.is_some_and(|known| known.is_cleared)
+        !is_cleared_there && known.is_some_and(|known| known.is_cleared)
     }
 
     /// Whether any crash counts against the request.
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -77,8 +77,8 @@
         self.refresh_hold(request)
     }
 
-    /// How long a request is still held back; `None` lets it through. The first one let through
-    /// after a hold is a trial, for whose end others with the same digest wait.
+    /// How long a request is still held back; `None` lets it through. The first one after a hold
+    /// is a trial, and others with the same digest wait for its end.
     pub fn hold_remaining(
         &mut self,
         now: Moment,
