--- a/src/policy/direct/slow_start/slow_start_limit.rs
+++ b/src/policy/direct/slow_start/slow_start_limit.rs
@@ -4,10 +4,11 @@
 /// partition of the fleet into two, or when one has just taken over from another.
 const MAX_SENDERS: f64 = 2.0;
 
-/// Margin that the operator allows above the rate that replicas declare for their slow start.
+/// Margin that the settings allow above the rate that a service's configuration states for replicas
+/// in slow start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowStartBounds {
-    pub overage: f64,   // factor on the declared rate
+    pub overage: f64,   // factor on that rate
     pub tolerance: f64, // additional requests a second
 }
 
@@ -19,9 +20,9 @@
 }
 
 impl SlowStartBounds {
-    /// The limit for replicas that declare `per_second` requests a second; `None` for 0, which
-    /// stands for no limit. It is half of what all routers may send together, so that two
-    /// routers that send at once stay within that.
+    /// The limit for a service whose replicas sustain `per_second` requests a second in slow
+    /// start; `None` for 0, which stands for no limit. It is half of what all routers may send
+    /// together, so that two routers that send at once stay within that.
     pub fn limit(
         &self,
         per_second: f64,
--- a/src/policy/direct/slow_start/slow_start_state.rs
+++ b/src/policy/direct/slow_start/slow_start_state.rs
@@ -25,9 +25,9 @@
     pub fn set_remaining(
         &mut self,
         now: Moment,
-        left: Duration,
+        remaining: Duration,
     ) {
-        self.slow_until = now + left;
+        self.slow_until = now + remaining;
         self.suspected_until = Moment::ZERO;
     }
 
