--- a/src/policy/granted/exchange/idempotency_keys.rs
+++ b/src/policy/granted/exchange/idempotency_keys.rs
@@ -24,7 +24,7 @@
 pub struct IdempotencyKeys {
     keys: HashMap<(AccountId, String), KeyState>,
     ended: VecDeque<(Moment, (AccountId, String))>, // oldest first
-    memory: Duration, // how long a key is remembered after its request ended
+    retention: Duration, // how long a key is remembered after its request ended
     quarantine: Duration,
     max_keys: usize,
 }
@@ -38,14 +38,14 @@
 impl IdempotencyKeys {
     /// Without any keys.
     pub fn new(
-        memory: Duration,
+        retention: Duration,
         quarantine: Duration,
         max_keys: usize,
     ) -> Self {
         Self {
             keys: HashMap::new(),
             ended: VecDeque::new(),
-            memory,
+            retention,
             quarantine,
             max_keys,
         }
@@ -58,7 +58,7 @@
         account: AccountId,
         key: &str,
     ) -> KeyStatus {
-        self.forget_old(now);
+        self.remove_expired(now);
         let entry = (account, key.to_owned());
         match self.keys.get(&entry) {
             Some(KeyState::Running) => return KeyStatus::InProgress,
@@ -93,12 +93,12 @@
         self.keys.remove(&(account, key.to_owned()));
     }
 
-    fn forget_old(
+    fn remove_expired(
         &mut self,
         now: Moment,
     ) {
         while let Some((ended, _)) = self.ended.front() {
-            if now.saturating_sub(*ended) < self.memory {
+            if now.saturating_sub(*ended) < self.retention {
                 return;
             }
             if let Some((_, entry)) = self.ended.pop_front() {
--- a/src/policy/granted/fleet/membership.rs
+++ b/src/policy/granted/fleet/membership.rs
@@ -28,7 +28,7 @@
         host: &str,
         incarnation: Incarnation,
     ) -> PeerObservation {
-        let sighting = match self.peers.get(host) {
+        let observation = match self.peers.get(host) {
             None => PeerObservation::New,
             Some(peer) if peer.incarnation == incarnation => return PeerObservation::Same,
             Some(peer) if peer.incarnation > incarnation => return PeerObservation::Stale,
@@ -39,7 +39,7 @@
             leaving: false,
         };
         self.peers.insert(host.to_owned(), peer);
-        sighting
+        observation
     }
 
     /// Records that a peer announced that it is leaving.
--- a/src/policy/granted/totals/mod.rs
+++ b/src/policy/granted/totals/mod.rs
@@ -1,5 +1,6 @@
 //! Service that accounts got from the whole fleet: each sidecar's ledger, and the routers that sum
-//! up the sidecars' reports.
+//! up the sidecars' reports. It is measured in service units: weighted tokens for model engines,
+//! weighted seconds of a slot for plain services.
 
 mod account_total;
 mod ledger;
