--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -153,7 +153,7 @@
     ] {
         let rest = Duration::from_millis(millis);
         assert_eq!(parse_retry_after(text), Some(rest), "{text:?}");
-        assert_eq!(turned_away(text).rest, rest, "{text:?}");
+        assert_eq!(turned_away(text).backoff, rest, "{text:?}");
     }
 }
 
