--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -62,7 +62,7 @@
         requested: 90_000.0,
         allocated: 30_000.0,
     };
-    let at = |age| vec![(7, usage.faded(age, WINDOW))];
+    let at = |age| vec![(7, usage.decayed(age, WINDOW))];
     let mut times = 0;
     for step in 0..=10 {
         let now = ms(step * 100);
