--- a/src/policy/clock/suspension_detector.rs
+++ b/src/policy/clock/suspension_detector.rs
@@ -8,7 +8,7 @@
 }
 
 impl SuspensionDetector {
-    /// A detector for suspensions longer than `limit`. It must be called far more often.
+    /// Creates a detector of suspensions longer than `limit`. It must be called far more often.
     pub fn new(
         limit: Duration,
         now: Moment,
--- a/src/policy/clock/suspension_guard.rs
+++ b/src/policy/clock/suspension_guard.rs
@@ -4,7 +4,7 @@
 };
 
 /// Messages received this soon after a suspension may have been queued before its end, so they
-/// confirm nothing: some five reports of another router.
+/// confirm nothing. Another router sends about five reports in this time.
 const QUEUED_MESSAGES: Duration = Duration::from_millis(50);
 
 /// A process that receives no confirmation uses its state again after this long: with the store and
@@ -20,7 +20,7 @@
 }
 
 impl SuspensionGuard {
-    /// A guard for a process that starts now, against suspensions longer than `limit`.
+    /// Creates a guard for a process that starts now, against suspensions longer than `limit`.
     pub fn new(
         limit: Duration,
         now: Moment,
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -26,7 +26,7 @@
 }
 
 impl ShareTracker {
-    /// Without any usage. Reports of peers count for `peer_age`.
+    /// Creates a tracker without usage. Reports of peers count for `peer_age`.
     pub fn new(
         window: Duration,
         peer_age: Duration,
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -38,7 +38,7 @@
 }
 
 impl SuspectTracker {
-    /// Without any crash so far. Requests in `exempt` are never held back.
+    /// Creates a tracker without crashes. Requests in `exempt` are never held back.
     pub fn new(exempt: BTreeSet<RequestDigest>) -> Self {
         Self {
             exempt,
--- a/src/policy/granted/dispatch/announced_demand.rs
+++ b/src/policy/granted/dispatch/announced_demand.rs
@@ -44,7 +44,7 @@
 pub struct AnnouncedDemand {
     lines: HashMap<AccountId, Announced>,
     last_announced: Moment,
-    interval: Duration, // until the next announcement, by the size of the last one
+    interval: Duration, // to the next announcement, by the size of the last one
 }
 
 #[derive(Debug, Clone, Copy)]
--- a/src/policy/granted/dispatch/dispatcher_readers.rs
+++ b/src/policy/granted/dispatch/dispatcher_readers.rs
@@ -39,7 +39,7 @@
         self.demand.count_of(account)
     }
 
-    /// Whether the sidecar has stopped granting for good.
+    /// Whether the sidecar is leaving, and has stopped granting for that.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
--- a/src/policy/granted/exchange/idempotency_keys.rs
+++ b/src/policy/granted/exchange/idempotency_keys.rs
@@ -36,7 +36,7 @@
 }
 
 impl IdempotencyKeys {
-    /// Without any keys.
+    /// Creates a memory without keys.
     pub fn new(
         retention: Duration,
         quarantine: Duration,
--- a/src/policy/granted/totals/ledger.rs
+++ b/src/policy/granted/totals/ledger.rs
@@ -25,7 +25,7 @@
 }
 
 impl Ledger {
-    /// Without any accounts.
+    /// Creates a ledger without accounts.
     pub fn new(
         mode: TotalsMode,
         idle_grace: Duration,
--- a/src/policy/granted/totals/totals_aggregator.rs
+++ b/src/policy/granted/totals/totals_aggregator.rs
@@ -19,7 +19,7 @@
 }
 
 impl TotalsAggregator {
-    /// Without any reports.
+    /// Creates an aggregator without accounts.
     pub fn new(
         idle_grace: Duration,
         debt_ceiling: f64,
--- a/src/policy/granted/waiting/request_queue.rs
+++ b/src/policy/granted/waiting/request_queue.rs
@@ -33,7 +33,7 @@
 }
 
 impl RequestQueue {
-    /// Without any requests.
+    /// Creates an empty queue.
     pub fn new(
         bounds: QueueBounds,
         prefix_slack: Duration,
--- a/src/policy/notices/incarnation_notice.rs
+++ b/src/policy/notices/incarnation_notice.rs
@@ -1,6 +1,7 @@
 use {super::ReplicaNotice, crate::policy::Moment, std::time::Duration};
 
-/// Up to this difference between the clocks of hosts, incarnations of replicas can be told apart.
+/// Largest difference between the clocks of hosts at which incarnations of replicas can still be
+/// distinguished by their start times.
 const CLOCK_SKEW: Duration = Duration::from_millis(500);
 
 /// How long a notice may apply to the next incarnation. Clocks with a larger difference must not
@@ -19,7 +20,7 @@
 }
 
 impl IncarnationNotice {
-    /// Without any notice yet of the incarnation that is listed.
+    /// Creates a record without notices of the incarnation that is listed.
     pub fn of(born: Option<u64>) -> Self {
         Self {
             born,
--- a/src/policy/notices/replica_notice.rs
+++ b/src/policy/notices/replica_notice.rs
@@ -8,8 +8,8 @@
 }
 
 impl ReplicaNotice {
-    /// A notice of whether the replica leaves, and for how long it wants no requests, if it
-    /// stated that when it refused one.
+    /// Creates a notice from whether the replica leaves, and for how long it wants no requests
+    /// if it stated that when it refused one.
     pub fn new(
         is_leaving: bool,
         backoff: Option<Duration>,
@@ -25,7 +25,7 @@
         if self.is_leaving { "leaves" } else { "rests" }
     }
 
-    /// Whether the notice says nothing.
+    /// Whether the notice announces nothing.
     pub fn is_empty(&self) -> bool {
         !self.is_leaving && self.backoff.is_zero()
     }
