--- a/src/catalog/upstream_entry.rs
+++ b/src/catalog/upstream_entry.rs
@@ -1,6 +1,6 @@
 use {
     super::UpstreamState,
-    crate::policy::{short_name, stable_hash},
+    crate::policy::{name_hash, stable_hash},
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
@@ -23,7 +23,7 @@
     /// in messages between routers. Messages about an earlier incarnation do not match it.
     pub fn start_hash(&self) -> u32 {
         match self.started_unix_ms {
-            None => short_name(&self.id),
+            None => name_hash(&self.id),
             Some(started) => stable_hash(&(&*self.id, started)) as u32,
         }
     }
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -10,10 +10,9 @@
         codes::{ErrorAnswer, ResultCode},
         ops::PROMPT_TOKENS,
         policy::{
-            Moment,
+            Moment, name_hash,
             placement::{Choice, PlacementRequest, PromptShape, RefusalReason, SentPrompt},
-            shares::{AccountShare, Standing},
-            short_name,
+            shares::{AccountShare, ShareStatus},
         },
     },
     std::{net::SocketAddr, time::Duration},
@@ -29,7 +28,7 @@
         let now = self.gateway.now();
         let call = self.call.clone();
         self.share = self.account_share();
-        let standing = self.share.map_or(Standing::Within, |share| share.standing);
+        let standing = self.share.map_or(ShareStatus::Within, |share| share.status);
         let zone = self.gateway.settings().process.zone.clone();
         let mut board = self.gateway.board();
         let request = PlacementRequest {
@@ -106,15 +105,15 @@
         &self,
         now: Moment,
         choice: &Choice,
-        standing: Standing,
+        standing: ShareStatus,
     ) {
-        if self.call.prompt.is_none() || matches!(standing, Standing::Over { .. }) {
+        if self.call.prompt.is_none() || matches!(standing, ShareStatus::Over { .. }) {
             return;
         }
         match choice {
-            Choice::Send { .. } => self.gateway.shares().count_room(now, true),
+            Choice::Send { .. } => self.gateway.shares().record_placement(now, true),
             Choice::Refuse { reason, .. } if *reason == RefusalReason::NoRoom => {
-                self.gateway.shares().count_room(now, false);
+                self.gateway.shares().record_placement(now, false);
             }
             Choice::Refuse { .. } => {}
         }
@@ -148,10 +147,10 @@
             service = &*self.call.service,
             account = self.call.account.as_deref().unwrap_or(""),
             tokens = self.call.tokens() as u64,
-            standing = share.standing.name(),
-            account_got = share.usage.got as u64,
-            account_lately = share.lately,
-            account_level = share.level_tokens(),
+            standing = share.status.name(),
+            account_got = share.usage.allocated as u64,
+            account_lately = share.recent_ratio,
+            account_level = share.fair_level_tokens(),
             prompt_tokens = tokens,
             reading_tokens = reading,
             front_ms = front_ms as u64,
@@ -190,13 +189,15 @@
     }
 
     pub(super) fn account(&self) -> Option<u32> {
-        self.call.account.as_deref().map(short_name)
+        self.call.account.as_deref().map(name_hash)
     }
 
     pub(super) fn ask(&self) {
         if let Some(account) = self.account() {
             let now = self.gateway.now();
-            self.gateway.shares().ask(now, account, self.call.tokens());
+            self.gateway
+                .shares()
+                .record_requested(now, account, self.call.tokens());
         }
     }
 
@@ -204,7 +205,7 @@
         let account = self.account()?;
         let now = self.gateway.now();
         let asking = self.call.tokens();
-        Some(self.gateway.shares().share(now, account, asking))
+        Some(self.gateway.shares().account_share(now, account, asking))
     }
 
     /// Charges the account, once.
@@ -215,7 +216,9 @@
         if let Some(account) = self.account() {
             self.granted = self.call.tokens();
             let now = self.gateway.now();
-            self.gateway.shares().give(now, account, self.granted);
+            self.gateway
+                .shares()
+                .record_allocated(now, account, self.granted);
         }
     }
 
@@ -223,7 +226,7 @@
     pub(super) fn take_back(&mut self) {
         if let Some(account) = self.account() {
             let tokens = std::mem::take(&mut self.granted);
-            self.gateway.shares().take_back(account, tokens);
+            self.gateway.shares().record_unused(account, tokens);
         }
     }
 }
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -10,8 +10,8 @@
         catalog::UpstreamEntry,
         codes::{ErrorAnswer, ResultCode},
         policy::{
-            Moment, short_name,
-            suspects::{Hold, RequestDigest, RunEnd},
+            Moment, name_hash,
+            suspects::{CrashedAttempt, Hold, RequestDigest},
         },
     },
     std::{sync::Arc, time::Duration},
@@ -28,11 +28,11 @@
         self.checked_after = Some(self.ends);
         let now = self.gateway.now();
         let mut suspects = self.gateway.suspects();
-        if !suspects.holds_any() {
+        if !suspects.has_holds() {
             return Ok(());
         }
         let request = self.call.digest();
-        let Some(left) = suspects.held_back(now, request) else {
+        let Some(left) = suspects.hold_remaining(now, request) else {
             return Ok(());
         };
         drop(suspects);
@@ -65,7 +65,7 @@
     pub(super) fn note_request_success(&self) {
         let request = self.call.digest();
         let now = self.gateway.now();
-        let excused = self.gateway.suspects().answered(now, request);
+        let excused = self.gateway.suspects().record_answered(now, request);
         if excused {
             log::info!(
                 request_id = self.call.request_id.as_str(),
@@ -114,7 +114,7 @@
             return None;
         }
         let replica = run.entry.start_hash();
-        let end = RunEnd::seen(
+        let end = CrashedAttempt::observed(
             rand::random(),
             replica,
             run.sent,
@@ -122,8 +122,8 @@
             run.ended,
         );
         let request = run.call.digest();
-        let account = run.call.account.as_deref().map_or(0, short_name);
-        let hold = self.suspects().ended(now, request, account, end);
+        let account = run.call.account.as_deref().map_or(0, name_hash);
+        let hold = self.suspects().record_crash(now, request, account, end);
         self.report_wanted.notify_one();
         if let Some(hold) = &hold {
             log_held_back(now, request, hold, &run.call.request_id, "here");
@@ -141,9 +141,9 @@
     from: &str,
 ) {
     log::warn!(
-        request_id = request_id, request = request.to_string().as_str(), ends = hold.ends,
+        request_id = request_id, request = request.to_string().as_str(), ends = hold.crashes,
         last_end_ms = hold.since.ago_ms(now),
-        for_ms = hold.until.left(now).as_millis() as u64, from = from;
+        for_ms = hold.until.remaining(now).as_millis() as u64, from = from;
         "request held back: replicas ended under it"
     );
 }
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -9,11 +9,10 @@
         ops::{AuditTrail, PAUSES, Uptime},
         peers::{PeerTable, RouterContact, ZoneTable},
         policy::{
-            Incarnation, Moment, Standstill,
+            Incarnation, Moment, SuspensionGuard, name_hash,
             placement::ReplicaBoard,
-            shares::{RetryWindow, ShareBook},
-            short_name,
-            suspects::SuspectBook,
+            shares::{RetryWindow, ShareTracker},
+            suspects::SuspectTracker,
         },
     },
     std::{
@@ -48,10 +47,10 @@
     pub(super) answer_bytes: Arc<AtomicU64>,  // held for callers' connections
     pub(super) request_bytes: Arc<AtomicU64>, // held of requests
     board: Mutex<ReplicaBoard>,
-    shares: Mutex<ShareBook>,
+    shares: Mutex<ShareTracker>,
     retries: Mutex<RetryWindow>,
-    suspects: Mutex<SuspectBook>,  // a leaf lock
-    standstill: Mutex<Standstill>, // a leaf lock
+    suspects: Mutex<SuspectTracker>,    // a leaf lock
+    standstill: Mutex<SuspensionGuard>, // a leaf lock
     stopping: AtomicBool,
     refusing: AtomicBool, // stops, and takes no more requests
     placing: AtomicBool,  // the board follows a configuration and a list
@@ -73,14 +72,17 @@
         );
         let own = RouterContact {
             address: settings.peers,
-            zone: short_name(&settings.process.zone),
+            zone: name_hash(&settings.process.zone),
         };
         let mut board = ReplicaBoard::new(settings.placement);
         board.set_regions(settings.regions.clone());
         Self {
             dialect,
             incarnation: Uptime::new_incarnation(),
-            standstill: Mutex::new(Standstill::new(settings.process.pause_limit, uptime.now())),
+            standstill: Mutex::new(SuspensionGuard::new(
+                settings.process.pause_limit,
+                uptime.now(),
+            )),
             uptime,
             audit: AuditTrail::new(&settings.process.host, settings.operator.audit_entries),
             catalog,
@@ -95,9 +97,9 @@
             answer_bytes: Arc::default(),
             request_bytes: Arc::default(),
             board: Mutex::new(board),
-            shares: Mutex::new(ShareBook::new(settings.share_window, settings.peer_age)),
+            shares: Mutex::new(ShareTracker::new(settings.share_window, settings.peer_age)),
             retries: Mutex::new(retries),
-            suspects: Mutex::new(SuspectBook::new(settings.let_through.clone())),
+            suspects: Mutex::new(SuspectTracker::new(settings.let_through.clone())),
             stopping: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
             placing: AtomicBool::new(false),
@@ -126,7 +128,7 @@
             settings.retry_ratio,
             settings.retry_extra,
         );
-        self.suspects().let_through(settings.let_through.clone());
+        self.suspects().set_exempt(settings.let_through.clone());
         self.peers.add_seeds(&settings.seeds);
         *self.settings.write().expect("settings lock") = Arc::new(settings);
     }
@@ -142,7 +144,7 @@
         let now = self.now();
         let (pause, is_unconfirmed) = {
             let mut standstill = self.standstill.lock().expect("standstill lock");
-            (standstill.look(now), standstill.is_unconfirmed(now))
+            (standstill.check(now), standstill.is_unconfirmed(now))
         };
         if let Some(pause) = pause {
             metrics::counter!(PAUSES).increment(1);
@@ -165,12 +167,12 @@
     }
 
     /// What accounts asked for and got.
-    pub fn shares(&self) -> MutexGuard<'_, ShareBook> {
+    pub fn shares(&self) -> MutexGuard<'_, ShareTracker> {
         self.shares.lock().expect("shares lock")
     }
 
     /// Requests under which replicas ended.
-    pub fn suspects(&self) -> MutexGuard<'_, SuspectBook> {
+    pub fn suspects(&self) -> MutexGuard<'_, SuspectTracker> {
         self.suspects.lock().expect("suspects lock")
     }
 
@@ -180,7 +182,7 @@
         service: &str,
     ) {
         let mut retries = self.retries.lock().expect("retries lock");
-        retries.request(self.now(), service);
+        retries.record_request(self.now(), service);
     }
 
     /// Takes a repeat from the service's budget.
@@ -190,7 +192,7 @@
     ) -> bool {
         let routers = self.router_count();
         let mut retries = self.retries.lock().expect("retries lock");
-        retries.take(self.now(), service, routers)
+        retries.try_take_retry(self.now(), service, routers)
     }
 
     /// Routers in the fleet as far as known, this one too; never fewer than
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -6,7 +6,7 @@
         catalog::UpstreamEntry,
         fleet::Revision,
         ops::{CORDONED, CORDONS_UNKNOWN},
-        policy::slow_start::StartLimit,
+        policy::slow_start::SlowStartLimit,
     },
     std::{
         collections::{BTreeSet, HashMap},
@@ -39,7 +39,8 @@
                 self.warn_of_regions();
             }
             if let Some(table) = self.catalog.config() {
-                self.shares().set_capacity(table.limits.engine_tokens_per_s);
+                self.shares()
+                    .set_declared_capacity(table.limits.engine_tokens_per_s);
             }
             let limits = self.start_limits();
             let entries = self.catalog.upstreams();
@@ -90,7 +91,7 @@
     }
 
     /// What replicas of each service bear while they start, by the configuration in force.
-    fn start_limits(&self) -> HashMap<Arc<str>, StartLimit> {
+    fn start_limits(&self) -> HashMap<Arc<str>, SlowStartLimit> {
         let bounds = self.settings().start_bounds;
         let Some(table) = self.catalog.config() else {
             return HashMap::new();
@@ -107,7 +108,7 @@
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
             self.pool.tidy();
-            self.suspects().forget_old(self.now());
+            self.suspects().remove_expired(self.now());
             self.log_paces();
         }
     }
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -89,13 +89,13 @@
 impl Gateway {
     fn measure_shares(&self) {
         let now = self.now();
-        let (division, accounts) = self.shares().shares(now);
-        metrics::gauge!(SHARE_DIVIDED).set(f64::from(division.divided));
-        let level = Some(division.level).filter(|level| level.is_finite());
+        let (division, accounts) = self.shares().account_shares(now);
+        metrics::gauge!(SHARE_DIVIDED).set(f64::from(division.capacity));
+        let level = Some(division.fair_level).filter(|level| level.is_finite());
         metrics::gauge!(SHARE_LEVEL).set(f64::from(level.unwrap_or(-1.0)));
         let mut standings = BTreeMap::from([("over", 0_u32), ("within", 0), ("behind", 0)]);
         for account in accounts {
-            *standings.entry(account.standing.name()).or_default() += 1;
+            *standings.entry(account.status.name()).or_default() += 1;
         }
         for (standing, count) in standings {
             metrics::gauge!(ACCOUNTS, "standing" => standing).set(f64::from(count));
@@ -112,13 +112,13 @@
                 .and_then(|table| table.account_by_hash(account));
             known.map_or_else(|| account.to_string(), |name| name.to_string())
         };
-        let held = self.suspects().held(now);
+        let held = self.suspects().held_requests(now);
         let held = held.into_iter().map(|held| HeldStatus {
             request: held.request.to_string(),
             account: name(held.account),
-            ends: held.hold.ends,
+            ends: held.hold.crashes,
             since_ms: held.hold.since.ago_ms(now).into(),
-            left_ms: held.hold.until.left(now).as_millis() as u64,
+            left_ms: held.hold.until.remaining(now).as_millis() as u64,
         });
         held.collect()
     }
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -8,7 +8,7 @@
     crate::{
         catalog::CatalogVersion,
         ops::MESSAGES_REFUSED,
-        policy::{Moment, Teller, TellerScope, mix, stable_hash},
+        policy::{Moment, Reporter, ReporterScope, mix_hashes, stable_hash},
         wire::decode_payload,
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -102,10 +102,10 @@
         {
             return;
         }
-        let reporter = Teller {
-            scope: TellerScope::Router,
+        let reporter = Reporter {
+            scope: ReporterScope::Router,
             name: router_hash(&report.address),
-            source: report.incarnation,
+            source_id: report.incarnation,
         };
         self.apply_version(report.version);
         self.apply_body(now, reporter, &report.body);
@@ -132,10 +132,10 @@
         for member in &summary.members {
             gateway.peers.record_contact(now, contact(member));
         }
-        let reporter = Teller {
-            scope: TellerScope::Zone,
+        let reporter = Reporter {
+            scope: ReporterScope::Zone,
             name: summary.zone,
-            source: mix(stable_hash(&summary.representative), summary.incarnation),
+            source_id: mix_hashes(stable_hash(&summary.representative), summary.incarnation),
         };
         self.apply_version(summary.version);
         self.apply_body(now, reporter, &summary.body);
@@ -158,7 +158,7 @@
     fn apply_body(
         &self,
         now: Moment,
-        reporter: Teller,
+        reporter: Reporter,
         body: &ReportBody,
     ) {
         let mut table = self.gateway.board();
@@ -166,7 +166,9 @@
         table.hear_notes(now, reporter.scope, &body.notes);
         table.hear_engines(&body.engines);
         drop(table);
-        self.gateway.shares().hear(now, reporter, &body.accounts);
+        self.gateway
+            .shares()
+            .apply_report(now, reporter, &body.accounts);
     }
 
     /// Sends the known routers to a router that looks for others.
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -48,7 +48,7 @@
             let peers = &self.gateway.peers;
             for address in peers.remove_silent(now, settings.peer_forget) {
                 log::info!(peer = address.to_string().as_str(); "silent router removed");
-                self.gateway.shares().forget(router_hash(&address));
+                self.gateway.shares().remove_reporter(router_hash(&address));
             }
             metrics::gauge!(PEERS).set(peers.live_count(now, settings.peer_forget) as f64);
             let addresses = peers.own_zone_addresses();
@@ -141,7 +141,7 @@
     ) -> usize {
         let gateway = &self.gateway;
         let placements = gateway.board().take_zone_notes();
-        let suspects = gateway.suspects().take_zone_news(now);
+        let suspects = gateway.suspects().take_zone_updates(now);
         let zones = gateway.peers.other_zones();
         let yields = gateway.is_stopping() && gateway.peers.live_count(now, PEER_SILENCE_LIMIT) > 0;
         let represented: Vec<u32> = zones
@@ -228,7 +228,7 @@
         let replicas = table.reports(now);
         let latency_reports = table.engine_reports();
         drop(table);
-        let usage = gateway.shares().own(now).clone();
+        let usage = gateway.shares().own_usage(now).clone();
         let mut sent = self.sent.lock().expect("sent lock");
         let all = ReportBody {
             replicas,
--- a/src/peers/sent_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -67,12 +67,12 @@
         for (account, usage) in usage {
             let assumed = self.accounts.get(account).map(|(at, sent)| {
                 let age = now.saturating_sub(*at);
-                (age, sent.faded(age, window))
+                (age, sent.decayed(age, window))
             });
             let is_due = assumed.is_none_or(|(age, assumed)| {
                 age >= refresh
-                    || differs(assumed.asked, usage.asked)
-                    || differs(assumed.got, usage.got)
+                    || differs(assumed.requested, usage.requested)
+                    || differs(assumed.allocated, usage.allocated)
             });
             if is_due {
                 due.push((*account, *usage));
--- a/src/peers/suspects_gossip.rs
+++ b/src/peers/suspects_gossip.rs
@@ -5,8 +5,8 @@
     crate::{
         direct::log_held_back,
         policy::{
-            Moment, TellerScope,
-            suspects::{RequestDigest, SuspectNote},
+            Moment, ReporterScope,
+            suspects::{RequestDigest, SuspectReport},
         },
     },
     std::{collections::HashMap, net::SocketAddr, time::Duration},
@@ -33,7 +33,7 @@
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let new_reports = self.gateway.suspects().take_news(now);
+        let new_reports = self.gateway.suspects().take_local_updates(now);
         let mut times = std::mem::take(&mut self.sent.lock().expect("sent lock").suspects);
         let reports = self.with_refresh(now, new_reports, &mut times);
         self.sent.lock().expect("sent lock").suspects.extend(times);
@@ -45,11 +45,11 @@
     pub(super) fn with_refresh(
         &self,
         now: Moment,
-        new_reports: Vec<SuspectNote>,
+        new_reports: Vec<SuspectReport>,
         times: &mut SuspectTimes,
-    ) -> Vec<SuspectNote> {
+    ) -> Vec<SuspectReport> {
         let suspects = self.gateway.suspects();
-        let lasting = suspects.lasting();
+        let lasting = suspects.requests_with_hold();
         times.retain(|request, _| lasting.contains(request));
         let mut reports = new_reports;
         for report in &reports {
@@ -64,13 +64,13 @@
         for request in &due {
             times.insert(*request, now);
         }
-        reports.extend(suspects.notes(now, &due));
+        reports.extend(suspects.reports_for(now, &due));
         reports
     }
 
     pub(super) async fn send_suspect_reports(
         &self,
-        reports: Vec<SuspectNote>,
+        reports: Vec<SuspectReport>,
         addresses: &[SocketAddr],
     ) {
         let own = self.gateway.peers.own();
@@ -94,10 +94,13 @@
         let now = self.gateway.now();
         let is_own_zone = message.zone == self.gateway.peers.own().zone;
         let scope = match is_own_zone {
-            true => TellerScope::Router,
-            false => TellerScope::Zone,
+            true => ReporterScope::Router,
+            false => ReporterScope::Zone,
         };
-        let held = self.gateway.suspects().hear(now, scope, &message.notes);
+        let held = self
+            .gateway
+            .suspects()
+            .apply_reports(now, scope, &message.notes);
         for (request, hold) in held {
             log_held_back(now, request, &hold, "", &message.reporter.to_string());
         }
--- a/src/platform/notice_headers.rs
+++ b/src/platform/notice_headers.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::{ReplicaNotice, asked_rest},
+    crate::policy::{ReplicaNotice, parse_retry_after},
     hyper::{
         StatusCode,
         header::{HeaderMap, RETRY_AFTER},
@@ -20,7 +20,7 @@
     }
     let is_leaving = text(headers, LEAVING_HEADER) == Some("1");
     let is_unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
-    let retry_after = text(headers, RETRY_AFTER.as_str()).and_then(asked_rest);
+    let retry_after = text(headers, RETRY_AFTER.as_str()).and_then(parse_retry_after);
     ReplicaNotice::new(is_leaving, retry_after.filter(|_| is_unavailable))
 }
 
--- a/src/policy/clock/mod.rs
+++ b/src/policy/clock/mod.rs
@@ -1,10 +1,11 @@
-//! Time: moments, starts of processes, and processes that stood still.
+//! Moments, incarnations of processes, and detection that the process was suspended.
 
 mod incarnation;
 mod moment;
-mod pause_detector;
-mod standstill;
+mod suspension_detector;
+mod suspension_guard;
 
 pub use {
-    incarnation::Incarnation, moment::Moment, pause_detector::PauseDetector, standstill::Standstill,
+    incarnation::Incarnation, moment::Moment, suspension_detector::SuspensionDetector,
+    suspension_guard::SuspensionGuard,
 };
--- a/src/policy/clock/pause_detector.rs
+++ b/src/policy/clock/suspension_detector.rs
@@ -1,14 +1,14 @@
 use {crate::policy::Moment, std::time::Duration};
 
-/// Notices that the process stood still: a frozen machine or a stopped process.
+/// Detects that the process was suspended: stopped, stalled or frozen with its machine.
 #[derive(Debug, Clone, Copy)]
-pub struct PauseDetector {
+pub struct SuspensionDetector {
     limit: Duration,
     last: Moment,
 }
 
-impl PauseDetector {
-    /// A detector to be asked far more often than `limit`.
+impl SuspensionDetector {
+    /// Creates a detector of suspensions longer than `limit`. It must be called far more often.
     pub fn new(
         limit: Duration,
         now: Moment,
@@ -16,7 +16,7 @@
         Self { limit, last: now }
     }
 
-    /// The length of the pause that just ended, if there was one.
+    /// Returns the length of the suspension that just ended, if there was one.
     pub fn tick(
         &mut self,
         now: Moment,
--- a/src/policy/direct/mod.rs
+++ b/src/policy/direct/mod.rs
@@ -1,14 +1,14 @@
-//! Decisions of the direct form, in which routers carry requests themselves.
+//! Decisions of the direct form, in which routers send requests to replicas themselves.
 
 pub mod memory;
 pub mod placement;
 mod processor;
+mod reporter;
 pub mod shares;
 pub mod slow_start;
 pub mod suspects;
-mod teller;
 
 pub use {
     processor::*,
-    teller::{Teller, TellerScope},
+    reporter::{Reporter, ReporterScope},
 };
--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -51,7 +51,7 @@
     ) -> bool {
         let view = self.replicas.get(&replica.id);
         let is_ready = view.is_some_and(|view| view.entry.state == UpstreamState::Ready);
-        !is_ready || self.notices.leaves(now, replica)
+        !is_ready || self.notices.is_leaving(now, replica)
     }
 
     /// A request ended well at a replica.
@@ -120,7 +120,8 @@
         if let Some(view) = self.same_start(replica) {
             view.cache = PrefixCache::default();
             if let Some(limit) = limit {
-                view.start_pace.doubt(now, limit.lasts + LONGEST_ABSENCE);
+                view.start_pace
+                    .assume_restarted(now, limit.duration + LONGEST_ABSENCE);
             }
         }
     }
--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -19,13 +19,13 @@
         replica: &UpstreamEntry,
         notice: ReplicaNotice,
     ) -> bool {
-        self.notices.hear(now, unix_ms, replica, notice)
+        self.notices.apply_notice(now, unix_ms, replica, notice)
     }
 
     /// Replicas that said to this router that they leave, by their starts' short names.
     pub fn heard_leaving(&self) -> Vec<u32> {
         let views = self.replicas.values();
-        let leaving = views.filter(|view| self.notices.heard_leaving_here(&view.entry));
+        let leaving = views.filter(|view| self.notices.received_leaving_here(&view.entry));
         leaving.map(|view| view.start).collect()
     }
 
@@ -39,7 +39,7 @@
         let mut news = Vec::new();
         for start in starts {
             let entry = self.by_key(*start).map(|view| view.entry.clone());
-            news.extend(entry.filter(|entry| self.notices.hear_of_leaving(unix_ms, entry)));
+            news.extend(entry.filter(|entry| self.notices.apply_peer_leaving(unix_ms, entry)));
         }
         news
     }
@@ -51,7 +51,8 @@
         now: Moment,
         replica: &UpstreamEntry,
     ) -> bool {
-        !self.notices.leaves(now, replica) && self.notices.rest_left(now, replica).is_zero()
+        !self.notices.is_leaving(now, replica)
+            && self.notices.backoff_remaining(now, replica).is_zero()
     }
 
     /// How long until the first replica of a service takes requests again, of those that do
@@ -66,8 +67,8 @@
             .filter(|view| &*view.entry.service == service)
             .filter(|view| view.entry.state == UpstreamState::Ready)
             .filter(|view| !self.is_cordoned(&view.entry))
-            .filter(|view| !self.notices.leaves(now, &view.entry));
-        stay.map(|view| self.notices.rest_left(now, &view.entry))
+            .filter(|view| !self.notices.is_leaving(now, &view.entry));
+        stay.map(|view| self.notices.backoff_remaining(now, &view.entry))
             .min()
     }
 
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -3,9 +3,8 @@
 use {
     super::ReplicaBoard,
     crate::policy::{
-        Moment, Teller, TellerScope,
+        Moment, Reporter, ReporterScope, name_hash,
         placement::{CacheNote, EngineReport, ReplicaEvidence, ReplicaReport},
-        short_name,
     },
 };
 
@@ -18,7 +17,7 @@
     pub fn hear(
         &mut self,
         now: Moment,
-        teller: Teller,
+        teller: Reporter,
         told: &[ReplicaReport],
     ) {
         let age = self.belief_age();
@@ -73,7 +72,7 @@
     pub fn hear_notes(
         &mut self,
         now: Moment,
-        scope: TellerScope,
+        scope: ReporterScope,
         notes: &[CacheNote],
     ) {
         for note in notes {
@@ -83,7 +82,7 @@
             if note.shared {
                 self.shared_parts.note(note.part);
             }
-            if note.shared && scope == TellerScope::Router {
+            if note.shared && scope == ReporterScope::Router {
                 keep_note(&mut self.zone_notes, *note);
             }
         }
@@ -132,7 +131,7 @@
     ) {
         for report in told {
             let mut services = self.replicas.values().map(|view| &view.entry.service);
-            let named = services.find(|name| short_name(name) == report.service);
+            let named = services.find(|name| name_hash(name) == report.service);
             if let Some(service) = named {
                 self.engines.hear(service, report);
             }
--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{PlacementRequest, ReplicaView, WorkNumber},
-        slow_start::{StartLimit, StartPace, ZoneRouters},
+        slow_start::{SlowStartLimit, SlowStartState, ZoneRouters},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
@@ -14,7 +14,7 @@
     /// What replicas of each service bear while they start.
     pub fn set_start_limits(
         &mut self,
-        limits: HashMap<Arc<str>, StartLimit>,
+        limits: HashMap<Arc<str>, SlowStartLimit>,
     ) {
         self.start_limits = limits;
     }
@@ -39,7 +39,7 @@
             return true;
         };
         &*view.entry.zone == request.zone
-            && view.start_pace.has_room(now, limit.per_second)
+            && view.start_pace.permits_send(now, limit.per_second)
             && self.zone_routers.owns(now, view.hash)
     }
 
@@ -58,7 +58,9 @@
             return true;
         };
         let is_same = view.start == work.start;
-        is_same && work.is_counted && now.saturating_sub(work.sent) <= StartPace::LATEST
+        is_same
+            && work.is_counted
+            && now.saturating_sub(work.sent) <= SlowStartState::MAX_SEND_DELAY
     }
 
     /// The shortest time until a replica of a service is through its start, if any that
@@ -71,7 +73,7 @@
         let views = self.replicas.values();
         let of_service = views.filter(|view| &*view.entry.service == service);
         let slow = of_service.filter(|view| self.slow_limit(now, view).is_some());
-        slow.map(|view| view.start_pace.left(now)).min()
+        slow.map(|view| view.start_pace.remaining(now)).min()
     }
 
     /// The limit that binds at a replica now; none if it is not slow.
@@ -79,7 +81,7 @@
         &self,
         now: Moment,
         view: &ReplicaView,
-    ) -> Option<StartLimit> {
+    ) -> Option<SlowStartLimit> {
         let limit = self.start_limits.get(&view.entry.service)?;
         view.start_pace.is_slow(now).then_some(*limit)
     }
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -2,13 +2,13 @@
     crate::{
         catalog::UpstreamEntry,
         policy::{
-            Moment, NoticeBook,
+            Moment, NoticeTracker,
             placement::{
                 CacheNote, EngineModels, EngineTimes, FleetSize, KeptNews, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
                 Work, WorkNumber,
             },
-            slow_start::{StartLimit, ZoneRouters},
+            slow_start::{SlowStartLimit, ZoneRouters},
         },
         routing::AllowedRegions,
     },
@@ -42,9 +42,9 @@
     pub(super) fleet: FleetSize,      // that chooses by the same reports
     cordoned: BTreeSet<String>,       // zones that get no new work
     regions: BTreeMap<String, String>, // of zones, by zone
-    pub(super) start_limits: HashMap<Arc<str>, StartLimit>, // by service
+    pub(super) start_limits: HashMap<Arc<str>, SlowStartLimit>, // by service
     pub(super) zone_routers: ZoneRouters, // who sends to replicas that start slowly
-    pub(super) notices: NoticeBook,   // what replicas said of themselves
+    pub(super) notices: NoticeTracker, // what replicas said of themselves
 }
 
 /// Reports of a peer that may be lost before the last one is no longer believed.
@@ -76,7 +76,7 @@
             regions: BTreeMap::new(),
             start_limits: HashMap::new(),
             zone_routers: ZoneRouters::default(),
-            notices: NoticeBook::default(),
+            notices: NoticeTracker::default(),
         }
     }
 
@@ -123,14 +123,14 @@
             match self.replicas.get_mut(&entry.id) {
                 Some(view) if view.entry.is_same_start(entry) => {
                     if !Arc::ptr_eq(&view.entry, entry) {
-                        view.start_pace.told(now, entry.slow_start_remaining);
+                        view.start_pace.set_remaining(now, entry.slow_start_remaining);
                     }
                     view.entry = entry.clone();
                 }
                 known => {
                     restarted.extend(known.map(|_| entry.id.clone()));
                     let mut view = ReplicaView::new(entry.clone());
-                    view.start_pace.told(now, entry.slow_start_remaining);
+                    view.start_pace.set_remaining(now, entry.slow_start_remaining);
                     self.replicas.insert(entry.id.clone(), view);
                 }
             }
--- a/src/policy/direct/processor/mod.rs
+++ b/src/policy/direct/processor/mod.rs
@@ -1,13 +1,14 @@
-//! A router short of processor: how that shows, and who takes its callers over.
+//! CPU overload of a router: how it is measured, when the router pauses, and which neighbour
+//! takes over its connections.
 
 mod busy_gauge;
-mod hand_on;
 mod lag_gauge;
+mod neighbour;
 mod overload_pause;
 
 pub use {
     busy_gauge::BusyGauge,
-    hand_on::{Neighbour, neighbour_for},
     lag_gauge::LagGauge,
+    neighbour::{Neighbour, choose_neighbour},
     overload_pause::OverloadPause,
 };
--- a/src/policy/direct/shares/account_usage.rs
+++ b/src/policy/direct/shares/account_usage.rs
@@ -3,30 +3,30 @@
     std::{ops::AddAssign, time::Duration},
 };
 
-/// What one account asked for and got of late, in tokens; both fade.
+/// The tokens that one account recently requested and was allocated, both with exponential decay.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AccountUsage {
-    pub asked: f32,
-    pub got: f32,
+    pub requested: f32,
+    pub allocated: f32,
 }
 
 impl AccountUsage {
-    /// Fades by a factor.
-    pub fn fade(
+    /// Multiplies both by a factor.
+    pub fn decay(
         &mut self,
         factor: f32,
     ) {
-        self.asked *= factor;
-        self.got *= factor;
+        self.requested *= factor;
+        self.allocated *= factor;
     }
 
-    /// What is left of it after some time.
-    pub fn faded(
+    /// The usage decayed over `age`, with `window` as the time constant.
+    pub fn decayed(
         mut self,
         age: Duration,
         window: Duration,
     ) -> Self {
-        self.fade((-age.as_secs_f32() / window.as_secs_f32()).exp());
+        self.decay((-age.as_secs_f32() / window.as_secs_f32()).exp());
         self
     }
 }
@@ -36,7 +36,7 @@
         &mut self,
         other: Self,
     ) {
-        self.asked += other.asked;
-        self.got += other.got;
+        self.requested += other.requested;
+        self.allocated += other.allocated;
     }
 }
--- a/src/policy/direct/suspects/mod.rs
+++ b/src/policy/direct/suspects/mod.rs
@@ -1,24 +1,24 @@
-//! Requests under which replicas ended: which these are, and how long each is held back.
+//! Requests during which replicas crashed: which these are, and how long each is held back.
 //!
-//! A request is known again by its digest, whatever the id of the try. What speaks
-//! against it are runs that were under way when their replica ended, at whichever router;
-//! routers tell each other of them, and a whole answer anywhere speaks for it, for a while.
+//! A request is recognised by its digest, whatever its request id. Each attempt at it that was
+//! running when its replica crashed, at any router, is evidence against it. Routers exchange this
+//! evidence, and a complete answer at any router clears the request for a while.
 
-mod answered;
-mod book_notes;
+mod answered_requests;
+mod crashed_attempt;
 mod hold;
 mod request_digest;
-mod run_end;
+mod signed_moment;
 mod suspect;
-mod suspect_book;
-mod suspect_note;
-mod told_moment;
+mod suspect_report;
+mod suspect_tracker;
+mod tracker_reports;
 
 pub use {
+    crashed_attempt::CrashedAttempt,
     hold::Hold,
     request_digest::RequestDigest,
-    run_end::RunEnd,
-    suspect_book::{HeldRequest, SuspectBook},
-    suspect_note::{EndNote, SuspectNote},
-    told_moment::ToldMoment,
+    signed_moment::SignedMoment,
+    suspect_report::{CrashReport, SuspectReport},
+    suspect_tracker::{HeldRequest, SuspectTracker},
 };
--- /dev/null
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -0,0 +1,57 @@
+use {
+    super::{CrashedAttempt, RequestDigest, SignedMoment},
+    crate::policy::Moment,
+    serde::{Deserialize, Serialize},
+};
+
+/// What a router knows of a request during which replicas crashed, as sent to other routers. These
+/// messages may be merged in any order and more than once.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SuspectReport {
+    pub request: RequestDigest,
+    pub account: u32, // hash of its name
+    pub crashes: Vec<CrashReport>,
+}
+
+/// One crash, with ages in place of moments, since moments of two processes cannot be compared.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CrashReport {
+    pub key: u32,
+    pub replica: u32,  // hash of the id and start of the replica
+    pub began_ms: u32, // how long ago the request was sent to the replica
+    pub ended_ms: u32, // how long ago the replica crashed
+    pub is_early: bool,
+    pub is_cleared: bool,
+}
+
+impl CrashReport {
+    /// A crash as it is sent to other routers now.
+    pub fn new(
+        now: Moment,
+        crash: &CrashedAttempt,
+    ) -> Self {
+        Self {
+            key: crash.key,
+            replica: crash.replica,
+            began_ms: crash.started_at.ago_ms(now),
+            ended_ms: crash.crashed_at.ago_ms(now),
+            is_early: crash.is_early,
+            is_cleared: crash.is_cleared,
+        }
+    }
+
+    /// The crash, if the message was received at `now`.
+    pub fn received_at(
+        &self,
+        now: Moment,
+    ) -> CrashedAttempt {
+        CrashedAttempt {
+            key: self.key,
+            replica: self.replica,
+            started_at: SignedMoment::before(now, self.began_ms),
+            crashed_at: SignedMoment::before(now, self.ended_ms),
+            is_early: self.is_early,
+            is_cleared: self.is_cleared,
+        }
+    }
+}
--- a/src/policy/granted/exchange/key_memory.rs
+++ b/src/policy/granted/exchange/idempotency_keys.rs
@@ -9,23 +9,22 @@
 
 /// What is known of a request's idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum KeyVerdict {
-    Fresh,      // remembered now as running
-    InProgress, // a request with this key runs
+pub enum KeyStatus {
+    Fresh,      // unknown before, remembered now as running
+    InProgress, // a request with this key is running
     Ran,        // a request with this key ran, or may have
-    Unsure,     // started too recently, or the memory is full
+    Unsure,     // the process started too recently, or remembers as many keys as it may
 }
 
-/// The idempotency keys a sidecar remembers.
+/// The idempotency keys that a sidecar remembers.
 ///
-/// The memory ends with the process and after a stated time. A process that
-/// started less than `quarantine` ago may have forgotten a run, so it takes no
-/// keyed request that may not be repeated.
+/// They are lost when the process ends, and dropped after a set time. A process that started less
+/// than `quarantine` ago may have lost a key, so it reports new keys as unsure.
 #[derive(Debug, Clone)]
-pub struct KeyMemory {
+pub struct IdempotencyKeys {
     keys: HashMap<(AccountId, String), KeyState>,
     ended: VecDeque<(Moment, (AccountId, String))>, // oldest first
-    memory: Duration,
+    retention: Duration, // how long a key is remembered after its request ended
     quarantine: Duration,
     max_keys: usize,
 }
@@ -36,44 +35,44 @@
     Ended,
 }
 
-impl KeyMemory {
-    /// An empty memory.
+impl IdempotencyKeys {
+    /// Creates a memory without keys.
     pub fn new(
-        memory: Duration,
+        retention: Duration,
         quarantine: Duration,
         max_keys: usize,
     ) -> Self {
         Self {
             keys: HashMap::new(),
             ended: VecDeque::new(),
-            memory,
+            retention,
             quarantine,
             max_keys,
         }
     }
 
-    /// Asks about a key and, if it is fresh, remembers it as running.
+    /// Looks up a key and, if it is fresh, remembers it as running.
     pub fn begin(
         &mut self,
         now: Moment,
         account: AccountId,
         key: &str,
-    ) -> KeyVerdict {
-        self.forget_old(now);
+    ) -> KeyStatus {
+        self.remove_expired(now);
         let entry = (account, key.to_owned());
         match self.keys.get(&entry) {
-            Some(KeyState::Running) => return KeyVerdict::InProgress,
-            Some(KeyState::Ended) => return KeyVerdict::Ran,
+            Some(KeyState::Running) => return KeyStatus::InProgress,
+            Some(KeyState::Ended) => return KeyStatus::Ran,
             None => {}
         }
         if now < self.quarantine || self.keys.len() >= self.max_keys {
-            return KeyVerdict::Unsure;
+            return KeyStatus::Unsure;
         }
         self.keys.insert(entry, KeyState::Running);
-        KeyVerdict::Fresh
+        KeyStatus::Fresh
     }
 
-    /// The request with this key ended; it ran, or may have.
+    /// Records that the request with this key ended, and that it ran or may have run.
     pub fn ran(
         &mut self,
         now: Moment,
@@ -85,7 +84,7 @@
         self.ended.push_back((now, entry));
     }
 
-    /// The request with this key certainly did not run.
+    /// Drops a key whose request certainly did not run.
     pub fn not_run(
         &mut self,
         account: AccountId,
@@ -94,12 +93,12 @@
         self.keys.remove(&(account, key.to_owned()));
     }
 
-    fn forget_old(
+    fn remove_expired(
         &mut self,
         now: Moment,
     ) {
         while let Some((ended, _)) = self.ended.front() {
-            if now.saturating_sub(*ended) < self.memory {
+            if now.saturating_sub(*ended) < self.retention {
                 return;
             }
             if let Some((_, entry)) = self.ended.pop_front() {
--- a/src/policy/granted/exchange/mod.rs
+++ b/src/policy/granted/exchange/mod.rs
@@ -1,8 +1,9 @@
-//! One request between router and sidecar: attempts, repeats, at most once.
+//! The exchange of one request between router and sidecar: attempts, retries, and execution at most
+//! once.
 
 mod attempts;
 mod finished;
-mod key_memory;
+mod idempotency_keys;
 mod retry_budget;
 mod router_exchange;
 mod sidecar_exchange;
@@ -10,7 +11,7 @@
 pub use {
     attempts::Attempts,
     finished::Finished,
-    key_memory::{KeyMemory, KeyVerdict},
+    idempotency_keys::{IdempotencyKeys, KeyStatus},
     retry_budget::RetryBudget,
     router_exchange::{AnswerEvent, RouterExchange},
     sidecar_exchange::SidecarExchange,
--- a/src/policy/granted/totals/mod.rs
+++ b/src/policy/granted/totals/mod.rs
@@ -1,17 +1,19 @@
-//! What accounts got, the fleet over: each sidecar's ledger and the keepers of sums.
+//! Service that accounts got from the whole fleet: each sidecar's ledger, and the routers that sum
+//! up the sidecars' reports. It is measured in service units: weighted tokens for model engines,
+//! weighted seconds of a slot for plain services.
 
-mod keeper;
-mod kept_account;
+mod account_total;
 mod ledger;
 mod ledger_entry;
 mod report;
+mod totals_aggregator;
 mod totals_mode;
 
 pub use {
-    keeper::Keeper,
-    kept_account::KeptAccount,
+    account_total::AccountTotal,
     ledger::Ledger,
     ledger_entry::LedgerEntry,
     report::{ReportEntry, TotalEntry},
+    totals_aggregator::TotalsAggregator,
     totals_mode::TotalsMode,
 };
--- a/src/policy/notices/mod.rs
+++ b/src/policy/notices/mod.rs
@@ -1,9 +1,11 @@
-//! What replicas say of themselves in their answers: that they leave, or that they want
-//! nothing for a while. It binds the process that was told, whatever the list says.
+//! What replicas announce in the headers of their answers: that they are leaving, or that they
+//! want no requests for a while. It is obeyed whatever the list of upstreams says.
 
-mod asked_rest;
-mod notice_book;
+mod incarnation_notice;
+mod notice_tracker;
 mod replica_notice;
-mod said_word;
+mod retry_after;
 
-pub use {asked_rest::asked_rest, notice_book::NoticeBook, replica_notice::ReplicaNotice};
+pub use {
+    notice_tracker::NoticeTracker, replica_notice::ReplicaNotice, retry_after::parse_retry_after,
+};
--- a/src/policy/notices/replica_notice.rs
+++ b/src/policy/notices/replica_notice.rs
@@ -1,32 +1,32 @@
 use std::time::Duration;
 
-/// What the head of an answer says of the replica that gave it.
+/// What the headers of an answer say about the replica that sent it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaNotice {
-    pub leaves: bool,   // it takes no new work, for good
-    pub rest: Duration, // it wants nothing from this process for so long; zero if it did not ask
+    pub is_leaving: bool,  // it takes no new work, for good
+    pub backoff: Duration, // it wants no requests of this process for so long; zero if unset
 }
 
 impl ReplicaNotice {
-    /// What a replica said: that it leaves, and the rest that it asked for as it turned a
-    /// request away.
+    /// Creates a notice from whether the replica leaves, and for how long it wants no requests
+    /// if it stated that when it refused one.
     pub fn new(
-        leaves: bool,
-        rest: Option<Duration>,
+        is_leaving: bool,
+        backoff: Option<Duration>,
     ) -> Self {
         Self {
-            leaves,
-            rest: rest.unwrap_or_default(),
+            is_leaving,
+            backoff: backoff.unwrap_or_default(),
         }
     }
 
-    /// What it says, for metrics.
+    /// The kind of notice, as a label in metrics.
     pub fn kind(&self) -> &'static str {
-        if self.leaves { "leaves" } else { "rests" }
+        if self.is_leaving { "leaves" } else { "rests" }
     }
 
-    /// Whether it says nothing.
+    /// Whether the notice announces nothing.
     pub fn is_empty(&self) -> bool {
-        !self.leaves && self.rest.is_zero()
+        !self.is_leaving && self.backoff.is_zero()
     }
 }
--- a/src/router/announce_demand.rs
+++ b/src/router/announce_demand.rs
@@ -2,7 +2,7 @@
     super::router::Router,
     crate::{
         fleet::AccountId,
-        policy::{CurrentDemand, WaitingRoom},
+        policy::{CurrentDemand, RequestQueue},
         wire::ControlMessage,
     },
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -38,7 +38,7 @@
             let current = demand_for(&waiting.queue, host);
             let lines = view
                 .announced
-                .changes(now, cap, budget / sidecar_count, &current);
+                .take_due_lines(now, cap, budget / sidecar_count, &current);
             if !lines.is_empty() {
                 messages.push((
                     host.clone(),
@@ -58,7 +58,7 @@
 }
 
 fn demand_for(
-    waiting: &WaitingRoom,
+    waiting: &RequestQueue,
     host: &str,
 ) -> BTreeMap<AccountId, CurrentDemand> {
     waiting
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -5,7 +5,7 @@
         keys::PeerName,
         link::{DialSet, DialTarget},
         ops::PAUSES,
-        policy::{PauseDetector, Reach},
+        policy::{SidecarSubset, SuspensionDetector},
         wire::ControlMessage,
     },
     std::{sync::Arc, time::Duration},
@@ -24,8 +24,8 @@
     dials: Arc<DialSet<Router>>,
 ) {
     let mut suspensions =
-        PauseDetector::new(router.settings.process.pause_limit, router.node.now());
-    let mut subset = Reach::new(router.settings.reach);
+        SuspensionDetector::new(router.settings.process.pause_limit, router.node.now());
+    let mut subset = SidecarSubset::new(router.settings.reach);
     let mut lists = router.node.hosts.subscribe();
     let mut last_sweep = router.node.now();
     let mut ticks = tokio::time::interval(HOUSEKEEPING_INTERVAL);
@@ -37,13 +37,13 @@
         }
         let oldest_wait = {
             let mut waiting = router.waiting.lock().expect("waiting lock");
-            let shed = waiting.queue.give_up(now);
+            let shed = waiting.queue.shed_overdue(now);
             waiting.reject(shed);
             waiting.queue.oldest_wait(now)
         };
         let hosts = router.node.hosts.current();
         let sidecar_count = hosts.live(HostRole::Sidecar).count();
-        let has_grown = subset.adapt(now, oldest_wait, sidecar_count);
+        let has_grown = subset.grow_if_waiting(now, oldest_wait, sidecar_count);
         if has_grown || lists.has_changed().unwrap_or(false) {
             lists.borrow_and_update();
             dials.set(dial_targets(&router, &hosts, &subset));
@@ -54,7 +54,7 @@
                 .aggregator
                 .lock()
                 .expect("aggregator lock")
-                .forget_idle(now);
+                .remove_idle(now);
         }
     }
 }
@@ -74,7 +74,7 @@
 fn dial_targets(
     router: &Router,
     hosts: &HostList,
-    subset: &Reach,
+    subset: &SidecarSubset,
 ) -> Vec<DialTarget> {
     let sidecars: Vec<(String, String)> = hosts
         .live(HostRole::Sidecar)
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -8,7 +8,8 @@
         link::{Link, Peer},
         node::Node,
         policy::{
-            Grant, Keeper, ReportEntry, RetryBudget, WaitingBounds, WaitingRequest, WaitingRoom,
+            Grant, QueueBounds, ReportEntry, RequestQueue, RetryBudget, TotalsAggregator,
+            WaitingRequest,
         },
         wire::ControlMessage,
     },
@@ -31,7 +32,7 @@
     pub settings: RouterSettings,
     pub(super) waiting: Mutex<WaitingTable>,
     pub(super) sidecars: Mutex<HashMap<Arc<str>, SidecarView>>, // connected sidecars, by host
-    pub(super) aggregator: Mutex<Keeper>,
+    pub(super) aggregator: Mutex<TotalsAggregator>,
     pub(super) demand_changed: Notify,
     retry_budget: Mutex<RetryBudget>,
     link: OnceLock<Arc<Link<Router>>>,
@@ -65,18 +66,21 @@
         node: Arc<Node>,
         settings: RouterSettings,
     ) -> Self {
-        let bounds = WaitingBounds {
+        let bounds = QueueBounds {
             requests: settings.max_requests,
             bytes: settings.max_bytes,
             per_account: settings.max_per_account,
             refuse_early: settings.refuse_early,
         };
-        let queue = WaitingRoom::new(bounds, settings.prefix_slack);
+        let queue = RequestQueue::new(bounds, settings.prefix_slack);
         Self {
             node,
             waiting: Mutex::new(WaitingTable::new(queue)),
             sidecars: Mutex::default(),
-            aggregator: Mutex::new(Keeper::new(settings.idle_grace, settings.debt_ceiling)),
+            aggregator: Mutex::new(TotalsAggregator::new(
+                settings.idle_grace,
+                settings.debt_ceiling,
+            )),
             demand_changed: Notify::new(),
             retry_budget: Mutex::new(RetryBudget::new(settings.retry_fraction)),
             link: OnceLock::new(),
@@ -147,12 +151,12 @@
         self.retry_budget
             .lock()
             .expect("retry budget lock")
-            .request();
+            .record_request();
     }
 
     /// Takes one retry from the retry budget. False if none is left.
     pub fn take_retry(&self) -> bool {
-        self.retry_budget.lock().expect("retry budget lock").take()
+        self.retry_budget.lock().expect("retry budget lock").try_take_retry()
     }
 
     /// Queues a request and waits until it is granted or shed. `None` if the router stops
@@ -190,7 +194,7 @@
             view.open_offers += 1;
             host
         };
-        waiting.queue.note_prefix(request, &host);
+        waiting.queue.record_prefix_host(request, &host);
         drop(waiting);
         link.peer(&host)
     }
@@ -252,7 +256,7 @@
                 .iter()
                 .map(|entry| {
                     let share = share_of(entry).unwrap_or(1.0);
-                    aggregator.report(
+                    aggregator.apply_report(
                         now,
                         &peer.host,
                         peer.incarnation,
--- a/src/router/status.rs
+++ b/src/router/status.rs
@@ -5,7 +5,7 @@
     crate::{
         fleet::AccountId,
         ops::{AccountStatus, AuditTrail, PeerStatus, ProcessStatus, StatusSource, WAITING},
-        policy::WaitingRoom,
+        policy::RequestQueue,
     },
     std::collections::{BTreeSet, HashMap},
 };
@@ -42,7 +42,7 @@
     /// The accounts whose fleet totals this router sums, or that have requests waiting here.
     fn account_statuses(
         &self,
-        queue: &WaitingRoom,
+        queue: &RequestQueue,
     ) -> Vec<AccountStatus> {
         let totals: HashMap<_, _> = {
             let aggregator = self.aggregator.lock().expect("aggregator lock");
--- a/src/router/wait_outcome.rs
+++ b/src/router/wait_outcome.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         link::Peer,
-        policy::{GrantNumber, Shed},
+        policy::{GrantNumber, ShedRequest},
     },
     std::sync::Arc,
 };
@@ -9,5 +9,5 @@
 /// How a request's wait in the queue ended.
 pub enum WaitOutcome {
     Granted { peer: Arc<Peer>, grant: GrantNumber },
-    Shed(Shed),
+    Shed(ShedRequest),
 }
--- a/src/router/waiting_table.rs
+++ b/src/router/waiting_table.rs
@@ -3,7 +3,7 @@
     crate::{
         fleet::AccountId,
         link::Peer,
-        policy::{GrantNumber, Moment, Shed, WaitingRequest, WaitingRoom},
+        policy::{GrantNumber, Moment, RequestQueue, ShedRequest, WaitingRequest},
     },
     std::{collections::HashMap, sync::Arc},
     tokio::sync::oneshot,
@@ -12,13 +12,13 @@
 /// The queues of waiting requests, with a channel to each request's task. The whole table
 /// is behind one lock.
 pub struct WaitingTable {
-    pub queue: WaitingRoom,
+    pub queue: RequestQueue,
     waiters: HashMap<u64, oneshot::Sender<WaitOutcome>>, // by request id
 }
 
 impl WaitingTable {
     /// An empty table.
-    pub fn new(queue: WaitingRoom) -> Self {
+    pub fn new(queue: RequestQueue) -> Self {
         Self {
             queue,
             waiters: HashMap::new(),
@@ -35,7 +35,7 @@
         let (sender, receiver) = oneshot::channel();
         self.waiters.insert(request.id, sender);
         if is_requeued {
-            self.queue.push_back(request);
+            self.queue.requeue(request);
         } else {
             let shed = self.queue.push(now, request);
             self.reject(shed);
@@ -51,7 +51,7 @@
         account: AccountId,
         grant: GrantNumber,
     ) -> bool {
-        while let Some(request) = self.queue.take_for(now, &peer.host, account) {
+        while let Some(request) = self.queue.take_for_host(now, &peer.host, account) {
             let outcome = WaitOutcome::Granted {
                 peer: peer.clone(),
                 grant,
@@ -66,7 +66,7 @@
     /// Notifies the requests that are shed.
     pub fn reject(
         &mut self,
-        requests: Vec<Shed>,
+        requests: Vec<ShedRequest>,
     ) {
         for shed in requests {
             self.resolve(shed.id, WaitOutcome::Shed(shed));
--- a/src/sidecar/dispatch_table.rs
+++ b/src/sidecar/dispatch_table.rs
@@ -44,7 +44,7 @@
         now: Moment,
         arrival: &Arrival<RouterNumber>,
     ) -> (Admission, Option<oneshot::Receiver<SlotDecision>>) {
-        let admission = self.dispatcher.arrive(now, arrival);
+        let admission = self.dispatcher.admit(now, arrival);
         if admission == Admission::Start {
             self.mark_in_transit(arrival.exchange);
         }
@@ -121,7 +121,7 @@
         now: Moment,
         until: Moment,
     ) {
-        let handed_back = self.dispatcher.close_until(now, until);
+        let handed_back = self.dispatcher.suspend_until(now, until);
         self.resolve_handed_back(handed_back);
     }
 
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -6,7 +6,7 @@
         link::{DialSet, DialTarget},
         node::PEERS_ASKED,
         ops::{GRANTS, PAUSES},
-        policy::{PauseDetector, rendezvous},
+        policy::{SuspensionDetector, rendezvous},
         wire::ControlMessage,
     },
     std::{sync::Arc, time::Duration},
@@ -19,7 +19,7 @@
 /// suspended.
 pub async fn run_housekeeping(sidecar: Arc<Sidecar>) {
     let mut suspensions =
-        PauseDetector::new(sidecar.settings.process.pause_limit, sidecar.node.now());
+        SuspensionDetector::new(sidecar.settings.process.pause_limit, sidecar.node.now());
     let mut ticks = tokio::time::interval(HOUSEKEEPING_INTERVAL);
     loop {
         ticks.tick().await;
@@ -119,7 +119,7 @@
     sidecar.node.audit.record("paused", None, None, detail);
     {
         let mut table = sidecar.table.lock().expect("table lock");
-        table.dispatcher.forget_views(sidecar.node.now());
+        table.dispatcher.discard_stale_state(sidecar.node.now());
     }
     if let Some(link) = sidecar.link() {
         for router in link.peers(HostRole::Router) {
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -6,7 +6,7 @@
         fleet::HostRole,
         link::{LinkHandler, Peer},
         node::serve_config,
-        policy::Sighting,
+        policy::PeerObservation,
         wire::{ControlMessage, Envelope, StreamOpen},
     },
     quinn::{RecvStream, SendStream},
@@ -30,9 +30,9 @@
         peer: &Arc<Peer>,
     ) -> bool {
         match self.node.sight(peer) {
-            Sighting::Stale => return false,
-            Sighting::Restarted => self.forget_router(&peer.host),
-            Sighting::New | Sighting::Same => {}
+            PeerObservation::Stale => return false,
+            PeerObservation::Restarted => self.forget_router(&peer.host),
+            PeerObservation::New | PeerObservation::Same => {}
         }
         if let Some(link) = self.link() {
             let free = self.table.lock().expect("table lock").announced_free_slots;
@@ -62,7 +62,7 @@
                 let mut table = self.table.lock().expect("table lock");
                 entries
                     .iter()
-                    .for_each(|entry| table.dispatcher.hear(entry));
+                    .for_each(|entry| table.dispatcher.apply_total(entry));
             }
             ControlMessage::Leaving => {
                 let mut membership = self.node.membership.lock().expect("membership lock");
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -9,8 +9,8 @@
         node::Node,
         ops::GRANTS,
         policy::{
-            Admission, Arrival, DemandLine, DispatchSettings, ExchangeId, Finished, KeyMemory,
-            Moment,
+            Admission, Arrival, DemandLine, DispatchSettings, ExchangeId, Finished,
+            IdempotencyKeys, Moment,
         },
         wire::ControlMessage,
     },
@@ -43,7 +43,7 @@
     pub node: Arc<Node>,
     pub settings: SidecarSettings,
     pub upstream: UpstreamClient,
-    pub idempotency_keys: Mutex<KeyMemory>,
+    pub idempotency_keys: Mutex<IdempotencyKeys>,
     pub(super) table: Mutex<DispatchTable>,
     link: OnceLock<Arc<Link<Sidecar>>>,
     next_exchange: AtomicU64,
@@ -69,7 +69,7 @@
     ) -> Self {
         let dispatch_settings = DispatchSettings {
             slots: settings.slots,
-            ahead: settings.ahead,
+            max_ready: settings.ahead,
             order: settings.order,
             totals: settings.totals,
             slack: settings.slack,
@@ -77,7 +77,7 @@
             grant_ttl: settings.grant_ttl,
             idle_grace: settings.idle_grace,
         };
-        let keys = KeyMemory::new(
+        let keys = IdempotencyKeys::new(
             settings.key_memory,
             settings.key_quarantine,
             settings.max_keys,
@@ -162,7 +162,7 @@
         now: Moment,
     ) {
         let mut table = self.table.lock().expect("table lock");
-        table.dispatcher.progress(exchange, units, now);
+        table.dispatcher.charge_progress(exchange, units, now);
     }
 
     /// Ends an exchange and reuses its slot.
@@ -261,7 +261,7 @@
             let router = table.routers.number_of(&peer.host);
             table
                 .dispatcher
-                .announce(router, self.node.now(), newest_grant, lines);
+                .update_demand(router, self.node.now(), newest_grant, lines);
         }
         self.dispatch();
     }
@@ -289,7 +289,7 @@
         {
             let mut table = self.table.lock().expect("table lock");
             let router = table.routers.number_of(host);
-            table.dispatcher.forget_router(router, self.node.now());
+            table.dispatcher.remove_router(router, self.node.now());
         }
         self.dispatch();
     }
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -20,15 +20,15 @@
         metrics::counter!(NOTICES, "says" => notice.kind()).increment(1);
         log::info!(
             request_id = request_id,
-            leaves = notice.leaves,
-            rest_ms = notice.rest.as_millis() as u64;
+            leaves = notice.is_leaving,
+            rest_ms = notice.backoff.as_millis() as u64;
             "the upstream said of itself"
         );
         // The upstream's own request is always met in full: a shorter backoff does not end it.
-        if !notice.rest.is_zero() {
-            self.back_off(notice.rest);
+        if !notice.backoff.is_zero() {
+            self.back_off(notice.backoff);
         }
-        if notice.leaves {
+        if notice.is_leaving {
             tokio::spawn(self.clone().leave_with_upstream());
         }
     }
@@ -44,7 +44,7 @@
             let mut table = self.table.lock().expect("table lock");
             let resumes = !self.leaves_permanently.load(Ordering::SeqCst);
             if resumes {
-                table.dispatcher.come_back();
+                table.dispatcher.resume();
                 self.node.end_leaving();
             }
             resumes
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -8,13 +8,12 @@
         catalog::{CatalogVersion, UpstreamEntry, UpstreamState},
         peers::{PeerMessage, ReportBody, RouterReport, SentReports},
         policy::{
-            Teller, TellerScope,
+            Reporter, ReporterScope, name_hash,
             placement::{
                 CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport,
             },
-            shares::{AccountUsage, ShareBook, Standing},
-            short_name,
+            shares::{AccountUsage, ShareStatus, ShareTracker},
         },
         routing::EngineSpec,
         wire::{decode_payload, encode_payload},
@@ -78,7 +77,7 @@
         let account = step % scale.accounts;
         // The sum of what others told is made anew every 20 ms, some 50 requests.
         let now = NOW + Duration::from_micros(400) * step;
-        std::hint::black_box(book.share(now, account, 100.0));
+        std::hint::black_box(book.account_share(now, account, 100.0));
     });
     let report_made = mean_us(|_| {
         std::hint::black_box(encoded(&board));
@@ -127,7 +126,7 @@
         prompt: Some(prompt),
         aim: AIM,
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     }
@@ -166,11 +165,11 @@
     }
     for part in 0..KEPT {
         let note = CacheNote {
-            replica: short_name(&ids[part as usize % ids.len()]),
+            replica: name_hash(&ids[part as usize % ids.len()]),
             part: 10 + part,
             shared: true,
         };
-        board.hear_notes(NOW, TellerScope::Zone, &[note]);
+        board.hear_notes(NOW, ReporterScope::Zone, &[note]);
     }
     board
 }
@@ -182,45 +181,45 @@
         memory: 4000,
     };
     ReplicaReport {
-        replica: short_name(id),
+        replica: name_hash(id),
         load,
         placed: 5_000_000,
         rests: false,
     }
 }
 
-fn router(number: u32) -> Teller {
-    Teller {
-        scope: TellerScope::Router,
+fn router(number: u32) -> Reporter {
+    Reporter {
+        scope: ReporterScope::Router,
         name: number,
-        source: 1,
+        source_id: 1,
     }
 }
 
-fn other_zone(number: u32) -> Teller {
-    Teller {
-        scope: TellerScope::Zone,
+fn other_zone(number: u32) -> Reporter {
+    Reporter {
+        scope: ReporterScope::Zone,
         name: 1_000_000 + number,
-        source: 1,
+        source_id: 1,
     }
 }
 
-fn full_book(scale: FleetScale) -> ShareBook {
-    let mut book = ShareBook::new(WINDOW, AGE + WINDOW);
+fn full_book(scale: FleetScale) -> ShareTracker {
+    let mut book = ShareTracker::new(WINDOW, AGE + WINDOW);
     let usage: Vec<(u32, AccountUsage)> = (0..scale.accounts)
         .map(|account| {
             let usage = AccountUsage {
-                asked: 9000.0,
-                got: 5000.0,
+                requested: 9000.0,
+                allocated: 5000.0,
             };
             (account, usage)
         })
         .collect();
     for number in 1..(scale.routers / ZONES) as u32 {
-        book.hear(NOW, router(number), &usage);
+        book.apply_report(NOW, router(number), &usage);
     }
     for zone in 1..ZONES as u32 {
-        book.hear(NOW, other_zone(zone), &usage);
+        book.apply_report(NOW, other_zone(zone), &usage);
     }
     book
 }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -19,7 +19,7 @@
 fn settings() -> DispatchSettings {
     DispatchSettings {
         slots: SLOTS,
-        ahead: 2,
+        max_ready: 2,
         order: OrderMode::Fair,
         totals: TotalsMode::Local,
         slack: 0.0,
@@ -54,7 +54,7 @@
 ) -> BTreeMap<u64, f64> {
     let mut dispatcher = Dispatcher::new(settings());
     let lines: Vec<DemandLine> = (0..accounts).map(|a| line(a, u32::MAX)).collect();
-    dispatcher.announce(ROUTER, ms(0), 0, &lines);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &lines);
     let mut served = BTreeMap::new();
     let mut running = std::collections::VecDeque::new();
     let mut exchange = 0;
@@ -62,7 +62,7 @@
         let now = ms(step);
         while let Some((router, grant)) = dispatcher.next_grant(now) {
             exchange += 1;
-            dispatcher.arrive(
+            dispatcher.admit(
                 now,
                 &Arrival {
                     exchange,
@@ -120,14 +120,14 @@
         for (step, number, passed) in steps {
             now += ms(passed);
             match step {
-                0 => dispatcher.announce(ROUTER, now, 0, &[line(number, 10)]),
+                0 => dispatcher.update_demand(ROUTER, now, 0, &[line(number, 10)]),
                 1 => granted.extend(dispatcher.next_grant(now)),
                 2 => if let Some((router, grant)) = granted.pop() {
                     exchange += 1;
                     let arrival = Arrival {
                         exchange, router, account: grant.account, grant: Some(grant.number),
                     };
-                    if !matches!(dispatcher.arrive(now, &arrival), Admission::Refused(_)) {
+                    if !matches!(dispatcher.admit(now, &arrival), Admission::Refused(_)) {
                         open.push(exchange);
                     }
                 },
@@ -150,7 +150,7 @@
 #[test]
 fn an_expired_or_used_grant_is_refused_and_its_charge_taken_back() {
     let mut dispatcher = Dispatcher::new(settings());
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 5)]);
     let (router, grant) = dispatcher.next_grant(ms(0)).expect("room and demand");
     let arrival = |exchange| Arrival {
         exchange,
@@ -158,9 +158,9 @@
         account: grant.account,
         grant: Some(grant.number),
     };
-    assert_eq!(dispatcher.arrive(ms(10), &arrival(1)), Admission::Start);
+    assert_eq!(dispatcher.admit(ms(10), &arrival(1)), Admission::Start);
     assert_eq!(
-        dispatcher.arrive(ms(11), &arrival(2)),
+        dispatcher.admit(ms(11), &arrival(2)),
         Admission::Refused(ResultCode::GrantExpired)
     );
     let (_, late) = dispatcher.next_grant(ms(20)).expect("room and demand");
@@ -171,7 +171,7 @@
         grant: Some(late.number),
     };
     assert_eq!(
-        dispatcher.arrive(ms(900), &arrival),
+        dispatcher.admit(ms(900), &arrival),
         Admission::Refused(ResultCode::GrantExpired)
     );
     assert_eq!(dispatcher.expire(ms(900)), 1);
@@ -183,7 +183,7 @@
 #[test]
 fn a_router_that_lost_its_view_is_granted_for_all_that_it_announces() {
     let mut dispatcher = Dispatcher::new(settings());
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 2)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 2)]);
     let (router, used) = dispatcher.next_grant(ms(0)).expect("room and demand");
     let (_, unused) = dispatcher.next_grant(ms(0)).expect("room and demand");
     let arrival = Arrival {
@@ -192,11 +192,11 @@
         account: used.account,
         grant: Some(used.number),
     };
-    assert_eq!(dispatcher.arrive(ms(1), &arrival), Admission::Start);
+    assert_eq!(dispatcher.admit(ms(1), &arrival), Admission::Start);
     dispatcher.finish(1, Finished::Cost(1.0), ms(2));
     assert_eq!(dispatcher.expire(ms(900)), 1, "grant {}", unused.number);
     // The router connects anew and no longer knows that it saw any grant.
-    dispatcher.announce(ROUTER, ms(901), 0, &[line(1, 2)]);
+    dispatcher.update_demand(ROUTER, ms(901), 0, &[line(1, 2)]);
     assert!(dispatcher.next_grant(ms(901)).is_some());
     assert!(dispatcher.next_grant(ms(901)).is_some());
     assert!(dispatcher.next_grant(ms(901)).is_none());
@@ -208,13 +208,13 @@
         slots: 1,
         ..settings()
     });
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 5)]);
     let mut admissions = Vec::new();
     let mut grants = Vec::new();
     grants.extend(dispatcher.next_grant(ms(0)));
     grants.extend(dispatcher.next_grant(ms(0)));
     for (exchange, (router, grant)) in grants.iter().enumerate() {
-        admissions.push(dispatcher.arrive(
+        admissions.push(dispatcher.admit(
             ms(1),
             &Arrival {
                 exchange: exchange as u64,
@@ -242,10 +242,10 @@
 fn a_leaving_sidecar_grants_nothing_and_hands_back_what_has_not_started() {
     let mut dispatcher = one_runs_and_one_waits();
     assert_eq!(dispatcher.leave(ms(2)), [1]);
-    dispatcher.announce(ROUTER, ms(3), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(3), 0, &[line(1, 5)]);
     assert_eq!(dispatcher.next_grant(ms(3)), None);
     assert_eq!(
-        dispatcher.arrive(ms(4), &offer(9)),
+        dispatcher.admit(ms(4), &offer(9)),
         Admission::Refused(ResultCode::Leaving)
     );
 }
@@ -255,14 +255,14 @@
 #[test]
 fn a_rest_lasts_as_long_as_the_longest_that_was_asked_for() {
     let mut dispatcher = one_runs_and_one_waits();
-    assert_eq!(dispatcher.close_until(ms(2), ms(3_002)), [1]);
-    assert!(dispatcher.close_until(ms(10), ms(510)).is_empty());
-    dispatcher.announce(ROUTER, ms(600), 0, &[line(1, 5)]);
+    assert_eq!(dispatcher.suspend_until(ms(2), ms(3_002)), [1]);
+    assert!(dispatcher.suspend_until(ms(10), ms(510)).is_empty());
+    dispatcher.update_demand(ROUTER, ms(600), 0, &[line(1, 5)]);
     dispatcher.finish(0, Finished::Cost(1.0), ms(600));
     assert_eq!(dispatcher.next_grant(ms(3_001)), None);
     assert_eq!(dispatcher.start_ready(ms(3_001)), None);
     assert_eq!(
-        dispatcher.arrive(ms(3_001), &offer(9)),
+        dispatcher.admit(ms(3_001), &offer(9)),
         Admission::Refused(ResultCode::UpstreamUnreachable)
     );
     assert!(dispatcher.next_grant(ms(3_002)).is_some());
@@ -278,7 +278,7 @@
         patience_ms: 50,
         ..line(2, 1)
     };
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 1), urgent, line(3, 1)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 1), urgent, line(3, 1)]);
     let (_, grant) = dispatcher.next_grant(ms(0)).expect("room and demand");
     assert_eq!(grant.account, AccountId(2));
 }
@@ -287,7 +287,7 @@
 fn an_account_that_got_much_is_not_starved_beyond_the_ceiling() {
     let mut dispatcher = Dispatcher::new(DispatchSettings {
         slots: 1,
-        ahead: 0,
+        max_ready: 0,
         debt_ceiling: 1_000.0,
         ..settings()
     });
@@ -295,7 +295,7 @@
     let mut serve = |dispatcher: &mut Dispatcher<u32>, now: Duration, cost: f64| {
         let (router, grant) = dispatcher.next_grant(now).expect("room and demand");
         exchange += 1;
-        dispatcher.arrive(
+        dispatcher.admit(
             now,
             &Arrival {
                 exchange,
@@ -307,9 +307,9 @@
         dispatcher.finish(exchange, Finished::Cost(cost), now);
         grant.account
     };
-    dispatcher.announce(ROUTER, ms(0), 0, &[line(1, 1)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 1)]);
     serve(&mut dispatcher, ms(0), 1e7);
-    dispatcher.announce(ROUTER, ms(10), 9, &[line(1, 1_000), line(2, 1_000)]);
+    dispatcher.update_demand(ROUTER, ms(10), 9, &[line(1, 1_000), line(2, 1_000)]);
     let served: Vec<AccountId> = (0..40)
         .map(|step| serve(&mut dispatcher, ms(20 + step), 100.0))
         .collect();
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -6,13 +6,13 @@
         catalog::{UpstreamEntry, UpstreamState},
         peers::{EvidenceMessage, EvidenceSchedule, PeerMessage},
         policy::{
+            name_hash,
             placement::{
                 Choice, EngineReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
                 PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
                 ReplicaEvidence, ReplicaPace, SentPrompt, WorkNumber,
             },
-            shares::Standing,
-            short_name,
+            shares::ShareStatus,
         },
         routing::EngineSpec,
         wire::encode_payload,
@@ -69,7 +69,7 @@
     let mut board = ReplicaBoard::new(PlacementSettings::default());
     board.set_entries(BEGIN, ids.iter().map(|id| entry(id, 1)).collect());
     board.hear_engines(&[EngineReport {
-        service: short_name("model"),
+        service: name_hash("model"),
         times: USUAL,
         samples: 5000,
     }]);
@@ -94,7 +94,7 @@
         engine: Some(ENGINE),
         prompt: Some(prompt),
         aim: AIM,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
     }
 }
--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -2,19 +2,18 @@
 
 use {
     archmast::policy::{
-        Teller, TellerScope,
-        shares::{AccountUsage, RetryWindow, ShareBook, Standing, fair_level},
-        short_name,
+        Reporter, ReporterScope, name_hash,
+        shares::{AccountUsage, RetryWindow, ShareStatus, ShareTracker, fair_level},
     },
     proptest::prelude::*,
     std::time::Duration,
 };
 
 const WINDOW: Duration = Duration::from_secs(4);
-const PEER: Teller = Teller {
-    scope: TellerScope::Router,
+const PEER: Reporter = Reporter {
+    scope: ReporterScope::Router,
     name: 1,
-    source: 1,
+    source_id: 1,
 };
 const AGE: Duration = Duration::from_secs(1);
 
@@ -28,43 +27,46 @@
 
 #[test]
 fn an_account_is_not_over_while_all_ask_for_less_than_is_made() {
-    let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let (big, small) = (name_hash("big"), name_hash("small"));
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     // A moment of refusals: a little was given, more was asked for.
-    book.ask(now, big, 3000.0);
-    book.ask(now, small, 1000.0);
-    book.give(now, big, 1000.0);
+    book.record_requested(now, big, 3000.0);
+    book.record_requested(now, small, 1000.0);
+    book.record_allocated(now, big, 1000.0);
     assert!(over_for(&mut book, now, big).is_some());
     // All engines together make 2,000 tokens a second, 8,000 in a window.
-    book.set_capacity(Some(2000.0));
+    book.set_declared_capacity(Some(2000.0));
     assert_eq!(over_for(&mut book, now, big), None);
-    book.ask(now, big, 20_000.0);
-    book.give(now, big, 9000.0);
+    book.record_requested(now, big, 20_000.0);
+    book.record_allocated(now, big, 9000.0);
     assert!(over_for(&mut book, now, big).is_some());
     assert_eq!(over_for(&mut book, now, small), None);
-    book.set_capacity(None);
+    book.set_declared_capacity(None);
     assert!(over_for(&mut book, now, big).is_some());
 }
 
 #[test]
 fn what_is_divided_follows_whether_requests_find_room() {
-    let mut book = ShareBook::new(WINDOW, AGE);
-    book.set_capacity(Some(1000.0));
+    let mut book = ShareTracker::new(WINDOW, AGE);
+    book.set_declared_capacity(Some(1000.0));
     let mut now = Duration::from_secs(10);
     let mut count = |placed: usize, refused: usize| {
         for is_placed in [vec![false; refused], vec![true; placed]].concat() {
             now += Duration::from_millis(10);
-            book.count_room(now, is_placed);
+            book.record_placement(now, is_placed);
         }
-        book.division(now).divided
+        book.fair_allocation(now).capacity
     };
     assert!(count(50, 2) > 3600.0);
     assert!(count(30, 70) < 400.0);
     assert!(count(300, 0) > 3600.0);
     // What no request has tried for long is believed.
     assert!(count(0, 100) < 400.0);
-    assert_eq!(book.division(now + Duration::from_secs(60)).divided, 4000.0);
+    assert_eq!(
+        book.fair_allocation(now + Duration::from_secs(60)).capacity,
+        4000.0
+    );
 }
 
 proptest! {
@@ -83,102 +85,111 @@
 /// How long an account waits that has had more than its share; none if it has
 /// not.
 fn over_for(
-    book: &mut ShareBook,
+    book: &mut ShareTracker,
     now: Duration,
     account: u32,
 ) -> Option<Duration> {
-    match book.share(now, account, 0.0).standing {
-        Standing::Over { wait, .. } => Some(wait),
-        Standing::Within | Standing::Behind => None,
+    match book.account_share(now, account, 0.0).status {
+        ShareStatus::Over { wait, .. } => Some(wait),
+        ShareStatus::Within | ShareStatus::Under => None,
     }
 }
 
 #[test]
 fn an_account_is_over_only_while_others_are_owed() {
-    let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let (big, small) = (name_hash("big"), name_hash("small"));
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
     for account in [big, small] {
-        book.ask(now, account, 1000.0);
+        book.record_requested(now, account, 1000.0);
     }
-    book.give(now, big, 1000.0);
+    book.record_allocated(now, big, 1000.0);
     assert!(over_for(&mut book, now, big).is_some());
     assert_eq!(over_for(&mut book, now, small), None);
-    book.give(now, small, 1000.0);
+    book.record_allocated(now, small, 1000.0);
     assert_eq!(over_for(&mut book, now, big), None);
 }
 
 fn told(
-    book: &mut ShareBook,
+    book: &mut ShareTracker,
     now: Duration,
 ) -> Vec<(u32, AccountUsage)> {
-    book.own(now).clone().into_iter().collect()
+    book.own_usage(now).clone().into_iter().collect()
 }
 
 #[test]
 fn what_peers_gave_counts_until_it_is_old() {
-    let (big, small) = (short_name("big"), short_name("small"));
-    let mut here = ShareBook::new(WINDOW, AGE);
-    let mut there = ShareBook::new(WINDOW, AGE);
+    let (big, small) = (name_hash("big"), name_hash("small"));
+    let mut here = ShareTracker::new(WINDOW, AGE);
+    let mut there = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    here.ask(now, big, 500.0);
-    here.ask(now, small, 500.0);
-    there.ask(now, big, 3000.0);
-    there.give(now, big, 3000.0);
-    here.hear(now, PEER, &told(&mut there, now));
+    here.record_requested(now, big, 500.0);
+    here.record_requested(now, small, 500.0);
+    there.record_requested(now, big, 3000.0);
+    there.record_allocated(now, big, 3000.0);
+    here.apply_report(now, PEER, &told(&mut there, now));
     assert!(over_for(&mut here, now, big).is_some());
     assert_eq!(over_for(&mut here, now + AGE * 2, big), None);
-    here.hear(now, PEER, &told(&mut there, now));
-    here.forget(PEER.name);
+    here.apply_report(now, PEER, &told(&mut there, now));
+    here.remove_reporter(PEER.name);
     assert_eq!(over_for(&mut here, now, big), None);
 }
 
 #[test]
 fn the_time_to_come_back_is_when_the_share_is_free_again() {
-    let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let (big, small) = (name_hash("big"), name_hash("small"));
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    book.ask(now, big, 10_000.0);
-    book.ask(now, small, 1000.0);
-    book.give(now, big, 4000.0);
-    book.give(now, small, 500.0);
+    book.record_requested(now, big, 10_000.0);
+    book.record_requested(now, small, 1000.0);
+    book.record_allocated(now, big, 4000.0);
+    book.record_allocated(now, small, 500.0);
     let wait = over_for(&mut book, now, big).expect("over its share");
     assert!(wait > Duration::ZERO && wait < WINDOW * 3);
     // Nothing more is given to it, while the small one goes on as before.
     let then = now + wait + Duration::from_millis(100);
-    book.ask(then, small, 600.0);
-    book.give(then, small, 600.0);
-    book.ask(then, big, 100.0);
+    book.record_requested(then, small, 600.0);
+    book.record_allocated(then, small, 600.0);
+    book.record_requested(then, big, 100.0);
     let left = over_for(&mut book, then, big).unwrap_or_default();
     assert!(left < wait, "{left:?} after {wait:?}");
 }
 
 #[test]
 fn an_account_that_was_refused_most_is_behind_until_it_catches_up() {
-    let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let (big, small) = (name_hash("big"), name_hash("small"));
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    book.ask(now, big, 50_000.0);
-    book.give(now, big, 20_000.0);
+    book.record_requested(now, big, 50_000.0);
+    book.record_allocated(now, big, 20_000.0);
     // Its first request: nothing was refused yet.
-    book.ask(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 5000.0).standing, Standing::Within);
+    book.record_requested(now, small, 5000.0);
+    assert_eq!(
+        book.account_share(now, small, 5000.0).status,
+        ShareStatus::Within
+    );
     // It was refused, and comes again.
-    book.ask(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 5000.0).standing, Standing::Behind);
-    book.give(now, small, 5000.0);
-    assert_eq!(book.share(now, small, 0.0).standing, Standing::Within);
+    book.record_requested(now, small, 5000.0);
+    assert_eq!(
+        book.account_share(now, small, 5000.0).status,
+        ShareStatus::Under
+    );
+    book.record_allocated(now, small, 5000.0);
+    assert_eq!(
+        book.account_share(now, small, 0.0).status,
+        ShareStatus::Within
+    );
 }
 
 #[test]
 fn what_was_taken_back_counts_no_more() {
-    let (big, small) = (short_name("big"), short_name("small"));
-    let mut book = ShareBook::new(WINDOW, AGE);
+    let (big, small) = (name_hash("big"), name_hash("small"));
+    let mut book = ShareTracker::new(WINDOW, AGE);
     let now = Duration::from_secs(10);
-    book.ask(now, big, 1000.0);
-    book.ask(now, small, 1000.0);
-    book.give(now, big, 1000.0);
-    book.take_back(big, 1000.0);
+    book.record_requested(now, big, 1000.0);
+    book.record_requested(now, small, 1000.0);
+    book.record_allocated(now, big, 1000.0);
+    book.record_unused(big, 1000.0);
     assert_eq!(over_for(&mut book, now, big), None);
 }
 
@@ -195,10 +206,10 @@
         let now = Duration::from_millis(u64::from(step) * 10);
         let router = &mut retries[step as usize % routers];
         if step % 3 == 0 {
-            router.request(now, "s");
+            router.record_request(now, "s");
             requests.push(now);
         }
-        if router.take(now, "s", routers) {
+        if router.try_take_retry(now, "s", routers) {
             taken.push(now);
         }
     }
@@ -215,25 +226,25 @@
 fn after_a_burst(window: Duration) -> (f32, f32) {
     const CAPACITY: f32 = 100.0; // tokens a step
     let step = Duration::from_millis(100);
-    let (hot, other) = (short_name("hot"), short_name("other"));
-    let mut book = ShareBook::new(window, AGE);
+    let (hot, other) = (name_hash("hot"), name_hash("other"));
+    let mut book = ShareTracker::new(window, AGE);
     let mut now = Duration::from_secs(10);
-    book.ask(now, hot, CAPACITY * 40.0);
-    book.give(now, hot, CAPACITY * 40.0);
+    book.record_requested(now, hot, CAPACITY * 40.0);
+    book.record_allocated(now, hot, CAPACITY * 40.0);
     let mut got = (0.0, 0.0);
     for _ in 0..60 {
         now += step;
-        book.ask(now, hot, CAPACITY * 2.0);
-        book.ask(now, other, CAPACITY * 2.0);
+        book.record_requested(now, hot, CAPACITY * 2.0);
+        book.record_requested(now, other, CAPACITY * 2.0);
         let hot_may = over_for(&mut book, now, hot).is_none();
         let other_may = over_for(&mut book, now, other).is_none();
         let each = CAPACITY / f32::from(u8::from(hot_may) + u8::from(other_may)).max(1.0);
         if hot_may {
-            book.give(now, hot, each);
+            book.record_allocated(now, hot, each);
             got.0 += each;
         }
         if other_may {
-            book.give(now, other, each);
+            book.record_allocated(now, other, each);
             got.1 += each;
         }
     }
@@ -254,22 +265,22 @@
 /// What a router believes that an account got, which is given the same again and again, if it
 /// is looked at this often.
 fn believed_when_looked_at_every(look: Duration) -> f32 {
-    let account = short_name("steady");
-    let mut book = ShareBook::new(Duration::from_secs(3), AGE);
+    let account = name_hash("steady");
+    let mut book = ShareTracker::new(Duration::from_secs(3), AGE);
     let mut now = Duration::from_secs(10);
     let (mut next_given, mut next_look) = (now, now);
     while now < Duration::from_secs(40) {
         if now >= next_given {
-            book.give(now, account, 1000.0);
+            book.record_allocated(now, account, 1000.0);
             next_given += Duration::from_millis(500);
         }
         if now >= next_look {
-            book.own(now);
+            book.own_usage(now);
             next_look += look;
         }
         now += Duration::from_millis(1);
     }
-    book.own(now)[&account].got
+    book.own_usage(now)[&account].allocated
 }
 
 #[test]
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -3,7 +3,7 @@
 use {
     archmast::{
         fleet::AccountId,
-        policy::{Incarnation, Keeper, ReportEntry},
+        policy::{Incarnation, ReportEntry, TotalsAggregator},
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
@@ -41,30 +41,30 @@
         let entry = ReportEntry {
             account: ACCOUNT,
             own: self.own,
-            heard: self.heard,
+            known_total: self.heard,
             included: self.included,
             waiting: true,
-            returning: false,
+            was_idle: false,
         };
         (self.host.clone(), self.incarnation, self.sequence, entry)
     }
 
     fn hear(
         &mut self,
-        keeper: &mut Keeper,
+        keeper: &mut TotalsAggregator,
     ) {
         let (host, incarnation, sequence, entry) = self.report();
-        let reply = keeper.report(GRACE, &host, incarnation, sequence, NO_FLOOR, 1.0, &entry);
+        let reply = keeper.apply_report(GRACE, &host, incarnation, sequence, NO_FLOOR, 1.0, &entry);
         self.heard = reply.total;
         self.included = reply.included;
     }
 }
 
-fn keeper() -> Keeper {
-    Keeper::new(GRACE, 1e9)
+fn keeper() -> TotalsAggregator {
+    TotalsAggregator::new(GRACE, 1e9)
 }
 
-fn total(keeper: &Keeper) -> f64 {
+fn total(keeper: &TotalsAggregator) -> f64 {
     keeper.totals().map(|(_, total)| total).sum()
 }
 
@@ -85,7 +85,7 @@
         let mut keeper = keeper();
         for index in &order {
             let (host, incarnation, sequence, entry) = index.get(&sent);
-            keeper.report(GRACE, host, *incarnation, *sequence, NO_FLOOR, 1.0, entry);
+            keeper.apply_report(GRACE, host, *incarnation, *sequence, NO_FLOOR, 1.0, entry);
         }
         for source in &mut sources {
             source.hear(&mut keeper);
@@ -151,13 +151,13 @@
 
 #[test]
 fn an_account_back_from_idle_brings_no_credit_and_bounded_debt() {
-    let mut keeper = Keeper::new(GRACE, 100.0);
+    let mut keeper = TotalsAggregator::new(GRACE, 100.0);
     let mut behind = Source::new(1);
     behind.own = 5.0;
     behind.hear(&mut keeper);
     let later = GRACE * 3;
     let (host, incarnation, sequence, entry) = behind.report();
-    let reply = keeper.report(
+    let reply = keeper.apply_report(
         later,
         &host,
         incarnation,
@@ -170,10 +170,10 @@
     let mut ahead = Source::new(2);
     ahead.own = 1e6;
     let (host, incarnation, sequence, entry) = ahead.report();
-    keeper.report(later, &host, incarnation, sequence, None, 1.0, &entry);
+    keeper.apply_report(later, &host, incarnation, sequence, None, 1.0, &entry);
     let much_later = later + GRACE * 3;
     let (host, incarnation, sequence, entry) = ahead.report();
-    let reply = keeper.report(
+    let reply = keeper.apply_report(
         much_later,
         &host,
         incarnation,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -16,7 +16,7 @@
         policy::{
             placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
             shares::AccountUsage,
-            suspects::{EndNote, RequestDigest, SuspectNote},
+            suspects::{CrashReport, RequestDigest, SuspectReport},
         },
         wire::{decode_payload, encode_frame, encode_payload, read_frame},
     },
@@ -50,8 +50,8 @@
         accounts: vec![(
             9,
             AccountUsage {
-                asked: 1.5,
-                got: 0.25,
+                requested: 1.5,
+                allocated: 0.25,
             },
         )],
         notes: vec![CacheNote {
@@ -110,21 +110,21 @@
 }
 
 fn suspects() -> PeerMessage {
-    let end = EndNote {
+    let end = CrashReport {
         key: 11,
         replica: 12,
         began_ms: 2000,
         ended_ms: 1000,
         is_early: true,
-        is_excused: false,
+        is_cleared: false,
     };
     PeerMessage::Suspects(SuspectsMessage {
         zone: 5,
         reporter: address(1),
-        notes: vec![SuspectNote {
+        notes: vec![SuspectReport {
             request: RequestDigest::new("POST", "/a/b", "lot", b"body"),
             account: 13,
-            ends: vec![end],
+            crashes: vec![end],
         }],
     })
 }
--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         platform::read_notice,
-        policy::{Moment, NoticeBook, ReplicaNotice, asked_rest},
+        policy::{Moment, NoticeTracker, ReplicaNotice, parse_retry_after},
     },
     hyper::{
         StatusCode,
@@ -14,8 +14,8 @@
 };
 
 const LEAVES: ReplicaNotice = ReplicaNotice {
-    leaves: true,
-    rest: Duration::ZERO,
+    is_leaving: true,
+    backoff: Duration::ZERO,
 };
 
 fn replica(
@@ -44,11 +44,11 @@
 
 /// Whether a replica may be sent a request, by its own word.
 fn permits(
-    book: &NoticeBook,
+    book: &NoticeTracker,
     now: Moment,
     replica: &UpstreamEntry,
 ) -> bool {
-    !book.leaves(now, replica) && book.rest_left(now, replica).is_zero()
+    !book.is_leaving(now, replica) && book.backoff_remaining(now, replica).is_zero()
 }
 
 /// When the words of these tests are said, in unix milliseconds.
@@ -56,12 +56,12 @@
 
 #[test]
 fn leaving_binds_for_good_and_for_that_start_only() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let old = replica("a", Some(SAID - 60_000));
     let new = replica("a", Some(SAID + 2_000));
     let other = replica("b", None);
-    assert!(book.hear(at(1.0), SAID, &old, LEAVES));
-    assert!(!book.hear(at(2.0), SAID, &old, LEAVES));
+    assert!(book.apply_notice(at(1.0), SAID, &old, LEAVES));
+    assert!(!book.apply_notice(at(2.0), SAID, &old, LEAVES));
     book.set_listed(at(1000.0), &[old.clone(), other.clone()]);
     assert!(!permits(&book, at(1000.0), &old));
     assert!(permits(&book, at(1000.0), &new));
@@ -71,23 +71,26 @@
 /// A replica started again, and leaves; the list tells of that start only afterwards.
 #[test]
 fn a_word_binds_the_start_that_said_it_though_the_list_was_behind() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let listed = replica("a", Some(SAID - 60_000));
     let speaker = replica("a", Some(SAID - 500));
-    book.hear(at(1.0), SAID, &listed, LEAVES);
-    book.hear(at(1.0), SAID, &listed, rests(30.0));
+    book.apply_notice(at(1.0), SAID, &listed, LEAVES);
+    book.apply_notice(at(1.0), SAID, &listed, rests(30.0));
     book.set_listed(at(5.0), std::slice::from_ref(&speaker));
     assert!(!permits(&book, at(5.0), &speaker));
-    assert_eq!(book.rest_left(at(5.0), &speaker), Duration::from_secs(26));
+    assert_eq!(
+        book.backoff_remaining(at(5.0), &speaker),
+        Duration::from_secs(26)
+    );
     // A clock that is wrong shuts a replica out for a bounded time.
     assert!(permits(&book, at(66.0), &speaker));
 }
 
 #[test]
 fn a_word_outlives_a_lapse_of_its_entry_and_is_forgotten_long_after() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let leaves = replica("a", None);
-    book.hear(at(1.0), SAID, &leaves, LEAVES);
+    book.apply_notice(at(1.0), SAID, &leaves, LEAVES);
     book.set_listed(at(2.0), &[]);
     book.set_listed(at(300.0), std::slice::from_ref(&leaves));
     book.set_listed(at(700.0), &[]);
@@ -98,15 +101,18 @@
 
 #[test]
 fn the_latest_end_of_several_rests_counts() {
-    let mut book = NoticeBook::default();
+    let mut book = NoticeTracker::default();
     let tired = replica("a", Some(1));
-    assert!(book.hear(at(0.0), SAID, &tired, rests(3.0)));
-    assert!(!book.hear(at(1.0), SAID, &tired, rests(0.5)));
+    assert!(book.apply_notice(at(0.0), SAID, &tired, rests(3.0)));
+    assert!(!book.apply_notice(at(1.0), SAID, &tired, rests(0.5)));
     book.set_listed(at(2.0), &[]);
-    assert_eq!(book.rest_left(at(2.0), &tired), Duration::from_secs(1));
+    assert_eq!(
+        book.backoff_remaining(at(2.0), &tired),
+        Duration::from_secs(1)
+    );
     assert!(!permits(&book, at(2.9), &tired));
     assert!(permits(&book, at(3.0), &tired));
-    assert!(book.hear(at(3.0), SAID, &tired, rests(1.0)));
+    assert!(book.apply_notice(at(3.0), SAID, &tired, rests(1.0)));
 }
 
 /// A replica's refusal with no sensible `Retry-After` took it out for ten minutes.
@@ -135,7 +141,7 @@
         "\u{0663}",
         "Fri, 31 Dec 1999 23:59:59 GMT",
     ] {
-        assert_eq!(asked_rest(text), None, "{text:?}");
+        assert_eq!(parse_retry_after(text), None, "{text:?}");
         assert!(turned_away(text).is_empty(), "{text:?}");
     }
     for (text, millis) in [
@@ -146,17 +152,17 @@
         ("07.50", 7_500),
     ] {
         let rest = Duration::from_millis(millis);
-        assert_eq!(asked_rest(text), Some(rest), "{text:?}");
-        assert_eq!(turned_away(text).rest, rest, "{text:?}");
+        assert_eq!(parse_retry_after(text), Some(rest), "{text:?}");
+        assert_eq!(turned_away(text).backoff, rest, "{text:?}");
     }
 }
 
 #[test]
 fn no_rest_binds_for_longer_than_an_operator_would_wait() {
     for text in ["31", "601", "99999999999999999999", &"9".repeat(400)] {
-        let mut book = NoticeBook::default();
+        let mut book = NoticeTracker::default();
         let tired = replica("a", None);
-        book.hear(at(0.0), SAID, &tired, turned_away(text));
+        book.apply_notice(at(0.0), SAID, &tired, turned_away(text));
         assert!(!permits(&book, at(29.9), &tired), "{text}");
         assert!(permits(&book, at(30.0), &tired), "{text}");
     }
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -61,10 +61,10 @@
 fn an_account_whose_usage_only_fades_is_told_in_its_turn_only() {
     let mut told = SentReports::default();
     let usage = AccountUsage {
-        asked: 90_000.0,
-        got: 30_000.0,
+        requested: 90_000.0,
+        allocated: 30_000.0,
     };
-    let at = |age| vec![(7, usage.faded(age, WINDOW))];
+    let at = |age| vec![(7, usage.decayed(age, WINDOW))];
     let mut times = 0;
     for step in 0..=10 {
         let now = ms(step * 100);
@@ -74,7 +74,7 @@
     let more = vec![(
         7,
         AccountUsage {
-            asked: 95_000.0,
+            requested: 95_000.0,
             ..usage
         },
     )];
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -7,12 +7,12 @@
         catalog::{UpstreamEntry, UpstreamState},
         platform::parse_replica,
         policy::{
-            Teller, TellerScope,
+            Reporter, ReporterScope,
             placement::{
                 CacheNote, Choice, KeptPart, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
             },
-            shares::Standing,
+            shares::ShareStatus,
         },
         routing::EngineSpec,
     },
@@ -27,10 +27,10 @@
     link_mbps: 0.0,
     can_transfer_kv: false,
 };
-const PEER: Teller = Teller {
-    scope: TellerScope::Router,
+const PEER: Reporter = Reporter {
+    scope: ReporterScope::Router,
     name: 1,
-    source: 1,
+    source_id: 1,
 };
 
 fn start(
@@ -73,7 +73,7 @@
         prompt: Some(&prompt),
         aim: Duration::from_secs(10),
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     };
@@ -173,7 +173,7 @@
     assert!(!board.replica("i-a").expect("listed").is_avoided(NOW, age));
     board.hear_notes(
         NOW,
-        TellerScope::Router,
+        ReporterScope::Router,
         &[note(&earlier, 1), note(&earlier, 2)],
     );
     assert_eq!(reading(&mut board), 5000);
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -5,9 +5,8 @@
     archmast::{
         conf::{DirectSettings, IniDocument, SettingsFile},
         policy::{
-            Teller, TellerScope,
-            shares::{AccountUsage, ShareBook, Standing},
-            short_name,
+            Reporter, ReporterScope, name_hash,
+            shares::{AccountUsage, ShareStatus, ShareTracker},
         },
     },
     std::{collections::HashMap, ops::Range, time::Duration},
@@ -59,7 +58,7 @@
 
 /// The routers, and replicas that do what they are given in the order in which it comes.
 struct Fleet {
-    books: Vec<ShareBook>,
+    books: Vec<ShareTracker>,
     in_front: f32, // tokens
 }
 
@@ -67,8 +66,8 @@
     fn new() -> Self {
         let window = shipped_window();
         let book = || {
-            let mut book = ShareBook::new(window, AGE);
-            book.set_capacity(Some(f64::from(CAPACITY) * 1000.0));
+            let mut book = ShareTracker::new(window, AGE);
+            book.set_declared_capacity(Some(f64::from(CAPACITY) * 1000.0));
             book
         };
         Self {
@@ -86,18 +85,21 @@
         capacity: f32,
     ) -> bool {
         let book = &mut self.books[router];
-        book.ask(now, demand.account, demand.tokens);
-        let most_ms = match book.share(now, demand.account, demand.tokens).standing {
-            Standing::Over { .. } => return false,
-            Standing::Within => MOST_IN_FRONT_MS,
-            Standing::Behind => MOST_IN_FRONT_MS * 2.0,
+        book.record_requested(now, demand.account, demand.tokens);
+        let most_ms = match book
+            .account_share(now, demand.account, demand.tokens)
+            .status
+        {
+            ShareStatus::Over { .. } => return false,
+            ShareStatus::Within => MOST_IN_FRONT_MS,
+            ShareStatus::Under => MOST_IN_FRONT_MS * 2.0,
         };
         let is_placed = self.in_front <= capacity * most_ms;
-        book.count_room(now, is_placed);
+        book.record_placement(now, is_placed);
         if !is_placed {
             return false;
         }
-        book.give(now, demand.account, demand.tokens);
+        book.record_allocated(now, demand.account, demand.tokens);
         self.in_front += demand.tokens;
         true
     }
@@ -108,18 +110,18 @@
         router: usize,
     ) {
         let usage: Vec<(u32, AccountUsage)> = self.books[router]
-            .own(now)
+            .own_usage(now)
             .iter()
             .map(|(account, usage)| (*account, *usage))
             .collect();
-        let teller = Teller {
-            scope: TellerScope::Router,
+        let teller = Reporter {
+            scope: ReporterScope::Router,
             name: router as u32,
-            source: 1,
+            source_id: 1,
         };
         for (hearer, book) in self.books.iter_mut().enumerate() {
             if hearer != router {
-                book.hear(now, teller, &usage);
+                book.apply_report(now, teller, &usage);
             }
         }
     }
@@ -162,7 +164,7 @@
     other: &str,
     seconds: Range<usize>,
 ) -> f32 {
-    let sum = |name: &str, from: usize| got[&short_name(name)][from..from + 6].iter().sum::<f32>();
+    let sum = |name: &str, from: usize| got[&name_hash(name)][from..from + 6].iter().sum::<f32>();
     let starts = seconds.start..=seconds.end - 6;
     let parts = starts.map(|from| sum(account, from) / sum(other, from));
     parts.fold(f32::MAX, f32::min)
@@ -238,7 +240,7 @@
     asks: Range<usize>,
 ) -> Demand {
     Demand {
-        account: short_name(name),
+        account: name_hash(name),
         routers,
         every_ms,
         tokens,
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -11,8 +11,8 @@
         policy::{
             Moment,
             placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, WorkNumber},
-            shares::Standing,
-            slow_start::{StartBounds, StartLimit, ZoneRouters},
+            shares::ShareStatus,
+            slow_start::{SlowStartBounds, SlowStartLimit, ZoneRouters},
             stable_hash,
         },
     },
@@ -28,7 +28,7 @@
 /// What a replica bears that has just started, in requests a second, and what the
 /// operator allows.
 const PER_SECOND: f64 = 9.8;
-const BOUNDS: StartBounds = StartBounds {
+const BOUNDS: SlowStartBounds = SlowStartBounds {
     overage: 1.5,
     tolerance: 5.0,
 };
@@ -59,7 +59,7 @@
     })
 }
 
-fn limit() -> StartLimit {
+fn limit() -> SlowStartLimit {
     BOUNDS.limit(PER_SECOND, SLOW_FOR).expect("a limit")
 }
 
@@ -137,7 +137,7 @@
             prompt: None,
             aim: Duration::from_millis(600),
             pause_aim: None,
-            standing: Standing::Within,
+            standing: ShareStatus::Within,
             tried: &[],
             regions: None,
         };
@@ -350,7 +350,7 @@
         prompt: None,
         aim: Duration::from_millis(600),
         pause_aim: None,
-        standing: Standing::Within,
+        standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     };
@@ -364,11 +364,11 @@
 
 #[test]
 fn the_bound_is_what_replicas_say_where_the_operator_allows_no_more() {
-    let strict = StartBounds {
+    let strict = SlowStartBounds {
         overage: 1.0,
         tolerance: 0.0,
     };
-    let each = |bounds: StartBounds, per_second| {
+    let each = |bounds: SlowStartBounds, per_second| {
         let limit = bounds.limit(per_second, SLOW_FOR);
         limit.map(|limit| limit.per_second)
     };
