--- a/src/policy/direct/placement/prompts/prompt.rs
+++ b/src/policy/direct/placement/prompts/prompt.rs
@@ -1,25 +1,26 @@
-/// A part of a prompt that replicas may keep in memory.
+/// A part of a prompt, the unit of the replicas' prompt caches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     pub id: u64,
     pub tokens: u32,
 }
 
-/// What a prompt is made of, in order, and how much it may generate. The last
-/// part belongs to the request or its session; those before are shared.
+/// The parts of a prompt in order, and its output limit. The last part belongs to the request
+/// or its session; the parts before are shared with other prompts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptShape {
     pub parts: Vec<PromptPart>,
-    pub output_tokens: u32, // the most that is generated
+    pub output_tokens: u32, // maximum number of generated tokens
 }
 
 impl PromptShape {
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the whole prompt.
     pub fn tokens(&self) -> u32 {
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// The part that decides where the prompt is at home: the last shared one.
+    /// The hash key for the prompt's preferred replicas: its last shared part, or its only
+    /// part.
     pub fn home_part(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2);
         shared
--- a/src/policy/direct/placement/prompts/sent_prompt.rs
+++ b/src/policy/direct/placement/prompts/sent_prompt.rs
@@ -1,12 +1,12 @@
 use {super::PromptShape, crate::routing::EngineFacts, std::time::Duration};
 
-/// A prompt on its way to a replica.
+/// A prompt that is sent to a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct SentPrompt<'p> {
     pub shape: &'p PromptShape,
     pub engine: EngineFacts,
-    pub aim: Duration,               // of its route
-    pub pause_aim: Option<Duration>, // longest pause between its events that is in time
-    pub reading: u32,                // tokens that the replica has to read
-    pub front_ms: f64,               // of reading believed to be in front, and of fetching
+    pub aim: Duration,               // latency target of its route
+    pub pause_aim: Option<Duration>, // longest allowed pause between its events
+    pub reading: u32,                // uncached prompt tokens
+    pub front_ms: f64,               // expected wait for queued prefill and for fetching
 }
--- a/src/policy/direct/placement/replicas/mod.rs
+++ b/src/policy/direct/placement/replicas/mod.rs
@@ -1,4 +1,4 @@
-//! What one router knows of one replica.
+//! A router's view of one replica.
 
 mod plain_times;
 mod replica_health;
--- a/src/policy/direct/placement/replicas/plain_times.rs
+++ b/src/policy/direct/placement/replicas/plain_times.rs
@@ -1,41 +1,41 @@
 use std::time::Duration;
 
-/// Weight of a new sample, once there are some.
-const WEIGHT: f64 = 0.1;
+/// Weight of a new sample in the moving means. The first samples have a larger one in the mean
+/// run time.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// What plain requests take at a replica, and how far off what is expected of them is.
+/// Mean times of plain requests, which carry no prompt, at one replica.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PlainTimes {
-    pub work_ms: f64,  // moving mean, without what they waited
-    pub error_ms: f64, // moving mean by which answers come later than expected
+    pub work_ms: f64,  // mean run time, without the wait in the queue
+    pub error_ms: f64, // mean lateness of answers beyond the expected time
     pub samples: u32,
 }
 
 impl PlainTimes {
-    /// A request was answered.
+    /// Adds an answered request.
     pub fn learn(
         &mut self,
         run: PlainRun,
     ) {
         self.samples = self.samples.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.samples));
+        let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
         let took_ms = millis(run.took);
         let expected_ms = millis(run.expected);
-        // Of those that waited too: under overload there are no others, and the first guess
-        // would stand for as long as it lasts.
-        let work_part = 1.0 - millis(run.waited) / expected_ms.max(1.0);
-        self.work_ms += weight * (took_ms * work_part.clamp(0.0, 1.0) - self.work_ms);
+        // Requests that waited count as well, since under overload there are no others.
+        let run_fraction = 1.0 - millis(run.waited) / expected_ms.max(1.0);
+        self.work_ms += weight * (took_ms * run_fraction.clamp(0.0, 1.0) - self.work_ms);
         let late_ms = (took_ms - expected_ms).max(0.0);
-        self.error_ms += WEIGHT * (late_ms - self.error_ms);
+        self.error_ms += SAMPLE_WEIGHT * (late_ms - self.error_ms);
     }
 }
 
-/// How a plain request fared at a replica.
+/// Times of one answered plain request.
 #[derive(Debug, Clone, Copy)]
 pub struct PlainRun {
     pub took: Duration,
     pub expected: Duration,
-    pub waited: Duration, // of that, behind others, as was believed
+    pub waited: Duration, // part of `expected` that it was to wait in the replica's queue
 }
 
 fn millis(time: Duration) -> f64 {
--- a/src/policy/direct/placement/replicas/replica_health.rs
+++ b/src/policy/direct/placement/replicas/replica_health.rs
@@ -1,84 +1,85 @@
 use {crate::policy::Moment, std::time::Duration};
 
-/// Outcomes that the failure rate remembers, roughly.
-const MEMORY: f64 = 16.0;
+/// Outcomes after which the weight of an older one in the failure rate has decayed to 1/e.
+const DECAY_OUTCOMES: f64 = 16.0;
 
-/// Failures in a row after which a replica rests whatever its rate.
-const ROW: u32 = 3;
+/// Consecutive failures after which a replica is ejected whatever its failure rate.
+const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 
-/// The shortest and longest rest.
-const REST: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(6));
+/// The shortest and longest ejection. It doubles with each one that no success precedes.
+const EJECTION_BOUNDS: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(6));
 
-/// Evidence for and against a replica, from requests that were sent to it.
+/// Outlier detection for one replica, from the outcomes of its requests. An ejected replica
+/// gets no requests for some time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReplicaHealth {
-    failure_rate: f64, // moving, 0 to 1
-    row: u32,          // failures since the last success
-    rests: u32,        // since the last success
-    rest_until: Moment,
+    failure_rate: f64,         // moving mean, 0 to 1
+    consecutive_failures: u32, // since the last success
+    ejections: u32,            // since the last success
+    ejected_until: Moment,
 }
 
 impl ReplicaHealth {
-    /// A request ended well there.
-    pub fn success(&mut self) {
-        self.failure_rate -= self.failure_rate / MEMORY;
-        self.row = 0;
-        self.rests = 0;
+    /// Records a request that succeeded.
+    pub fn record_success(&mut self) {
+        self.failure_rate -= self.failure_rate / DECAY_OUTCOMES;
+        self.consecutive_failures = 0;
+        self.ejections = 0;
     }
 
-    /// A request failed there. `usual` is the failure rate of its fellows, so
-    /// that a failure that all share ejects none.
-    pub fn failure(
+    /// Records a request that failed. `median_rate` is the median failure rate of the other
+    /// replicas; a rate that is common to all of them ejects none.
+    pub fn record_failure(
         &mut self,
         now: Moment,
-        usual: f64,
+        median_rate: f64,
     ) {
-        self.failure_rate += (1.0 - self.failure_rate) / MEMORY;
-        self.row += 1;
-        let often = self.failure_rate > 2.0 * usual + 0.2;
-        if self.row >= ROW || often {
-            self.rest(now);
+        self.failure_rate += (1.0 - self.failure_rate) / DECAY_OUTCOMES;
+        self.consecutive_failures += 1;
+        let is_outlier = self.failure_rate > 2.0 * median_rate + 0.2;
+        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES || is_outlier {
+            self.eject(now);
         }
     }
 
-    /// Contact failed before anything was sent, or the replica is not the one
-    /// that was expected.
-    pub fn unreachable(
+    /// Ejects a replica that could not be connected to, or that turned out to be another one.
+    pub fn record_unreachable(
         &mut self,
         now: Moment,
     ) {
-        self.row += 1;
-        self.rest(now);
+        self.consecutive_failures += 1;
+        self.eject(now);
     }
 
-    /// The replica had no room: it is left alone for a moment.
-    pub fn full(
+    /// Ejects a replica for this time, without counting a failure, because it has no free
+    /// capacity.
+    pub fn record_overload(
         &mut self,
         now: Moment,
-        pause: Duration,
+        ejection: Duration,
     ) {
-        self.rest_until = self.rest_until.max(now + pause);
+        self.ejected_until = self.ejected_until.max(now + ejection);
     }
 
-    /// Whether it rests.
-    pub fn rests(
+    /// Whether the replica is ejected.
+    pub fn is_ejected(
         &self,
         now: Moment,
     ) -> bool {
-        now < self.rest_until
+        now < self.ejected_until
     }
 
-    /// Its share of failures, 0 to 1.
+    /// Moving mean of failures, 0 to 1.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    fn rest(
+    fn eject(
         &mut self,
         now: Moment,
     ) {
-        let factor = 1u32 << self.rests.min(4);
-        self.rest_until = now + (REST.0 * factor).min(REST.1);
-        self.rests += 1;
+        let factor = 1u32 << self.ejections.min(4);
+        self.ejected_until = now + (EJECTION_BOUNDS.0 * factor).min(EJECTION_BOUNDS.1);
+        self.ejections += 1;
     }
 }
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -14,31 +14,31 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// What this router knows of one replica.
+/// A router's view of one replica.
 #[derive(Debug)]
 pub struct ReplicaView {
     pub entry: Arc<UpstreamEntry>,
-    pub hash: u64,  // of its id, the same at every router
-    pub start: u32, // short name of this start of it
-    pub own: Load,  // what this router has there
+    pub hash: u64,  // of its id, equal at every router
+    pub start: u32, // hash of its current start
+    pub own: Load,  // in-flight load of this router
     pub health: ReplicaHealth,
     pub cache: PrefixCache,
-    pub placed: u64,             // tokens that this router sent there so far
-    pub placed_by_zone: u64,     // the same, with the other routers of its zone
-    pub heard: Moment,           // when it last answered anything
-    pub plain: PlainTimes,       // of requests that are no prompts
-    pub seen: SeenWork,          // of how it works
-    pub pace: ReplicaPace,       // as of the last look at what was seen
-    pub logged_pace: f64,        // the lasting one, as it was last logged
-    pub pauses: PauseRecord,     // of its streams, against what was expected
-    pub pause_sight: PauseSight, // as of the last look at what was seen
-    pub start_pace: StartPace,   // what this router sends there while it starts slowly
-    routers: PeerLoads,          // of the own zone
-    zones: PeerLoads,            // the other zones, each as a whole
+    pub placed: u64,             // tokens that this router has sent there
+    pub placed_by_zone: u64,     // tokens that all routers of the zone have sent there
+    pub heard: Moment,           // of the last answer to this router
+    pub plain: PlainTimes,       // of requests without a prompt
+    pub seen: SeenWork,          // observed pace and pauses
+    pub pace: ReplicaPace,       // as of the last refresh of the estimates
+    pub logged_pace: f64,        // lasting pace as of the last log line
+    pub pauses: PauseRecord,     // observed by this router
+    pub pause_sight: PauseSight, // as of the last refresh of the estimates
+    pub start_pace: StartPace,   // slow-start limit on requests of this router
+    routers: PeerLoads,          // of the other routers of the zone
+    zones: PeerLoads,            // of the other zones, one report for each
 }
 
 impl ReplicaView {
-    /// A replica that nothing is known of but its entry.
+    /// A replica without observations.
     pub fn new(entry: Arc<UpstreamEntry>) -> Self {
         Self {
             hash: stable_hash(&&*entry.id),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// What all routers have there, as far as heard of within `age`.
+    /// In-flight load of all routers. Reports older than `age` are ignored.
     pub fn load(
         &self,
         now: Moment,
@@ -73,7 +73,7 @@
         sum
     }
 
-    /// What the routers of the own zone have there.
+    /// In-flight load of the routers of this router's zone.
     pub fn zone_load(
         &self,
         now: Moment,
@@ -84,7 +84,7 @@
         sum
     }
 
-    /// Whether others let it rest.
+    /// Whether another router or zone has ejected it.
     pub fn is_avoided(
         &self,
         now: Moment,
@@ -93,7 +93,7 @@
         self.is_avoided_in_zone(now, age) || self.zones.is_avoided(now, age)
     }
 
-    /// Whether another router of the own zone lets it rest.
+    /// Whether another router of this router's zone has ejected it.
     pub fn is_avoided_in_zone(
         &self,
         now: Moment,
@@ -102,7 +102,8 @@
         self.routers.is_avoided(now, age)
     }
 
-    /// Others told what they have there; reports older than `age` count no more.
+    /// Records a load report of another router or zone. Reports older than `age` are ignored
+    /// from now on.
     pub fn hear(
         &mut self,
         now: Moment,
--- a/src/policy/direct/placement/replicas/seen_pace.rs
+++ b/src/policy/direct/placement/replicas/seen_pace.rs
@@ -6,35 +6,35 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// What fellows told longer ago than this counts no more; it fades before.
-const TOLD_AGE: Duration = Duration::from_secs(8);
+/// Age at which evidence of peers is dropped. It decays before.
+const PEER_EVIDENCE_TTL: Duration = Duration::from_secs(8);
 
-/// What this router and the others of its zone have seen of the pace of one start of a
-/// replica. Sums are kept: they are asked for often, and there may be many fellows.
+/// Pace of one start of a replica as observed by the routers of the zone. The sum of the peers'
+/// evidence is maintained incrementally, since it is read often and there may be many peers.
 #[derive(Debug, Default)]
 pub struct SeenPace {
-    own: PaceEvidence, // as of `faded`
-    faded: Moment,
-    overdue: PaceEvidence, // of first tokens that have not come, as of the last look
-    told: HashMap<u32, (Moment, PaceEvidence)>, // by who told
-    told_sum: PaceEvidence, // as of `summed`
-    summed: Moment,
-    oldest: Moment, // nothing told that counts was heard before
+    own: PaceEvidence, // decayed until `own_updated`
+    own_updated: Moment,
+    overdue: PaceEvidence, // of first tokens that are overdue, as of the last check
+    peers: HashMap<u32, (Moment, PaceEvidence)>, // time received and evidence, by router
+    peer_sum: PaceEvidence, // decayed until `peer_sum_updated`
+    peer_sum_updated: Moment,
+    oldest: Moment, // no evidence in `peers` was received before
 }
 
 impl SeenPace {
-    /// This router saw more.
-    pub fn see(
+    /// Adds evidence of this router.
+    pub fn record(
         &mut self,
         now: Moment,
-        seen: PaceEvidence,
+        sample: PaceEvidence,
     ) {
-        self.own = self.own.faded(now.saturating_sub(self.faded));
-        self.own += seen;
-        self.faded = self.faded.max(now);
+        self.own = self.own.faded(now.saturating_sub(self.own_updated));
+        self.own += sample;
+        self.own_updated = self.own_updated.max(now);
     }
 
-    /// What is overdue now, in place of what was.
+    /// Replaces the evidence of overdue first tokens.
     pub fn set_overdue(
         &mut self,
         overdue: PaceEvidence,
@@ -42,62 +42,66 @@
         self.overdue = overdue;
     }
 
-    /// What this router itself has seen.
+    /// Evidence of this router alone.
     pub fn own(
         &self,
         now: Moment,
     ) -> PaceEvidence {
-        let mut sum = self.own.faded(now.saturating_sub(self.faded));
+        let mut sum = self.own.faded(now.saturating_sub(self.own_updated));
         sum += self.overdue;
         sum
     }
 
-    /// A fellow told what it has seen beside what it usually sees; that takes the place of
-    /// what it told before.
-    pub fn hear(
+    /// Replaces the evidence of a peer, which is relative to the peer's own mean.
+    pub fn apply_peer_evidence(
         &mut self,
         now: Moment,
-        teller: u32,
-        told: PaceEvidence,
+        peer: u32,
+        evidence: PaceEvidence,
     ) {
-        self.told_sum = self.told_sum.faded(now.saturating_sub(self.summed));
-        self.summed = now;
-        if self.told.is_empty() {
+        self.peer_sum = self
+            .peer_sum
+            .faded(now.saturating_sub(self.peer_sum_updated));
+        self.peer_sum_updated = now;
+        if self.peers.is_empty() {
             self.oldest = now;
         }
-        self.told_sum += told;
-        if let Some((heard, before)) = self.told.insert(teller, (now, told)) {
-            self.told_sum -= before.faded(now.saturating_sub(heard));
+        self.peer_sum += evidence;
+        if let Some((received, previous)) = self.peers.insert(peer, (now, evidence)) {
+            self.peer_sum -= previous.faded(now.saturating_sub(received));
         }
     }
 
-    /// Forgets what was told too long ago.
-    pub fn forget_old(
+    /// Drops evidence of peers that is too old.
+    pub fn remove_old_peer_evidence(
         &mut self,
         now: Moment,
     ) {
-        if self.told.is_empty() || now.saturating_sub(self.oldest) <= TOLD_AGE {
+        if self.peers.is_empty() || now.saturating_sub(self.oldest) <= PEER_EVIDENCE_TTL {
             return;
         }
-        self.told
-            .retain(|_, (heard, _)| now.saturating_sub(*heard) <= TOLD_AGE);
-        self.told_sum = PaceEvidence::default();
-        self.summed = now;
+        self.peers
+            .retain(|_, (received, _)| now.saturating_sub(*received) <= PEER_EVIDENCE_TTL);
+        self.peer_sum = PaceEvidence::default();
+        self.peer_sum_updated = now;
         self.oldest = now;
-        for (heard, told) in self.told.values() {
-            self.told_sum += told.faded(now.saturating_sub(*heard));
-            self.oldest = self.oldest.min(*heard);
+        for (received, evidence) in self.peers.values() {
+            self.peer_sum += evidence.faded(now.saturating_sub(*received));
+            self.oldest = self.oldest.min(*received);
         }
     }
 
-    /// What all of them have seen, beside what each usually sees.
+    /// Evidence of all routers of the zone, each relative to the router's own mean; that of
+    /// this router is `baseline`.
     pub fn all(
         &self,
         now: Moment,
-        usual: UsualPace,
+        baseline: UsualPace,
     ) -> PaceEvidence {
-        let mut sum = self.own(now).beside(usual);
-        sum += self.told_sum.faded(now.saturating_sub(self.summed));
+        let mut sum = self.own(now).beside(baseline);
+        sum += self
+            .peer_sum
+            .faded(now.saturating_sub(self.peer_sum_updated));
         sum
     }
 }
--- a/src/policy/direct/placement/replicas/seen_work.rs
+++ b/src/policy/direct/placement/replicas/seen_work.rs
@@ -7,35 +7,34 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// What was seen of pauses this long ago counts for a third: some turns of a replica's load.
-const PAUSES_FADE: Duration = Duration::from_secs(10);
+/// Time constant of the decay of pause evidence: some cycles of a replica's load.
+const PAUSE_DECAY: Duration = Duration::from_secs(10);
 
-/// What fellows told longer ago than this counts no more.
-const TOLD_AGE: Duration = Duration::from_secs(3);
+/// Age at which pause evidence of peers is dropped.
+const PEER_EVIDENCE_TTL: Duration = Duration::from_secs(3);
 
-/// What this router and the others of its zone have seen of how one start of a replica
-/// works.
+/// Performance of one start of a replica as observed by the routers of the zone.
 #[derive(Debug, Default)]
 pub struct SeenWork {
     pub pace: SeenPace,
-    pauses: PauseEvidence,
-    faded: Moment,
-    told: HashMap<u32, (Moment, PauseEvidence)>, // by who told
+    pauses: PauseEvidence, // of this router, decayed until `pauses_updated`
+    pauses_updated: Moment,
+    peers: HashMap<u32, (Moment, PauseEvidence)>, // time received and evidence, by router
 }
 
 impl SeenWork {
-    /// This router saw more of its pauses.
-    pub fn see_pauses(
+    /// Adds pauses that this router observed.
+    pub fn record_pauses(
         &mut self,
         now: Moment,
         pauses: PauseEvidence,
     ) {
         self.pauses = self.own_pauses(now);
         self.pauses += pauses;
-        self.faded = now;
+        self.pauses_updated = now;
     }
 
-    /// What this router itself has seen of the replica's start, for its fellows.
+    /// Evidence of this router alone on the replica's start, to be sent to the zone's routers.
     pub fn own(
         &self,
         now: Moment,
@@ -48,45 +47,46 @@
         }
     }
 
-    /// A fellow told what it has seen; that takes the place of what it told before.
-    pub fn hear(
+    /// Replaces the evidence of a peer.
+    pub fn apply_peer_evidence(
         &mut self,
         now: Moment,
-        teller: u32,
-        told: ReplicaEvidence,
+        peer: u32,
+        evidence: ReplicaEvidence,
     ) {
-        self.pace.hear(now, teller, told.pace);
-        self.told.insert(teller, (now, told.pauses));
-        self.told
-            .retain(|_, (heard, _)| now.saturating_sub(*heard) <= TOLD_AGE);
+        self.pace.apply_peer_evidence(now, peer, evidence.pace);
+        self.peers.insert(peer, (now, evidence.pauses));
+        self.peers
+            .retain(|_, (received, _)| now.saturating_sub(*received) <= PEER_EVIDENCE_TTL);
     }
 
-    /// What all of them have seen of its pauses.
+    /// Pause evidence of all routers of the zone.
     pub fn pauses(
         &self,
         now: Moment,
     ) -> PauseEvidence {
         let mut sum = self.own_pauses(now);
-        for (age, told) in self.recent(now) {
-            sum += told.faded(age, PAUSES_FADE);
+        for (age, evidence) in self.recent_peers(now) {
+            sum += evidence.faded(age, PAUSE_DECAY);
         }
         sum
     }
 
-    fn recent(
+    fn recent_peers(
         &self,
         now: Moment,
     ) -> impl Iterator<Item = (Duration, PauseEvidence)> {
-        let told = self.told.values();
-        let aged = told.map(move |(heard, told)| (now.saturating_sub(*heard), *told));
-        aged.filter(|(age, _)| *age <= TOLD_AGE)
+        let peers = self.peers.values();
+        let aged =
+            peers.map(move |(received, evidence)| (now.saturating_sub(*received), *evidence));
+        aged.filter(|(age, _)| *age <= PEER_EVIDENCE_TTL)
     }
 
     fn own_pauses(
         &self,
         now: Moment,
     ) -> PauseEvidence {
-        let age = now.saturating_sub(self.faded);
-        self.pauses.faded(age, PAUSES_FADE)
+        let age = now.saturating_sub(self.pauses_updated);
+        self.pauses.faded(age, PAUSE_DECAY)
     }
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -469,7 +469,7 @@
             board.succeeded(&entry(id, "z", UpstreamState::Ready));
         }
     }
-    let awake = board.replicas().filter(|view| !view.health.rests(NOW));
+    let awake = board.replicas().filter(|view| !view.health.is_ejected(NOW));
     assert_eq!(awake.count(), 3);
 }
 
@@ -484,7 +484,7 @@
             board.failed(NOW, &entry("a", "z", UpstreamState::Ready));
         }
     }
-    let rests = |id| board.replica(id).expect("listed").health.rests(NOW);
+    let rests = |id| board.replica(id).expect("listed").health.is_ejected(NOW);
     assert_eq!((rests("a"), rests("b"), rests("c")), (true, false, false));
 }
 
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -130,7 +130,7 @@
     for _ in 0..8 {
         board.failed(NOW, &earlier);
     }
-    let rests = |board: &ReplicaBoard| board.replica("i-a").expect("listed").health.rests(NOW);
+    let rests = |board: &ReplicaBoard| board.replica("i-a").expect("listed").health.is_ejected(NOW);
     assert!(rests(&board));
     board.set_entries(NOW, vec![start("i-a", 2000)]);
     assert!(!rests(&board));
