--- a/src/policy/direct/placement/engines/replica_evidence.rs
+++ b/src/policy/direct/placement/engines/replica_evidence.rs
@@ -7,7 +7,7 @@
 /// routers of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaEvidence {
-    pub start: u32, // short name
+    pub start: u32, // hash of the start
     pub pace: PaceEvidence,
     pub pauses: PauseEvidence,
 }
