--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -4,7 +4,7 @@
         codes::{Fault, ResultCode},
         direct::CacheCalls,
         policy::{
-            placement::{KeptEvent, KeptNews, KeptPart},
+            placement::{CacheEvent, KeptNews, KeptPart},
             short_name,
         },
     },
@@ -81,7 +81,7 @@
     let json: EventsJson = parse(text)?;
     let is_lost = !matches!(json.lost, Value::Null | Value::Bool(false)) && json.lost != 0;
     let events = json.events.into_iter();
-    let events = events.map(|(number, sign, _, id, tokens, _)| KeptEvent {
+    let events = events.map(|(number, sign, _, id, tokens, _)| CacheEvent {
         number,
         part: part_id(&id),
         is_kept: sign == "+" && tokens > 0,
--- a/src/policy/direct/placement/kept/kept_news.rs
+++ b/src/policy/direct/placement/kept/kept_news.rs
@@ -1,5 +1,5 @@
 use {
-    super::KeptEvent,
+    super::CacheEvent,
     serde::{Deserialize, Serialize},
 };
 
@@ -11,7 +11,7 @@
     pub next: u64,      // first event number after the batch
     pub has_gap: bool,  // some events in between are missing
     pub is_again: bool, // a snapshot of cached parts, for routers that have just started
-    pub events: Vec<KeptEvent>,
+    pub events: Vec<CacheEvent>,
 }
 
 impl KeptNews {
--- a/src/policy/direct/placement/kept/mod.rs
+++ b/src/policy/direct/placement/kept/mod.rs
@@ -3,13 +3,13 @@
 
 mod heard_events;
 mod kept_change;
-mod kept_event;
+mod cache_event;
 mod kept_follow;
 mod kept_news;
 mod kept_word;
 mod shared_parts;
 
 pub use {
-    heard_events::HeardEvents, kept_change::KeptChange, kept_event::KeptEvent,
+    heard_events::HeardEvents, kept_change::KeptChange, cache_event::CacheEvent,
     kept_follow::KeptFollow, kept_news::KeptNews, kept_word::KeptWord, shared_parts::SharedParts,
 };
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -2,7 +2,7 @@
     super::{KeptPart, PromptShape},
     crate::policy::{
         Moment,
-        placement::{KeptChange, KeptEvent, KeptFollow, KeptNews, KeptWord},
+        placement::{KeptChange, CacheEvent, KeptFollow, KeptNews, KeptWord},
     },
     std::collections::HashMap,
 };
@@ -125,7 +125,7 @@
         let follow = self.events.follow();
         let parts = self.last_used.keys().copied();
         let parts = parts.filter(|part| is_selected(*part) && self.holds(*part));
-        let events = parts.take(MAX_SNAPSHOT_PARTS).map(|part| KeptEvent {
+        let events = parts.take(MAX_SNAPSHOT_PARTS).map(|part| CacheEvent {
             number: follow.next.saturating_sub(1),
             part,
             is_kept: true,
@@ -159,7 +159,7 @@
         let unseen_count = unseen.events.len();
         let events = unseen.events.into_iter();
         let events = events.filter(|event| self.apply_event(now, event));
-        let events: Vec<KeptEvent> = events.collect();
+        let events: Vec<CacheEvent> = events.collect();
         KeptChange {
             heard: unseen_count,
             taken: events.iter().filter(|event| event.is_kept).count(),
@@ -177,7 +177,7 @@
     fn apply_event(
         &mut self,
         now: Moment,
-        event: &KeptEvent,
+        event: &CacheEvent,
     ) -> bool {
         let was_known = self.last_used.contains_key(&event.part);
         if !event.is_kept {
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -9,7 +9,7 @@
         policy::{
             TellerScope,
             placement::{
-                CacheNote, KeptEvent, KeptNews, PlacementSettings, PrefixCache, ReplicaBoard,
+                CacheNote, CacheEvent, KeptNews, PlacementSettings, PrefixCache, ReplicaBoard,
             },
             slow_start::ZoneRouters,
             stable_hash,
@@ -31,8 +31,8 @@
     number: u64,
     part: u64,
     is_kept: bool,
-) -> KeptEvent {
-    KeptEvent {
+) -> CacheEvent {
+    CacheEvent {
         number,
         part,
         is_kept,
@@ -40,7 +40,7 @@
 }
 
 /// Events of memory 1 that follow each other.
-fn news(events: &[KeptEvent]) -> KeptNews {
+fn news(events: &[CacheEvent]) -> KeptNews {
     KeptNews {
         epoch: 1,
         from: events.first().map_or(1, |event| event.number),
