--- a/src/direct/cache_calls.rs
+++ b/src/direct/cache_calls.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         codes::Fault,
-        policy::placement::{KeptNews, KeptPart},
+        policy::placement::{CacheEventBatch, KeptPart},
     },
     bytes::Bytes,
     http_body_util::Full,
@@ -20,5 +20,5 @@
     /// there is something, but for its host.
     pub events: fn(u64, Duration) -> Request<Full<Bytes>>,
     /// Reads the answer to the question from that number on: code 82.
-    pub read_events: fn(u64, &[u8]) -> Result<KeptNews, Fault>,
+    pub read_events: fn(u64, &[u8]) -> Result<CacheEventBatch, Fault>,
 }
--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -10,7 +10,7 @@
         catalog::UpstreamEntry,
         codes::{Fault, ResultCode},
         ops::{KEPT_CALLS, KEPT_EVENTS, KEPT_FOLLOWED},
-        policy::placement::{KeptChange, KeptNews},
+        policy::placement::{KeptChange, CacheEventBatch},
     },
     hyper::StatusCode,
     std::{
@@ -137,7 +137,7 @@
     gateway: &Gateway,
     entry: &UpstreamEntry,
     kept: &mut Option<UpstreamConnection>,
-) -> Result<KeptNews, Fault> {
+) -> Result<CacheEventBatch, Fault> {
     let answer = timeout(LONGEST_WAIT + ANSWER_TIME, call(gateway, entry, kept)).await;
     answer.map_err(Fault::unreachable).flatten()
 }
@@ -147,7 +147,7 @@
     gateway: &Gateway,
     entry: &UpstreamEntry,
     kept: &mut Option<UpstreamConnection>,
-) -> Result<KeptNews, Fault> {
+) -> Result<CacheEventBatch, Fault> {
     let calls = gateway.dialect.cache;
     let next = gateway.board().kept_follow(entry).next;
     let mut connection = match kept.take().filter(UpstreamConnection::is_usable) {
--- a/src/peers/kept_told.rs
+++ b/src/peers/kept_told.rs
@@ -1,5 +1,5 @@
 use {
-    crate::policy::placement::KeptNews,
+    crate::policy::placement::CacheEventBatch,
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
 };
@@ -11,5 +11,5 @@
 pub struct KeptTold {
     pub zone: u32, // of the teller, short name
     pub teller: SocketAddr,
-    pub replicas: Vec<(u32, KeptNews)>, // by the short name of the start
+    pub replicas: Vec<(u32, CacheEventBatch)>, // by the short name of the start
 }
--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{KeptTold, PeerLink, PeerMessage, peer_link::SILENCE},
-    crate::policy::{Moment, placement::KeptNews},
+    crate::policy::{Moment, placement::CacheEventBatch},
     std::net::SocketAddr,
 };
 
@@ -45,7 +45,7 @@
 
     async fn send_kept_news(
         &self,
-        news: Vec<(u32, KeptNews)>,
+        news: Vec<(u32, CacheEventBatch)>,
         addresses: &[SocketAddr],
     ) {
         if addresses.is_empty() {
@@ -84,7 +84,7 @@
 }
 
 /// Cuts news so that each list fits one datagram.
-fn datagrams(news: Vec<(u32, KeptNews)>) -> Vec<Vec<(u32, KeptNews)>> {
+fn datagrams(news: Vec<(u32, CacheEventBatch)>) -> Vec<Vec<(u32, CacheEventBatch)>> {
     let mut datagrams = Vec::new();
     let mut current = Vec::new();
     let mut size = 0;
@@ -106,7 +106,7 @@
 }
 
 /// News as some that follow each other without a gap between them.
-fn cut(news: KeptNews) -> Vec<KeptNews> {
+fn cut(news: CacheEventBatch) -> Vec<CacheEventBatch> {
     let most = EVENTS - HEAD;
     if news.events.len() <= most {
         return vec![news];
@@ -118,7 +118,7 @@
     while !rest.is_empty() {
         let (events, later) = rest.split_at(most.min(rest.len()));
         let next = later.first().map_or(news.next, |event| event.number);
-        parts.push(KeptNews {
+        parts.push(CacheEventBatch {
             epoch: news.epoch,
             from,
             next,
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -4,7 +4,7 @@
         codes::{Fault, ResultCode},
         direct::CacheCalls,
         policy::{
-            placement::{CacheEvent, KeptNews, KeptPart},
+            placement::{CacheEvent, CacheEventBatch, KeptPart},
             short_name,
         },
     },
@@ -77,7 +77,7 @@
 fn parse_events(
     from: u64,
     text: &[u8],
-) -> Result<KeptNews, Fault> {
+) -> Result<CacheEventBatch, Fault> {
     let json: EventsJson = parse(text)?;
     let is_lost = !matches!(json.lost, Value::Null | Value::Bool(false)) && json.lost != 0;
     let events = json.events.into_iter();
@@ -86,7 +86,7 @@
         part: part_id(&id),
         is_kept: sign == "+" && tokens > 0,
     });
-    let mut news = KeptNews {
+    let mut news = CacheEventBatch {
         epoch: short_name(&json.epoch.to_string()),
         from: from.max(1),
         next: json.next_token.saturating_add(1),
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -6,7 +6,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{KeptChange, KeptFollow, KeptNews},
+            placement::{KeptChange, KeptFollow, CacheEventBatch},
         },
     },
 };
@@ -83,7 +83,7 @@
         &mut self,
         now: Moment,
         entry: &UpstreamEntry,
-        batch: &KeptNews,
+        batch: &CacheEventBatch,
     ) -> Option<KeptChange> {
         let start = entry.start_name();
         let cache = &mut self.same_start(entry)?.cache;
@@ -103,13 +103,13 @@
 
     /// Removes and returns the batches for the zone's routers, with the hashes of the
     /// replicas' starts.
-    pub fn take_kept_news(&mut self) -> Vec<(u32, KeptNews)> {
+    pub fn take_kept_news(&mut self) -> Vec<(u32, CacheEventBatch)> {
         std::mem::take(&mut self.kept_news)
     }
 
     /// Removes and returns the batches for other zones, which hold evictions of shared parts
     /// only. Parts that are cached are announced to them as they are sent to replicas.
-    pub fn take_zone_kept_news(&mut self) -> Vec<(u32, KeptNews)> {
+    pub fn take_zone_kept_news(&mut self) -> Vec<(u32, CacheEventBatch)> {
         std::mem::take(&mut self.zone_kept_news)
     }
 
@@ -118,7 +118,7 @@
         &mut self,
         now: Moment,
         start: u32,
-        batch: &KeptNews,
+        batch: &CacheEventBatch,
     ) {
         if let Some(view) = self.by_key(start) {
             view.cache.hear(now, batch);
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -4,7 +4,7 @@
         policy::{
             Moment, NoticeBook,
             placement::{
-                CacheNote, EngineModels, EngineTimes, FleetSize, KeptNews, PauseAims,
+                CacheNote, EngineModels, EngineTimes, FleetSize, CacheEventBatch, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
                 Work, WorkNumber,
             },
@@ -35,8 +35,8 @@
     pub(super) next_work: WorkNumber,
     pub(super) notes: Vec<CacheNote>, // sent by this router, to be announced in its zone
     pub(super) zone_notes: Vec<CacheNote>, // shared parts sent by the zone, for other zones
-    pub(super) kept_news: Vec<(u32, KeptNews)>, // to be forwarded, by replica start
-    pub(super) zone_kept_news: Vec<(u32, KeptNews)>, // evicted shared parts, for other zones
+    pub(super) kept_news: Vec<(u32, CacheEventBatch)>, // to be forwarded, by replica start
+    pub(super) zone_kept_news: Vec<(u32, CacheEventBatch)>, // evicted shared parts, for other zones
     pub(super) shared_parts: SharedParts,
     pub(super) report_interval: Duration, // between two load reports of a router
     pub(super) fleet: FleetSize,
--- a/src/policy/direct/placement/kept/kept_news.rs
+++ b/src/policy/direct/placement/kept/cache_event_batch.rs
@@ -5,7 +5,7 @@
 
 /// Cache events of one start of a replica, in the order of their numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptNews {
+pub struct CacheEventBatch {
     pub epoch: u32,     // changes when the replica resets its cache
     pub from: u64,      // first event number that the batch covers
     pub next: u64,      // first event number after the batch
@@ -14,7 +14,7 @@
     pub events: Vec<CacheEvent>,
 }
 
-impl KeptNews {
+impl CacheEventBatch {
     /// Whether events are missing in a batch that should hold each event from `from` on.
     pub fn lacks_numbers(&self) -> bool {
         let numbers = self.next.saturating_sub(self.from);
--- a/src/policy/direct/placement/kept/kept_word.rs
+++ b/src/policy/direct/placement/kept/kept_word.rs
@@ -1,5 +1,5 @@
 use {
-    super::{HeardEvents, KeptFollow, KeptNews},
+    super::{HeardEvents, KeptFollow, CacheEventBatch},
     crate::policy::Moment,
     std::{collections::VecDeque, time::Duration},
 };
@@ -80,7 +80,7 @@
     pub fn advance(
         &mut self,
         now: Moment,
-        batch: &KeptNews,
+        batch: &CacheEventBatch,
     ) -> HeardEvents {
         self.last_batch = Some(now);
         let known = self.follow;
@@ -121,8 +121,8 @@
     pub fn batch_to_forward(
         &mut self,
         now: Moment,
-        batch: &KeptNews,
-    ) -> Option<KeptNews> {
+        batch: &CacheEventBatch,
+    ) -> Option<CacheEventBatch> {
         let last = self.forwarded.filter(|last| last.epoch == batch.epoch);
         let is_recent = last.is_some_and(|last| now.saturating_sub(last.at) < KEEP_ALIVE_INTERVAL);
         if is_recent && batch.events.is_empty() && !batch.has_gap {
@@ -134,7 +134,7 @@
             epoch: batch.epoch,
             next: batch.next,
         });
-        Some(KeptNews {
+        Some(CacheEventBatch {
             from,
             ..batch.clone()
         })
--- a/src/policy/direct/placement/kept/mod.rs
+++ b/src/policy/direct/placement/kept/mod.rs
@@ -5,11 +5,11 @@
 mod kept_change;
 mod cache_event;
 mod kept_follow;
-mod kept_news;
+mod cache_event_batch;
 mod kept_word;
 mod shared_parts;
 
 pub use {
     heard_events::HeardEvents, kept_change::KeptChange, cache_event::CacheEvent,
-    kept_follow::KeptFollow, kept_news::KeptNews, kept_word::KeptWord, shared_parts::SharedParts,
+    kept_follow::KeptFollow, cache_event_batch::CacheEventBatch, kept_word::KeptWord, shared_parts::SharedParts,
 };
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -2,7 +2,7 @@
     super::{KeptPart, PromptShape},
     crate::policy::{
         Moment,
-        placement::{KeptChange, CacheEvent, KeptFollow, KeptNews, KeptWord},
+        placement::{KeptChange, CacheEvent, KeptFollow, CacheEventBatch, KeptWord},
     },
     std::collections::HashMap,
 };
@@ -111,8 +111,8 @@
     pub fn batch_to_forward(
         &mut self,
         now: Moment,
-        batch: &KeptNews,
-    ) -> Option<KeptNews> {
+        batch: &CacheEventBatch,
+    ) -> Option<CacheEventBatch> {
         self.events.batch_to_forward(now, batch)
     }
 
@@ -121,7 +121,7 @@
     pub fn snapshot(
         &self,
         is_selected: impl Fn(u64) -> bool,
-    ) -> Option<KeptNews> {
+    ) -> Option<CacheEventBatch> {
         let follow = self.events.follow();
         let parts = self.last_used.keys().copied();
         let parts = parts.filter(|part| is_selected(*part) && self.holds(*part));
@@ -130,7 +130,7 @@
             part,
             is_kept: true,
         });
-        Some(KeptNews {
+        Some(CacheEventBatch {
             epoch: follow.epoch?,
             from: follow.next,
             next: follow.next,
@@ -144,7 +144,7 @@
     pub fn hear(
         &mut self,
         now: Moment,
-        batch: &KeptNews,
+        batch: &CacheEventBatch,
     ) -> KeptChange {
         let unseen = self.events.advance(now, batch);
         if unseen.is_anew {
@@ -165,7 +165,7 @@
             taken: events.iter().filter(|event| event.is_kept).count(),
             given_up: events.iter().filter(|event| !event.is_kept).count(),
             is_anew: unseen.is_anew,
-            news: KeptNews {
+            news: CacheEventBatch {
                 has_gap: unseen.has_gap,
                 events,
                 ..batch.clone()
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -9,7 +9,7 @@
         policy::{
             TellerScope,
             placement::{
-                CacheNote, CacheEvent, KeptNews, PlacementSettings, PrefixCache, ReplicaBoard,
+                CacheNote, CacheEvent, CacheEventBatch, PlacementSettings, PrefixCache, ReplicaBoard,
             },
             slow_start::ZoneRouters,
             stable_hash,
@@ -40,8 +40,8 @@
 }
 
 /// Events of memory 1 that follow each other.
-fn news(events: &[CacheEvent]) -> KeptNews {
-    KeptNews {
+fn news(events: &[CacheEvent]) -> CacheEventBatch {
+    CacheEventBatch {
         epoch: 1,
         from: events.first().map_or(1, |event| event.number),
         next: events.last().map_or(1, |event| event.number + 1),
@@ -141,7 +141,7 @@
 fn another_memory_has_nothing_of_the_one_before() {
     let mut cache = placed(&[1]);
     cache.hear(LATER, &news(&[event(900, 2, true)]));
-    let anew = KeptNews {
+    let anew = CacheEventBatch {
         epoch: 2,
         ..news(&[event(1, 3, true)])
     };
@@ -166,7 +166,7 @@
 #[test]
 fn a_number_far_ahead_is_left_when_the_replica_names_a_lower_one() {
     let mut cache = placed(&[1, 2]);
-    let nothing = |from, next| KeptNews {
+    let nothing = |from, next| CacheEventBatch {
         from,
         next,
         has_gap: next > from,
@@ -289,7 +289,7 @@
 #[test]
 fn answers_without_a_change_are_told_once_a_second_and_leave_no_gap() {
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
-    let mut tell = |at, heard: &KeptNews| {
+    let mut tell = |at, heard: &CacheEventBatch| {
         follower.heard_kept(LATER + at, &replica(), heard);
         let told = follower.take_kept_news();
         for (start, news) in &told {
