--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -6,7 +6,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{KeptChange, KeptFollow, CacheEventBatch},
+            placement::{KeptChange, CacheCursor, CacheEventBatch},
         },
     },
 };
@@ -71,10 +71,10 @@
     pub fn kept_follow(
         &self,
         entry: &UpstreamEntry,
-    ) -> KeptFollow {
+    ) -> CacheCursor {
         let view = self.replicas.get(&entry.id);
         let view = view.filter(|view| view.entry.is_same_start(entry));
-        view.map_or_else(KeptFollow::default, |view| view.cache.follow())
+        view.map_or_else(CacheCursor::default, |view| view.cache.follow())
     }
 
     /// Applies cache events that this router read from a replica, and queues them for other
--- a/src/policy/direct/placement/kept/kept_word.rs
+++ b/src/policy/direct/placement/kept/kept_word.rs
@@ -1,5 +1,5 @@
 use {
-    super::{HeardEvents, KeptFollow, CacheEventBatch},
+    super::{HeardEvents, CacheCursor, CacheEventBatch},
     crate::policy::Moment,
     std::{collections::VecDeque, time::Duration},
 };
@@ -29,7 +29,7 @@
 /// Tracks the position in a replica's cache events, and evictions that are not applied yet.
 #[derive(Debug, Clone, Default)]
 pub struct KeptWord {
-    follow: KeptFollow,
+    follow: CacheCursor,
     last_batch: Option<Moment>,           // when it was received
     sent: VecDeque<SentPart>,             // recently, the oldest first
     pending_evictions: VecDeque<SentPart>,
@@ -62,7 +62,7 @@
 
 impl KeptWord {
     /// Position of the next event to read.
-    pub fn follow(&self) -> KeptFollow {
+    pub fn follow(&self) -> CacheCursor {
         self.follow
     }
 
@@ -105,7 +105,7 @@
             has_gap: batch.has_gap || batch.from > next || is_beyond_end,
             events: events.copied().collect(),
         };
-        self.follow = KeptFollow {
+        self.follow = CacheCursor {
             epoch: Some(batch.epoch),
             next: if is_beyond_end {
                 batch.next
--- a/src/policy/direct/placement/kept/mod.rs
+++ b/src/policy/direct/placement/kept/mod.rs
@@ -4,12 +4,12 @@
 mod heard_events;
 mod kept_change;
 mod cache_event;
-mod kept_follow;
+mod cache_cursor;
 mod cache_event_batch;
 mod kept_word;
 mod shared_parts;
 
 pub use {
     heard_events::HeardEvents, kept_change::KeptChange, cache_event::CacheEvent,
-    kept_follow::KeptFollow, cache_event_batch::CacheEventBatch, kept_word::KeptWord, shared_parts::SharedParts,
+    cache_cursor::CacheCursor, cache_event_batch::CacheEventBatch, kept_word::KeptWord, shared_parts::SharedParts,
 };
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -2,7 +2,7 @@
     super::{KeptPart, PromptShape},
     crate::policy::{
         Moment,
-        placement::{KeptChange, CacheEvent, KeptFollow, CacheEventBatch, KeptWord},
+        placement::{KeptChange, CacheEvent, CacheCursor, CacheEventBatch, KeptWord},
     },
     std::collections::HashMap,
 };
@@ -94,7 +94,7 @@
     }
 
     /// Position of the next event of the replica to read.
-    pub fn follow(&self) -> KeptFollow {
+    pub fn follow(&self) -> CacheCursor {
         self.events.follow()
     }
 
