--- a/src/policy/direct/placement/kept/kept_word.rs
+++ b/src/policy/direct/placement/kept/cache_event_tracker.rs
@@ -28,7 +28,7 @@
 
 /// Tracks the position in a replica's cache events, and evictions that are not applied yet.
 #[derive(Debug, Clone, Default)]
-pub struct KeptWord {
+pub struct CacheEventTracker {
     follow: CacheCursor,
     last_batch: Option<Moment>,           // when it was received
     sent: VecDeque<SentPart>,             // recently, the oldest first
@@ -60,7 +60,7 @@
     }
 }
 
-impl KeptWord {
+impl CacheEventTracker {
     /// Position of the next event to read.
     pub fn follow(&self) -> CacheCursor {
         self.follow
--- a/src/policy/direct/placement/kept/mod.rs
+++ b/src/policy/direct/placement/kept/mod.rs
@@ -6,10 +6,10 @@
 mod cache_event;
 mod cache_cursor;
 mod cache_event_batch;
-mod kept_word;
+mod cache_event_tracker;
 mod shared_parts;
 
 pub use {
     heard_events::HeardEvents, kept_change::KeptChange, cache_event::CacheEvent,
-    cache_cursor::CacheCursor, cache_event_batch::CacheEventBatch, kept_word::KeptWord, shared_parts::SharedParts,
+    cache_cursor::CacheCursor, cache_event_batch::CacheEventBatch, cache_event_tracker::CacheEventTracker, shared_parts::SharedParts,
 };
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -2,7 +2,7 @@
     super::{KeptPart, PromptShape},
     crate::policy::{
         Moment,
-        placement::{KeptChange, CacheEvent, CacheCursor, CacheEventBatch, KeptWord},
+        placement::{KeptChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker},
     },
     std::collections::HashMap,
 };
@@ -28,7 +28,7 @@
     last_used: HashMap<u64, u64>, // value of `placed` at the last use of a part
     placed: u64,                  // tokens sent to the replica so far
     room: u64,                    // tokens that fit beside running requests
-    events: KeptWord,             // events that the replica reports
+    events: CacheEventTracker,             // events that the replica reports
 }
 
 impl PrefixCache {
