--- a/src/policy/direct/placement/kept/cache_event_tracker.rs
+++ b/src/policy/direct/placement/kept/cache_event_tracker.rs
@@ -1,5 +1,5 @@
 use {
-    super::{HeardEvents, CacheCursor, CacheEventBatch},
+    super::{UnseenEvents, CacheCursor, CacheEventBatch},
     crate::policy::Moment,
     std::{collections::VecDeque, time::Duration},
 };
@@ -81,7 +81,7 @@
         &mut self,
         now: Moment,
         batch: &CacheEventBatch,
-    ) -> HeardEvents {
+    ) -> UnseenEvents {
         self.last_batch = Some(now);
         let known = self.follow;
         let is_same_epoch = known.epoch == Some(batch.epoch);
@@ -100,7 +100,7 @@
         // The replica was asked for events beyond its last number, because an earlier answer
         // named too high a number. Without going back, its events would be skipped as known.
         let is_beyond_end = batch.next < batch.from;
-        let unseen = HeardEvents {
+        let unseen = UnseenEvents {
             is_anew: known.epoch.is_some() && !is_same_epoch,
             has_gap: batch.has_gap || batch.from > next || is_beyond_end,
             events: events.copied().collect(),
--- a/src/policy/direct/placement/kept/mod.rs
+++ b/src/policy/direct/placement/kept/mod.rs
@@ -1,7 +1,7 @@
 //! Prompt-cache events of replicas. One router of a replica's zone reads them from the replica
 //! and forwards them to the others.
 
-mod heard_events;
+mod unseen_events;
 mod kept_change;
 mod cache_event;
 mod cache_cursor;
@@ -10,6 +10,6 @@
 mod shared_parts;
 
 pub use {
-    heard_events::HeardEvents, kept_change::KeptChange, cache_event::CacheEvent,
+    unseen_events::UnseenEvents, kept_change::KeptChange, cache_event::CacheEvent,
     cache_cursor::CacheCursor, cache_event_batch::CacheEventBatch, cache_event_tracker::CacheEventTracker, shared_parts::SharedParts,
 };
