--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -10,7 +10,7 @@
         catalog::UpstreamEntry,
         codes::{Fault, ResultCode},
         ops::{KEPT_CALLS, KEPT_EVENTS, KEPT_FOLLOWED},
-        policy::placement::{KeptChange, CacheEventBatch},
+        policy::placement::{CacheChange, CacheEventBatch},
     },
     hyper::StatusCode,
     std::{
@@ -105,7 +105,7 @@
 
 fn note(
     entry: &UpstreamEntry,
-    change: &KeptChange,
+    change: &CacheChange,
 ) {
     let kinds = [
         ("heard", change.heard),
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -6,7 +6,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{KeptChange, CacheCursor, CacheEventBatch},
+            placement::{CacheChange, CacheCursor, CacheEventBatch},
         },
     },
 };
@@ -84,7 +84,7 @@
         now: Moment,
         entry: &UpstreamEntry,
         batch: &CacheEventBatch,
-    ) -> Option<KeptChange> {
+    ) -> Option<CacheChange> {
         let start = entry.start_name();
         let cache = &mut self.same_start(entry)?.cache;
         let change = cache.hear(now, batch);
--- a/src/policy/direct/placement/kept/kept_change.rs
+++ b/src/policy/direct/placement/kept/cache_change.rs
@@ -2,7 +2,7 @@
 
 /// Effect of a batch of cache events on this router's view of the cache.
 #[derive(Debug, PartialEq, Eq)]
-pub struct KeptChange {
+pub struct CacheChange {
     pub news: CacheEventBatch,  // the batch, reduced to events that changed the view
     pub heard: usize,    // events that were not known before
     pub taken: usize,    // of these, parts that were not known to be cached
--- a/src/policy/direct/placement/kept/mod.rs
+++ b/src/policy/direct/placement/kept/mod.rs
@@ -2,7 +2,7 @@
 //! and forwards them to the others.
 
 mod unseen_events;
-mod kept_change;
+mod cache_change;
 mod cache_event;
 mod cache_cursor;
 mod cache_event_batch;
@@ -10,6 +10,6 @@
 mod shared_parts;
 
 pub use {
-    unseen_events::UnseenEvents, kept_change::KeptChange, cache_event::CacheEvent,
+    unseen_events::UnseenEvents, cache_change::CacheChange, cache_event::CacheEvent,
     cache_cursor::CacheCursor, cache_event_batch::CacheEventBatch, cache_event_tracker::CacheEventTracker, shared_parts::SharedParts,
 };
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -18,7 +18,7 @@
         EngineModel, EngineModels, EngineReport, EngineTimes, FirstToken, PaceEvidence, PaceNews,
         PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, UsualPace, UsualReadings,
     },
-    kept::{UnseenEvents, KeptChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
+    kept::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
     loads::{ExpectedWork, FleetSize, Load, PeerLoads, ReplicaReport, Work, WorkNumber},
     pauses::{PauseAims, PauseRecord, PauseRisk, PauseSight, PauseWatch, RunLengths, broken_share},
     placement_settings::PlacementSettings,
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -2,7 +2,7 @@
     super::{KeptPart, PromptShape},
     crate::policy::{
         Moment,
-        placement::{KeptChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker},
+        placement::{CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker},
     },
     std::collections::HashMap,
 };
@@ -145,7 +145,7 @@
         &mut self,
         now: Moment,
         batch: &CacheEventBatch,
-    ) -> KeptChange {
+    ) -> CacheChange {
         let unseen = self.events.advance(now, batch);
         if unseen.is_anew {
             self.last_used.clear();
@@ -160,7 +160,7 @@
         let events = unseen.events.into_iter();
         let events = events.filter(|event| self.apply_event(now, event));
         let events: Vec<CacheEvent> = events.collect();
-        KeptChange {
+        CacheChange {
             heard: unseen_count,
             taken: events.iter().filter(|event| event.is_kept).count(),
             given_up: events.iter().filter(|event| !event.is_kept).count(),
