--- a/src/direct/cache_calls.rs
+++ b/src/direct/cache_calls.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         codes::Fault,
-        policy::placement::{CacheEventBatch, KeptPart},
+        policy::placement::{CacheEventBatch, CachedPart},
     },
     bytes::Bytes,
     http_body_util::Full,
@@ -15,7 +15,7 @@
     /// The question for all of them, but for its host.
     pub list: fn() -> Request<Full<Bytes>>,
     /// Reads the answer: code 82.
-    pub read_list: fn(&[u8]) -> Result<Vec<KeptPart>, Fault>,
+    pub read_list: fn(&[u8]) -> Result<Vec<CachedPart>, Fault>,
     /// The question for what changed from an event's number on, held for some time until
     /// there is something, but for its host.
     pub events: fn(u64, Duration) -> Request<Full<Bytes>>,
--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -6,7 +6,7 @@
     crate::{
         catalog::UpstreamEntry,
         codes::{Fault, ResultCode},
-        policy::placement::KeptPart,
+        policy::placement::CachedPart,
     },
     futures::{StreamExt, stream},
     std::{collections::HashSet, sync::Arc, time::Duration},
@@ -104,7 +104,7 @@
 fn learn(
     gateway: &Gateway,
     entry: &UpstreamEntry,
-    parts: &[KeptPart],
+    parts: &[CachedPart],
 ) {
     let table = gateway.catalog.config();
     let service = table
@@ -120,7 +120,7 @@
 async fn ask(
     gateway: &Gateway,
     entry: &UpstreamEntry,
-) -> Result<Vec<KeptPart>, Fault> {
+) -> Result<Vec<CachedPart>, Fault> {
     let calls = gateway.dialect.cache;
     let mut connection = gateway
         .pool
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -4,7 +4,7 @@
         codes::{Fault, ResultCode},
         direct::CacheCalls,
         policy::{
-            placement::{CacheEvent, CacheEventBatch, KeptPart},
+            placement::{CacheEvent, CacheEventBatch, CachedPart},
             short_name,
         },
     },
@@ -52,9 +52,9 @@
     request
 }
 
-fn parse_list(text: &[u8]) -> Result<Vec<KeptPart>, Fault> {
+fn parse_list(text: &[u8]) -> Result<Vec<CachedPart>, Fault> {
     let list: ListJson = parse(text)?;
-    let parts = list.held.into_iter().map(|(_, id, tokens, _)| KeptPart {
+    let parts = list.held.into_iter().map(|(_, id, tokens, _)| CachedPart {
         part: part_id(&id),
         tokens,
     });
--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -6,7 +6,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{KeptPart, PlainRun, PrefixCache, ReplicaView},
+            placement::{CachedPart, PlainRun, PrefixCache, ReplicaView},
         },
     },
     std::time::Duration,
@@ -129,7 +129,7 @@
     pub fn learn_kept(
         &mut self,
         replica: &UpstreamEntry,
-        parts: &[KeptPart],
+        parts: &[CachedPart],
         memory: u64,
     ) {
         if let Some(view) = self.same_start(replica) {
--- a/src/policy/direct/placement/prompts/mod.rs
+++ b/src/policy/direct/placement/prompts/mod.rs
@@ -1,14 +1,14 @@
 //! Prompts as sequences of parts, and views of the replicas' prompt caches.
 
 mod cache_note;
-mod kept_part;
+mod cached_part;
 mod prefix_cache;
 mod prompt;
 mod sent_prompt;
 
 pub use {
     cache_note::CacheNote,
-    kept_part::KeptPart,
+    cached_part::CachedPart,
     prefix_cache::PrefixCache,
     prompt::{PromptPart, PromptShape},
     sent_prompt::SentPrompt,
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -1,5 +1,5 @@
 use {
-    super::{KeptPart, PromptShape},
+    super::{CachedPart, PromptShape},
     crate::policy::{
         Moment,
         placement::{CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker},
@@ -70,7 +70,7 @@
     /// that are known already stay as they are, since their last use is more recent.
     pub fn learn(
         &mut self,
-        parts: &[KeptPart],
+        parts: &[CachedPart],
         memory: u64,
     ) {
         if self.room == 0 {
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::placement::{
-            Choice, EngineReport, EngineTimes, FleetSize, KeptPart, Load, PeerLoads,
+            Choice, EngineReport, EngineTimes, FleetSize, CachedPart, Load, PeerLoads,
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
@@ -706,13 +706,13 @@
 #[test]
 fn a_replicas_own_word_on_what_it_keeps_is_believed_until_other_prompts_take_the_room() {
     let mut board = board(&["a", "b"]);
-    let parts: Vec<KeptPart> = (1..=20)
-        .map(|part| KeptPart { part, tokens: 4000 })
+    let parts: Vec<CachedPart> = (1..=20)
+        .map(|part| CachedPart { part, tokens: 4000 })
         .collect();
     let view = board.replica_mut("b").expect("listed");
     view.cache.learn(&parts, ENGINE.memory_tokens);
     view.cache.learn(
-        &[KeptPart {
+        &[CachedPart {
             part: 30,
             tokens: 0,
         }],
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -9,7 +9,7 @@
         policy::{
             Teller, TellerScope,
             placement::{
-                CacheNote, Choice, KeptPart, Load, PlacementRequest, PlacementSettings, PromptPart,
+                CacheNote, Choice, CachedPart, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
             },
             shares::Standing,
@@ -190,7 +190,7 @@
 #[test]
 fn its_own_word_on_what_it_keeps_holds_for_the_start_that_gave_it() {
     let mut board = board();
-    let kept = [(1, 4000), (2, 1000)].map(|(part, tokens)| KeptPart { part, tokens });
+    let kept = [(1, 4000), (2, 1000)].map(|(part, tokens)| CachedPart { part, tokens });
     board.learn_kept(&start("i-a", 1000), &kept, MEMORY);
     assert_eq!(reading(&mut board), 0);
     board.set_entries(NOW, vec![start("i-a", 2000)]);
