--- a/src/peers/figures.rs
+++ b/src/peers/figures.rs
@@ -1,6 +1,6 @@
 use {
     crate::policy::{
-        placement::{CacheNote, EngineReport, ReplicaReport},
+        placement::{PartPlacement, EngineReport, ReplicaReport},
         shares::AccountUsage,
     },
     serde::{Deserialize, Serialize},
@@ -19,7 +19,7 @@
 pub struct Figures {
     pub replicas: Vec<ReplicaReport>,
     pub accounts: Vec<(u32, AccountUsage)>,
-    pub notes: Vec<CacheNote>,
+    pub notes: Vec<PartPlacement>,
     pub engines: Vec<EngineReport>,
 }
 
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -9,7 +9,7 @@
         ops::PEERS,
         policy::{
             Moment,
-            placement::{CacheNote, FleetSize},
+            placement::{PartPlacement, FleetSize},
             slow_start::ZoneRouters,
             stable_hash,
         },
@@ -234,7 +234,7 @@
     fn zone_figures(
         &self,
         now: Moment,
-        notes: Vec<CacheNote>,
+        notes: Vec<PartPlacement>,
     ) -> Figures {
         let gateway = &self.gateway;
         let board = gateway.board();
--- a/src/peers/told_reports.rs
+++ b/src/peers/told_reports.rs
@@ -1,7 +1,7 @@
 use {
     crate::policy::{
         Moment,
-        placement::{CacheNote, ReplicaReport},
+        placement::{PartPlacement, ReplicaReport},
         shares::AccountUsage,
     },
     std::{
@@ -23,7 +23,7 @@
 pub struct ToldReports {
     replicas: HashMap<u32, (Moment, ReplicaReport)>, // when and what, by replica
     accounts: HashMap<u32, (Moment, AccountUsage)>,  // when and what, by account
-    notes: HashMap<CacheNote, Moment>,
+    notes: HashMap<PartPlacement, Moment>,
     engines: Option<Moment>,
 }
 
@@ -87,8 +87,8 @@
         &mut self,
         now: Moment,
         refresh: Duration,
-        notes: Vec<CacheNote>,
-    ) -> Vec<CacheNote> {
+        notes: Vec<PartPlacement>,
+    ) -> Vec<PartPlacement> {
         self.notes.retain(|_, at| !is_old(now, *at, refresh));
         let mut due = Vec::new();
         for note in notes {
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -4,7 +4,7 @@
     super::ReplicaBoard,
     crate::policy::{
         Moment, Teller, TellerScope,
-        placement::{CacheNote, EngineReport, ReplicaEvidence, ReplicaReport},
+        placement::{PartPlacement, EngineReport, ReplicaEvidence, ReplicaReport},
         short_name,
     },
 };
@@ -59,13 +59,13 @@
     }
 
     /// Removes and returns the prompt parts that this router sent to replicas.
-    pub fn take_notes(&mut self) -> Vec<CacheNote> {
+    pub fn take_notes(&mut self) -> Vec<PartPlacement> {
         std::mem::take(&mut self.notes)
     }
 
     /// Removes and returns the shared prompt parts that the routers of this zone sent to
     /// replicas, for other zones.
-    pub fn take_zone_notes(&mut self) -> Vec<CacheNote> {
+    pub fn take_zone_notes(&mut self) -> Vec<PartPlacement> {
         std::mem::take(&mut self.zone_notes)
     }
 
@@ -74,7 +74,7 @@
         &mut self,
         now: Moment,
         scope: TellerScope,
-        notes: &[CacheNote],
+        notes: &[PartPlacement],
     ) {
         for note in notes {
             if let Some(view) = self.by_key(note.replica) {
@@ -143,8 +143,8 @@
 
 /// Queues an announcement, or drops it if the queue is full.
 pub(super) fn push_bounded(
-    queue: &mut Vec<CacheNote>,
-    placement: CacheNote,
+    queue: &mut Vec<PartPlacement>,
+    placement: PartPlacement,
 ) {
     if queue.len() < MAX_QUEUED {
         queue.push(placement);
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            CacheNote, EngineTimes, ExpectedWork, Load, PaceEvidence, SentPrompt, Work, WorkNumber,
+            PartPlacement, EngineTimes, ExpectedWork, Load, PaceEvidence, SentPrompt, Work, WorkNumber,
         },
     },
     std::sync::Arc,
@@ -43,7 +43,7 @@
             let parts = &prompt.shape.parts;
             for (index, part) in parts.iter().enumerate() {
                 view.cache.note(now, part.id);
-                let placement = CacheNote {
+                let placement = PartPlacement {
                     replica: view.start,
                     part: part.id,
                     shared: index + 1 < parts.len(),
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -4,7 +4,7 @@
         policy::{
             Moment, NoticeBook,
             placement::{
-                CacheNote, EngineModels, EngineTimes, FleetSize, CacheEventBatch, PauseAims,
+                PartPlacement, EngineModels, EngineTimes, FleetSize, CacheEventBatch, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
                 Work, WorkNumber,
             },
@@ -33,8 +33,8 @@
     pub(super) pause_aims: PauseAims,
     pub(super) run_lengths: RunLengths,
     pub(super) next_work: WorkNumber,
-    pub(super) notes: Vec<CacheNote>, // sent by this router, to be announced in its zone
-    pub(super) zone_notes: Vec<CacheNote>, // shared parts sent by the zone, for other zones
+    pub(super) notes: Vec<PartPlacement>, // sent by this router, to be announced in its zone
+    pub(super) zone_notes: Vec<PartPlacement>, // shared parts sent by the zone, for other zones
     pub(super) kept_news: Vec<(u32, CacheEventBatch)>, // to be forwarded, by replica start
     pub(super) zone_kept_news: Vec<(u32, CacheEventBatch)>, // evicted shared parts, for other zones
     pub(super) shared_parts: SharedParts,
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -22,6 +22,6 @@
     loads::{ExpectedWork, FleetSize, Load, PeerLoads, ReplicaReport, Work, WorkNumber},
     pauses::{PauseAims, PauseRecord, PauseRisk, PauseSight, PauseWatch, RunLengths, broken_share},
     placement_settings::PlacementSettings,
-    prompts::{CacheNote, CachedPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
+    prompts::{PartPlacement, CachedPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
     replicas::{PlainRun, PlainTimes, ReplicaHealth, ReplicaView, SeenPace, SeenWork},
 };
--- a/src/policy/direct/placement/prompts/mod.rs
+++ b/src/policy/direct/placement/prompts/mod.rs
@@ -1,13 +1,13 @@
 //! Prompts as sequences of parts, and views of the replicas' prompt caches.
 
-mod cache_note;
+mod part_placement;
 mod cached_part;
 mod prefix_cache;
 mod prompt;
 mod sent_prompt;
 
 pub use {
-    cache_note::CacheNote,
+    part_placement::PartPlacement,
     cached_part::CachedPart,
     prefix_cache::PrefixCache,
     prompt::{PromptPart, PromptShape},
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -10,7 +10,7 @@
         policy::{
             Teller, TellerScope,
             placement::{
-                CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
+                PartPlacement, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport,
             },
             shares::{AccountUsage, ShareBook, Standing},
@@ -165,7 +165,7 @@
         board.hear(NOW, other_zone(zone), &loads);
     }
     for part in 0..KEPT {
-        let note = CacheNote {
+        let note = PartPlacement {
             replica: short_name(&ids[part as usize % ids.len()]),
             part: 10 + part,
             shared: true,
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -9,7 +9,7 @@
         policy::{
             TellerScope,
             placement::{
-                CacheNote, CacheEvent, CacheEventBatch, PlacementSettings, PrefixCache, ReplicaBoard,
+                PartPlacement, CacheEvent, CacheEventBatch, PlacementSettings, PrefixCache, ReplicaBoard,
             },
             slow_start::ZoneRouters,
             stable_hash,
@@ -256,7 +256,7 @@
 fn who_takes_over_goes_on_from_the_number_it_was_told_and_other_zones_hear_of_shared_parts() {
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
     let start = replica().start_name();
-    let note = |part, shared| CacheNote {
+    let note = |part, shared| PartPlacement {
         replica: start,
         part,
         shared,
@@ -321,12 +321,12 @@
 fn a_router_that_starts_is_told_which_shared_parts_are_kept_whatever_it_hears_first() {
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
     let start = replica().start_name();
-    let parts = (1..=300).map(|part| CacheNote {
+    let parts = (1..=300).map(|part| PartPlacement {
         replica: start,
         part,
         shared: part > 3,
     });
-    let parts: Vec<CacheNote> = parts.collect();
+    let parts: Vec<PartPlacement> = parts.collect();
     follower.hear_notes(ms(0), TellerScope::Router, &parts);
     follower.heard_kept(LATER, &replica(), &news(&[event(7, 10, false)]));
     follower.take_kept_news();
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -13,7 +13,7 @@
             CatalogNews, Figures, NamedRouter, PeerMessage, RouterReport, SuspectsTold, ZoneSum,
         },
         policy::{
-            placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
+            placement::{PartPlacement, EngineReport, EngineTimes, Load, ReplicaReport},
             shares::AccountUsage,
             suspects::{EndNote, RequestDigest, SuspectNote},
         },
@@ -53,7 +53,7 @@
                 got: 0.25,
             },
         )],
-        notes: vec![CacheNote {
+        notes: vec![PartPlacement {
             replica: 2,
             part: u64::MAX,
             shared: true,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -5,7 +5,7 @@
         catalog::CatalogVersion,
         peers::{Figures, NamedRouter, PeerTable, RouterReport, ToldReports, ZoneSum, ZoneTable},
         policy::{
-            placement::{CacheNote, Load, ReplicaReport},
+            placement::{PartPlacement, Load, ReplicaReport},
             shares::AccountUsage,
         },
     },
@@ -82,7 +82,7 @@
 #[test]
 fn a_note_is_told_once_in_a_while() {
     let mut told = ToldReports::default();
-    let note = CacheNote {
+    let note = PartPlacement {
         replica: 1,
         part: 9,
         shared: true,
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -9,7 +9,7 @@
         policy::{
             Teller, TellerScope,
             placement::{
-                CacheNote, Choice, CachedPart, Load, PlacementRequest, PlacementSettings, PromptPart,
+                PartPlacement, Choice, CachedPart, Load, PlacementRequest, PlacementSettings, PromptPart,
                 PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
             },
             shares::Standing,
@@ -156,7 +156,7 @@
         placed: 700,
         rests: true,
     };
-    let note = |start: &UpstreamEntry, part| CacheNote {
+    let note = |start: &UpstreamEntry, part| PartPlacement {
         replica: start.start_name(),
         part,
         shared: true,
