--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -95,7 +95,7 @@
         events: events.collect(),
     };
     news.events.sort_by_key(|event| event.number);
-    news.has_gap = is_lost || news.lacks_numbers();
+    news.has_gap = is_lost || news.has_missing_numbers();
     Ok(news)
 }
 
--- a/src/policy/direct/placement/kept/cache_event_batch.rs
+++ b/src/policy/direct/placement/kept/cache_event_batch.rs
@@ -16,7 +16,7 @@
 
 impl CacheEventBatch {
     /// Whether events are missing in a batch that should hold each event from `from` on.
-    pub fn lacks_numbers(&self) -> bool {
+    pub fn has_missing_numbers(&self) -> bool {
         let numbers = self.next.saturating_sub(self.from);
         (self.events.len() as u64) < numbers
     }
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -156,9 +156,9 @@
 #[test]
 fn numbers_that_are_missing_are_a_gap() {
     let whole = news(&[event(4, 1, true), event(5, 2, true)]);
-    assert!(!whole.lacks_numbers());
+    assert!(!whole.has_missing_numbers());
     let torn = news(&[event(4, 1, true), event(6, 2, true)]);
-    assert!(torn.lacks_numbers());
+    assert!(torn.has_missing_numbers());
 }
 
 /// One answer names a number far ahead, and later ones the replica's own again: its events
