--- a/src/policy/direct/placement/engines/engine_models.rs
+++ b/src/policy/direct/placement/engines/engine_models.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineModel, EngineReport, EngineTimes, FirstToken},
+    super::{LatencyModel, EngineReport, EngineTimes, FirstToken},
     crate::policy::short_name,
     std::{collections::HashMap, sync::Arc},
 };
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Default)]
 struct ServiceModel {
-    model: EngineModel,
+    model: LatencyModel,
     last_returned: Option<EngineTimes>, // by `EngineModels::learn`
 }
 
@@ -31,7 +31,7 @@
     ) -> EngineTimes {
         let known = self.by_service.get(service);
         known
-            .map_or_else(EngineModel::default, |known| known.model)
+            .map_or_else(LatencyModel::default, |known| known.model)
             .times()
     }
 
--- a/src/policy/direct/placement/engines/engine_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -48,7 +48,7 @@
 /// for each uncached prompt token. Fitted by linear regression with exponentially decaying
 /// samples.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineModel {
+pub struct LatencyModel {
     weight: f64,   // total weight of the samples
     tokens: f64,   // weighted sum of tokens, in thousands
     squares: f64,  // weighted sum of squared tokens
@@ -58,7 +58,7 @@
     samples: u64,
 }
 
-impl Default for EngineModel {
+impl Default for LatencyModel {
     fn default() -> Self {
         let prior = EngineTimes {
             fixed_ms: PRIOR_MS.0,
@@ -71,7 +71,7 @@
     }
 }
 
-impl EngineModel {
+impl LatencyModel {
     /// The fitted times.
     pub fn times(&self) -> EngineTimes {
         let spread = self.weight * self.squares - self.tokens * self.tokens;
--- a/src/policy/direct/placement/engines/mod.rs
+++ b/src/policy/direct/placement/engines/mod.rs
@@ -1,6 +1,6 @@
 //! Latency models of inference engines, learnt from observed first tokens and stream pauses.
 
-mod engine_model;
+mod latency_model;
 mod engine_models;
 mod engine_report;
 mod engine_times;
@@ -15,7 +15,7 @@
 mod usual_readings;
 
 pub use {
-    engine_model::EngineModel, engine_models::EngineModels, engine_report::EngineReport,
+    latency_model::LatencyModel, engine_models::EngineModels, engine_report::EngineReport,
     engine_times::EngineTimes, first_token::FirstToken, pace_evidence::PaceEvidence,
     pace_news::PaceNews, pace_sum::PaceSum, pause_evidence::PauseEvidence,
     replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, usual_pace::UsualPace,
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::placement::{
-        EngineModel, EngineModels, EngineReport, EngineTimes, FirstToken,
+        LatencyModel, EngineModels, EngineReport, EngineTimes, FirstToken,
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
@@ -35,8 +35,8 @@
     engine: Engine,
     samples: u32,
     noise_ms: f64,
-) -> EngineModel {
-    let mut model = EngineModel::default();
+) -> LatencyModel {
+    let mut model = LatencyModel::default();
     for sample in 0..samples {
         let tokens = 200 + (sample * 2953) % 9000;
         let sign = f64::from(sample % 3) - 1.0;
@@ -114,7 +114,7 @@
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
-    let mut model = EngineModel::default();
+    let mut model = LatencyModel::default();
     for sample in 0..300 {
         let front_ms = f64::from(sample % 4) * 60.0;
         let tokens = 200 + (sample * 2953) % 9000;
@@ -132,7 +132,7 @@
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
-    let mut model = EngineModel::default();
+    let mut model = LatencyModel::default();
     for _ in 0..5000 {
         model.learn(engine.first_token(1000, 0.0));
     }
@@ -194,8 +194,8 @@
 /// request's time; the guess of the times may be far off at first, that figure need not follow.
 #[test]
 fn first_tokens_that_come_late_at_first_do_not_make_the_belief_unsure() {
-    let usual = EngineModel::default().times().residual_ms;
-    let mut model = EngineModel::default();
+    let usual = LatencyModel::default().times().residual_ms;
+    let mut model = LatencyModel::default();
     for _ in 0..10 {
         model.learn(FirstToken {
             tokens: 4000,
