--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -4,7 +4,7 @@
         policy::{
             Moment, NoticeBook,
             placement::{
-                PartPlacement, EngineModels, EngineTimes, FleetSize, CacheEventBatch, PauseAims,
+                PartPlacement, LatencyModels, EngineTimes, FleetSize, CacheEventBatch, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
                 Work, WorkNumber,
             },
@@ -26,7 +26,7 @@
     pub(super) replicas: BTreeMap<Arc<str>, ReplicaView>,
     ids_by_start: HashMap<u32, Arc<str>>, // by the hashes of their starts
     pub(super) works: HashMap<WorkNumber, Work>,
-    pub(super) engines: EngineModels,
+    pub(super) engines: LatencyModels,
     pub(super) usual: UsualReadings,
     pub(super) usual_paces: HashMap<Arc<str>, UsualPace>, // by service
     pub(super) refreshed: Moment, // the last refresh of the estimates
@@ -58,7 +58,7 @@
             replicas: BTreeMap::new(),
             ids_by_start: HashMap::new(),
             works: HashMap::new(),
-            engines: EngineModels::default(),
+            engines: LatencyModels::default(),
             usual: UsualReadings::default(),
             usual_paces: HashMap::new(),
             refreshed: Moment::ZERO,
--- a/src/policy/direct/placement/engines/engine_models.rs
+++ b/src/policy/direct/placement/engines/latency_models.rs
@@ -13,17 +13,17 @@
 
 /// Latency models of all services.
 #[derive(Debug, Default)]
-pub struct EngineModels {
+pub struct LatencyModels {
     by_service: HashMap<Arc<str>, ServiceModel>,
 }
 
 #[derive(Debug, Default)]
 struct ServiceModel {
     model: LatencyModel,
-    last_returned: Option<EngineTimes>, // by `EngineModels::learn`
+    last_returned: Option<EngineTimes>, // by `LatencyModels::learn`
 }
 
-impl EngineModels {
+impl LatencyModels {
     /// Modelled times of a service's engines, from the prior if there is no sample.
     pub fn times(
         &self,
--- a/src/policy/direct/placement/engines/mod.rs
+++ b/src/policy/direct/placement/engines/mod.rs
@@ -1,7 +1,7 @@
 //! Latency models of inference engines, learnt from observed first tokens and stream pauses.
 
 mod latency_model;
-mod engine_models;
+mod latency_models;
 mod engine_report;
 mod engine_times;
 mod first_token;
@@ -15,7 +15,7 @@
 mod usual_readings;
 
 pub use {
-    latency_model::LatencyModel, engine_models::EngineModels, engine_report::EngineReport,
+    latency_model::LatencyModel, latency_models::LatencyModels, engine_report::EngineReport,
     engine_times::EngineTimes, first_token::FirstToken, pace_evidence::PaceEvidence,
     pace_news::PaceNews, pace_sum::PaceSum, pause_evidence::PauseEvidence,
     replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, usual_pace::UsualPace,
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::placement::{
-        LatencyModel, EngineModels, EngineReport, EngineTimes, FirstToken,
+        LatencyModel, LatencyModels, EngineReport, EngineTimes, FirstToken,
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
@@ -144,7 +144,7 @@
 #[test]
 fn a_router_that_starts_begins_from_what_peers_have_learnt() {
     let service: Arc<str> = "model".into();
-    let mut fresh = EngineModels::default();
+    let mut fresh = LatencyModels::default();
     let told = EngineReport {
         service: 1,
         times: EngineTimes {
@@ -181,7 +181,7 @@
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
-    let mut models = EngineModels::default();
+    let mut models = LatencyModels::default();
     let news = (0..2000).filter(|sample| {
         let seen = engine.first_token(200 + (sample * 2953) % 9000, 0.0);
         models.learn(&service, seen).is_some()
