--- a/src/peers/figures.rs
+++ b/src/peers/figures.rs
@@ -1,6 +1,6 @@
 use {
     crate::policy::{
-        placement::{PartPlacement, EngineReport, ReplicaReport},
+        placement::{PartPlacement, LatencyReport, ReplicaReport},
         shares::AccountUsage,
     },
     serde::{Deserialize, Serialize},
@@ -20,7 +20,7 @@
     pub replicas: Vec<ReplicaReport>,
     pub accounts: Vec<(u32, AccountUsage)>,
     pub notes: Vec<PartPlacement>,
-    pub engines: Vec<EngineReport>,
+    pub engines: Vec<LatencyReport>,
 }
 
 impl Figures {
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -4,7 +4,7 @@
     super::ReplicaBoard,
     crate::policy::{
         Moment, Teller, TellerScope,
-        placement::{PartPlacement, EngineReport, ReplicaEvidence, ReplicaReport},
+        placement::{PartPlacement, LatencyReport, ReplicaEvidence, ReplicaReport},
         short_name,
     },
 };
@@ -122,14 +122,14 @@
     }
 
     /// Latency models of this router, for its peers.
-    pub fn engine_reports(&self) -> Vec<EngineReport> {
+    pub fn engine_reports(&self) -> Vec<LatencyReport> {
         self.engines.reports()
     }
 
     /// Applies a peer's latency models of services of which this router has few samples.
     pub fn hear_engines(
         &mut self,
-        reports: &[EngineReport],
+        reports: &[LatencyReport],
     ) {
         for report in reports {
             let mut services = self.replicas.values().map(|view| &view.entry.service);
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -1,4 +1,4 @@
-use super::{EngineReport, EngineTimes, FirstToken};
+use super::{LatencyReport, EngineTimes, FirstToken};
 
 /// The regression counts prompt tokens in thousands.
 const THOUSAND: f64 = 1000.0;
@@ -134,7 +134,7 @@
     /// Replaces the model by a prior from a peer's report.
     pub fn restart_from(
         &mut self,
-        report: &EngineReport,
+        report: &LatencyReport,
     ) {
         let samples = report.samples.min(DECAY_SAMPLES as u64) as f64;
         *self = Self {
--- a/src/policy/direct/placement/engines/latency_models.rs
+++ b/src/policy/direct/placement/engines/latency_models.rs
@@ -1,5 +1,5 @@
 use {
-    super::{LatencyModel, EngineReport, EngineTimes, FirstToken},
+    super::{LatencyModel, LatencyReport, EngineTimes, FirstToken},
     crate::policy::short_name,
     std::{collections::HashMap, sync::Arc},
 };
@@ -52,11 +52,11 @@
     }
 
     /// Reports for peers, of the services with enough samples.
-    pub fn reports(&self) -> Vec<EngineReport> {
+    pub fn reports(&self) -> Vec<LatencyReport> {
         let known = self.by_service.iter();
         known
             .filter(|(_, known)| known.model.samples() >= MIN_REPORT_SAMPLES)
-            .map(|(service, known)| EngineReport {
+            .map(|(service, known)| LatencyReport {
                 service: short_name(service),
                 times: known.model.times(),
                 samples: known.model.samples(),
@@ -68,7 +68,7 @@
     pub fn hear(
         &mut self,
         service: &Arc<str>,
-        report: &EngineReport,
+        report: &LatencyReport,
     ) {
         let known = self.by_service.entry(service.clone()).or_default();
         if known.model.samples() < MIN_REPORT_SAMPLES {
--- a/src/policy/direct/placement/engines/mod.rs
+++ b/src/policy/direct/placement/engines/mod.rs
@@ -2,7 +2,7 @@
 
 mod latency_model;
 mod latency_models;
-mod engine_report;
+mod latency_report;
 mod engine_times;
 mod first_token;
 mod pace_evidence;
@@ -15,7 +15,7 @@
 mod usual_readings;
 
 pub use {
-    latency_model::LatencyModel, latency_models::LatencyModels, engine_report::EngineReport,
+    latency_model::LatencyModel, latency_models::LatencyModels, latency_report::LatencyReport,
     engine_times::EngineTimes, first_token::FirstToken, pace_evidence::PaceEvidence,
     pace_news::PaceNews, pace_sum::PaceSum, pause_evidence::PauseEvidence,
     replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, usual_pace::UsualPace,
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::placement::{
-        LatencyModel, LatencyModels, EngineReport, EngineTimes, FirstToken,
+        LatencyModel, LatencyModels, LatencyReport, EngineTimes, FirstToken,
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
@@ -145,7 +145,7 @@
 fn a_router_that_starts_begins_from_what_peers_have_learnt() {
     let service: Arc<str> = "model".into();
     let mut fresh = LatencyModels::default();
-    let told = EngineReport {
+    let told = LatencyReport {
         service: 1,
         times: EngineTimes {
             fixed_ms: 60.0,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -7,7 +7,7 @@
         peers::{EvidenceTold, EvidenceTurn, PeerMessage},
         policy::{
             placement::{
-                Choice, EngineReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
+                Choice, LatencyReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
                 PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
                 ReplicaEvidence, ReplicaPace, SentPrompt, WorkNumber,
             },
@@ -68,7 +68,7 @@
 fn board(ids: &[&str]) -> ReplicaBoard {
     let mut board = ReplicaBoard::new(PlacementSettings::default());
     board.set_entries(BEGIN, ids.iter().map(|id| entry(id, 1)).collect());
-    board.hear_engines(&[EngineReport {
+    board.hear_engines(&[LatencyReport {
         service: short_name("model"),
         times: USUAL,
         samples: 5000,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -13,7 +13,7 @@
             CatalogNews, Figures, NamedRouter, PeerMessage, RouterReport, SuspectsTold, ZoneSum,
         },
         policy::{
-            placement::{PartPlacement, EngineReport, EngineTimes, Load, ReplicaReport},
+            placement::{PartPlacement, LatencyReport, EngineTimes, Load, ReplicaReport},
             shares::AccountUsage,
             suspects::{EndNote, RequestDigest, SuspectNote},
         },
@@ -58,7 +58,7 @@
             part: u64::MAX,
             shared: true,
         }],
-        engines: vec![EngineReport {
+        engines: vec![LatencyReport {
             service: 4,
             times: EngineTimes {
                 fixed_ms: 40.0,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::placement::{
-            Choice, EngineReport, EngineTimes, FleetSize, CachedPart, Load, PeerLoads,
+            Choice, LatencyReport, EngineTimes, FleetSize, CachedPart, Load, PeerLoads,
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
@@ -41,7 +41,7 @@
 };
 
 /// What a peer has learnt of the engines: 33 tokens a millisecond.
-const KNOWN: EngineReport = EngineReport {
+const KNOWN: LatencyReport = LatencyReport {
     service: 0,
     times: EngineTimes {
         fixed_ms: 40.0,
@@ -78,7 +78,7 @@
 
 fn board(ids: &[&str]) -> ReplicaBoard {
     let mut board = fresh_board(ids);
-    board.hear_engines(&[EngineReport {
+    board.hear_engines(&[LatencyReport {
         service: short_name("model"),
         ..KNOWN
     }]);
@@ -273,7 +273,7 @@
 #[test]
 fn a_belief_that_was_far_off_does_not_keep_engines_idle() {
     let mut board = fresh_board(&["a"]);
-    board.hear_engines(&[EngineReport {
+    board.hear_engines(&[LatencyReport {
         service: short_name("model"),
         times: EngineTimes {
             residual_ms: 700.0,
