--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/board/board_paces.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            EngineTimes, ExpectedWork, FirstToken, PaceEvidence, PaceNews, ReplicaPace,
+            EngineLatency, ExpectedWork, FirstToken, PaceEvidence, PaceNews, ReplicaPace,
             ReplicaView, UsualPace, Work,
         },
     },
@@ -30,7 +30,7 @@
         now: Moment,
         work: &Work,
         expected: ExpectedWork,
-    ) -> Option<EngineTimes> {
+    ) -> Option<EngineLatency> {
         let took = now.saturating_sub(work.sent);
         let view = self.replicas.get_mut(&work.replica)?;
         let first_token = FirstToken {
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            PartPlacement, EngineTimes, ExpectedWork, Load, PaceEvidence, SentPrompt, Work, WorkNumber,
+            PartPlacement, EngineLatency, ExpectedWork, Load, PaceEvidence, SentPrompt, Work, WorkNumber,
         },
     },
     std::sync::Arc,
@@ -92,7 +92,7 @@
         &mut self,
         now: Moment,
         number: WorkNumber,
-    ) -> Option<EngineTimes> {
+    ) -> Option<EngineLatency> {
         let work = self.works.get_mut(&number)?;
         let unread = std::mem::take(&mut work.load.reading);
         let expected = work.expected.take();
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -4,7 +4,7 @@
         policy::{
             Moment, NoticeBook,
             placement::{
-                PartPlacement, LatencyModels, EngineTimes, FleetSize, CacheEventBatch, PauseAims,
+                PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
                 Work, WorkNumber,
             },
@@ -207,7 +207,7 @@
     pub fn engine_times(
         &self,
         service: &str,
-    ) -> EngineTimes {
+    ) -> EngineLatency {
         self.engines.times(service)
     }
 }
--- a/src/policy/direct/placement/choosing/candidate.rs
+++ b/src/policy/direct/placement/choosing/candidate.rs
@@ -1,13 +1,13 @@
 use {
     super::{homes::scatter, offer::Offer},
-    crate::policy::placement::{EngineTimes, PromptShape},
+    crate::policy::placement::{EngineLatency, PromptShape},
 };
 
 /// A replica that may run a prompt, with the estimates by which candidates are compared.
 pub struct Candidate<'v> {
     pub offer: Offer<'v>,
-    pub times: EngineTimes,  // of the service's engines, scaled by the replica's pace
-    pub usual: EngineTimes,  // average of the service's engines
+    pub times: EngineLatency,  // of the service's engines, scaled by the replica's pace
+    pub usual: EngineLatency,  // average of the service's engines
     pub front_ms: f64,       // prefill queued ahead of the prompt
     pub own_ms: f64,         // prefill and fetching of the prompt itself
     pub pauses_ms: f64,      // expected cost of late stream events
@@ -24,7 +24,7 @@
         offer: Offer<'v>,
         prompt: &PromptShape,
         front: u32,
-        usual: EngineTimes,
+        usual: EngineLatency,
         rank: Option<usize>,
     ) -> Self {
         let times = offer.view.pace.of(usual);
--- a/src/policy/direct/placement/choosing/spare_time.rs
+++ b/src/policy/direct/placement/choosing/spare_time.rs
@@ -2,7 +2,7 @@
     super::PlacementRequest,
     crate::policy::{
         Moment,
-        placement::{EngineTimes, UsualReadings},
+        placement::{EngineLatency, UsualReadings},
     },
 };
 
@@ -36,7 +36,7 @@
     /// prefill of typical requests and the model error.
     pub fn ms(
         &self,
-        times: EngineTimes,
+        times: EngineLatency,
     ) -> f64 {
         let usual = self.usual.iter();
         let left = usual.map(|(aim_ms, tokens)| aim_ms - tokens * times.token_ms);
--- a/src/policy/direct/placement/engines/engine_times.rs
+++ b/src/policy/direct/placement/engines/engine_latency.rs
@@ -2,13 +2,13 @@
 
 /// Modelled time of an engine from receiving a prompt to its first token.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct EngineTimes {
+pub struct EngineLatency {
     pub fixed_ms: f64,    // independent of the prompt
     pub token_ms: f64,    // for each uncached prompt token
     pub residual_ms: f64, // mean absolute error of the model
 }
 
-impl EngineTimes {
+impl EngineLatency {
     /// Prefill time of some uncached tokens, in milliseconds.
     pub fn reading_ms(
         &self,
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -1,4 +1,4 @@
-use super::{LatencyReport, EngineTimes, FirstToken};
+use super::{LatencyReport, EngineLatency, FirstToken};
 
 /// The regression counts prompt tokens in thousands.
 const THOUSAND: f64 = 1000.0;
@@ -60,7 +60,7 @@
 
 impl Default for LatencyModel {
     fn default() -> Self {
-        let prior = EngineTimes {
+        let prior = EngineLatency {
             fixed_ms: PRIOR_MS.0,
             token_ms: PRIOR_MS.1 / THOUSAND,
             residual_ms: INITIAL_RESIDUAL_MS,
@@ -73,7 +73,7 @@
 
 impl LatencyModel {
     /// The fitted times.
-    pub fn times(&self) -> EngineTimes {
+    pub fn times(&self) -> EngineLatency {
         let spread = self.weight * self.squares - self.tokens * self.tokens;
         let slope = (self.weight * self.products - self.tokens * self.times) / spread;
         // The slope is not a number if all prompts have the same length.
@@ -84,7 +84,7 @@
         };
         let thousand_ms = thousand_ms.clamp(THOUSAND_MS_BOUNDS.0, THOUSAND_MS_BOUNDS.1);
         let fixed = (self.times - thousand_ms * self.tokens) / self.weight;
-        EngineTimes {
+        EngineLatency {
             fixed_ms: fixed.max(0.0),
             token_ms: thousand_ms / THOUSAND,
             residual_ms: self.residual,
@@ -160,7 +160,7 @@
     /// Adds two samples of this weight each that fit `times` exactly.
     fn add_prior(
         &mut self,
-        times: EngineTimes,
+        times: EngineLatency,
         weight: f64,
     ) {
         let with_tokens_ms = times.fixed_ms + PRIOR_TOKENS * THOUSAND * times.token_ms;
--- a/src/policy/direct/placement/engines/latency_models.rs
+++ b/src/policy/direct/placement/engines/latency_models.rs
@@ -1,5 +1,5 @@
 use {
-    super::{LatencyModel, LatencyReport, EngineTimes, FirstToken},
+    super::{LatencyModel, LatencyReport, EngineLatency, FirstToken},
     crate::policy::short_name,
     std::{collections::HashMap, sync::Arc},
 };
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 struct ServiceModel {
     model: LatencyModel,
-    last_returned: Option<EngineTimes>, // by `LatencyModels::learn`
+    last_returned: Option<EngineLatency>, // by `LatencyModels::learn`
 }
 
 impl LatencyModels {
@@ -28,7 +28,7 @@
     pub fn times(
         &self,
         service: &str,
-    ) -> EngineTimes {
+    ) -> EngineLatency {
         let known = self.by_service.get(service);
         known
             .map_or_else(LatencyModel::default, |known| known.model)
@@ -41,7 +41,7 @@
         &mut self,
         service: &Arc<str>,
         sample: FirstToken,
-    ) -> Option<EngineTimes> {
+    ) -> Option<EngineLatency> {
         let known = self.by_service.entry(service.clone()).or_default();
         known.model.learn(sample);
         let times = known.model.times();
--- a/src/policy/direct/placement/engines/latency_report.rs
+++ b/src/policy/direct/placement/engines/latency_report.rs
@@ -1,5 +1,5 @@
 use {
-    super::EngineTimes,
+    super::EngineLatency,
     serde::{Deserialize, Serialize},
 };
 
@@ -7,6 +7,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LatencyReport {
     pub service: u32, // name hash
-    pub times: EngineTimes,
+    pub times: EngineLatency,
     pub samples: u64, // number of first tokens that the model was fitted to
 }
--- a/src/policy/direct/placement/engines/mod.rs
+++ b/src/policy/direct/placement/engines/mod.rs
@@ -3,7 +3,7 @@
 mod latency_model;
 mod latency_models;
 mod latency_report;
-mod engine_times;
+mod engine_latency;
 mod first_token;
 mod pace_evidence;
 mod pace_news;
@@ -16,7 +16,7 @@
 
 pub use {
     latency_model::LatencyModel, latency_models::LatencyModels, latency_report::LatencyReport,
-    engine_times::EngineTimes, first_token::FirstToken, pace_evidence::PaceEvidence,
+    engine_latency::EngineLatency, first_token::FirstToken, pace_evidence::PaceEvidence,
     pace_news::PaceNews, pace_sum::PaceSum, pause_evidence::PauseEvidence,
     replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, usual_pace::UsualPace,
     usual_readings::UsualReadings,
--- a/src/policy/direct/placement/engines/replica_pace.rs
+++ b/src/policy/direct/placement/engines/replica_pace.rs
@@ -1,4 +1,4 @@
-use super::{EngineTimes, PaceEvidence};
+use super::{EngineLatency, PaceEvidence};
 
 /// Weight of the prior that a replica is as quick as the others of its service, in samples.
 const LASTING_PRIOR: f32 = 4.0;
@@ -50,9 +50,9 @@
     /// The times of the service's engines, scaled by the replica's current pace.
     pub fn of(
         &self,
-        times: EngineTimes,
-    ) -> EngineTimes {
-        EngineTimes {
+        times: EngineLatency,
+    ) -> EngineLatency {
+        EngineLatency {
             fixed_ms: times.fixed_ms * self.now,
             token_ms: times.token_ms * self.now,
             residual_ms: times.residual_ms * self.now,
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::placement::{
-        LatencyModel, LatencyModels, LatencyReport, EngineTimes, FirstToken,
+        LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken,
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
@@ -147,7 +147,7 @@
     let mut fresh = LatencyModels::default();
     let told = LatencyReport {
         service: 1,
-        times: EngineTimes {
+        times: EngineLatency {
             fixed_ms: 60.0,
             token_ms: 0.01,
             residual_ms: 12.0,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -7,7 +7,7 @@
         peers::{EvidenceTold, EvidenceTurn, PeerMessage},
         policy::{
             placement::{
-                Choice, LatencyReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
+                Choice, LatencyReport, EngineLatency, PaceEvidence, PaceSum, PauseEvidence,
                 PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
                 ReplicaEvidence, ReplicaPace, SentPrompt, WorkNumber,
             },
@@ -35,7 +35,7 @@
 };
 
 /// Engines of the usual pace.
-const USUAL: EngineTimes = EngineTimes {
+const USUAL: EngineLatency = EngineLatency {
     fixed_ms: 40.0,
     token_ms: 0.03,
     residual_ms: 20.0,
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -13,7 +13,7 @@
             CatalogNews, Figures, NamedRouter, PeerMessage, RouterReport, SuspectsTold, ZoneSum,
         },
         policy::{
-            placement::{PartPlacement, LatencyReport, EngineTimes, Load, ReplicaReport},
+            placement::{PartPlacement, LatencyReport, EngineLatency, Load, ReplicaReport},
             shares::AccountUsage,
             suspects::{EndNote, RequestDigest, SuspectNote},
         },
@@ -60,7 +60,7 @@
         }],
         engines: vec![LatencyReport {
             service: 4,
-            times: EngineTimes {
+            times: EngineLatency {
                 fixed_ms: 40.0,
                 token_ms: 0.03,
                 residual_ms: 12.0,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,7 +4,7 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::placement::{
-            Choice, LatencyReport, EngineTimes, FleetSize, CachedPart, Load, PeerLoads,
+            Choice, LatencyReport, EngineLatency, FleetSize, CachedPart, Load, PeerLoads,
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
             ReplicaBoard, ReplicaReport, SentPrompt,
         },
@@ -43,7 +43,7 @@
 /// What a peer has learnt of the engines: 33 tokens a millisecond.
 const KNOWN: LatencyReport = LatencyReport {
     service: 0,
-    times: EngineTimes {
+    times: EngineLatency {
         fixed_ms: 40.0,
         token_ms: 0.03,
         residual_ms: 40.0,
@@ -275,7 +275,7 @@
     let mut board = fresh_board(&["a"]);
     board.hear_engines(&[LatencyReport {
         service: short_name("model"),
-        times: EngineTimes {
+        times: EngineLatency {
             residual_ms: 700.0,
             ..KNOWN.times
         },
