--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/board/board_paces.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            EngineLatency, ExpectedWork, FirstToken, PaceEvidence, PaceNews, ReplicaPace,
+            EngineLatency, ExpectedWork, FirstToken, PaceEvidence, PaceChange, ReplicaPace,
             ReplicaView, UsualPace, Work,
         },
     },
@@ -61,7 +61,7 @@
         &mut self,
         now: Moment,
         max: usize,
-    ) -> Vec<PaceNews> {
+    ) -> Vec<PaceChange> {
         self.refresh_beliefs(now);
         let baselines = &self.usual_paces;
         let views = self.replicas.values_mut();
@@ -69,7 +69,7 @@
             let factor = view.pace.lasting / view.logged_pace;
             factor.max(1.0 / factor) >= REPORTED_CHANGE
         });
-        let changes = changed.take(max).map(|view| PaceNews {
+        let changes = changed.take(max).map(|view| PaceChange {
             replica: view.entry.id.clone(),
             before: std::mem::replace(&mut view.logged_pace, view.pace.lasting),
             pace: view.pace,
--- a/src/policy/direct/placement/engines/mod.rs
+++ b/src/policy/direct/placement/engines/mod.rs
@@ -6,7 +6,7 @@
 mod engine_latency;
 mod first_token;
 mod pace_evidence;
-mod pace_news;
+mod pace_change;
 mod pace_sum;
 mod pause_evidence;
 mod replica_evidence;
@@ -17,7 +17,7 @@
 pub use {
     latency_model::LatencyModel, latency_models::LatencyModels, latency_report::LatencyReport,
     engine_latency::EngineLatency, first_token::FirstToken, pace_evidence::PaceEvidence,
-    pace_news::PaceNews, pace_sum::PaceSum, pause_evidence::PauseEvidence,
+    pace_change::PaceChange, pace_sum::PaceSum, pause_evidence::PauseEvidence,
     replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, usual_pace::UsualPace,
     usual_readings::UsualReadings,
 };
--- a/src/policy/direct/placement/engines/pace_news.rs
+++ b/src/policy/direct/placement/engines/pace_change.rs
@@ -2,7 +2,7 @@
 
 /// A lasting change in the pace of a replica, for the log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PaceNews {
+pub struct PaceChange {
     pub replica: Arc<str>,
     pub before: f64, // lasting pace as of the previous log line
     pub pace: ReplicaPace,
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -15,7 +15,7 @@
     board::ReplicaBoard,
     choosing::{Choice, PlacementRequest, RefusalReason},
     engines::{
-        LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken, PaceEvidence, PaceNews,
+        LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken, PaceEvidence, PaceChange,
         PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, UsualPace, UsualReadings,
     },
     kept::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
