--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -5,7 +5,7 @@
             Moment, NoticeBook,
             placement::{
                 PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, PauseAims,
-                PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, UsualReadings,
+                PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, TypicalPrompts,
                 Work, WorkNumber,
             },
             slow_start::{StartLimit, ZoneRouters},
@@ -27,7 +27,7 @@
     ids_by_start: HashMap<u32, Arc<str>>, // by the hashes of their starts
     pub(super) works: HashMap<WorkNumber, Work>,
     pub(super) engines: LatencyModels,
-    pub(super) usual: UsualReadings,
+    pub(super) usual: TypicalPrompts,
     pub(super) usual_paces: HashMap<Arc<str>, UsualPace>, // by service
     pub(super) refreshed: Moment, // the last refresh of the estimates
     pub(super) pause_aims: PauseAims,
@@ -59,7 +59,7 @@
             ids_by_start: HashMap::new(),
             works: HashMap::new(),
             engines: LatencyModels::default(),
-            usual: UsualReadings::default(),
+            usual: TypicalPrompts::default(),
             usual_paces: HashMap::new(),
             refreshed: Moment::ZERO,
             pause_aims: PauseAims::default(),
--- a/src/policy/direct/placement/choosing/spare_time.rs
+++ b/src/policy/direct/placement/choosing/spare_time.rs
@@ -2,7 +2,7 @@
     super::PlacementRequest,
     crate::policy::{
         Moment,
-        placement::{EngineLatency, UsualReadings},
+        placement::{EngineLatency, TypicalPrompts},
     },
 };
 
@@ -24,7 +24,7 @@
     pub fn new(
         now: Moment,
         request: &PlacementRequest,
-        usual: &UsualReadings,
+        usual: &TypicalPrompts,
     ) -> Self {
         Self {
             aim_ms: request.aim.as_secs_f64() * 1000.0,
--- a/src/policy/direct/placement/engines/usual_readings.rs
+++ b/src/policy/direct/placement/engines/typical_prompts.rs
@@ -12,7 +12,7 @@
 /// Mean uncached prompt tokens of requests, by service and by the latency target of their
 /// route. A replica's queue must leave each of them enough time.
 #[derive(Debug, Default)]
-pub struct UsualReadings {
+pub struct TypicalPrompts {
     services: HashMap<Arc<str>, HashMap<Duration, MeanTokens>>, // by service and target
 }
 
@@ -22,7 +22,7 @@
     last_sent: Moment,
 }
 
-impl UsualReadings {
+impl TypicalPrompts {
     /// Adds a request that was sent with this latency target and so many uncached tokens.
     pub fn record(
         &mut self,
