--- a/src/policy/direct/placement/board/board_beliefs.rs
+++ b/src/policy/direct/placement/board/board_beliefs.rs
@@ -5,7 +5,7 @@
     super::{ReplicaBoard, board_paces::zone_evidence},
     crate::policy::{
         Moment,
-        placement::{PaceEvidence, PauseSight, ReplicaPace, UsualPace},
+        placement::{PaceEvidence, PauseSight, ReplicaPace, BaselinePace},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
@@ -42,7 +42,7 @@
         }
         let sums = sums.into_iter();
         self.usual_paces = sums
-            .map(|(service, sum)| (service, UsualPace::new(sum)))
+            .map(|(service, sum)| (service, BaselinePace::new(sum)))
             .collect();
         for view in self.replicas.values_mut() {
             let evidence = zone_evidence(view, now, &self.usual_paces);
--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/board/board_paces.rs
@@ -6,7 +6,7 @@
         Moment,
         placement::{
             EngineLatency, ExpectedWork, FirstToken, PaceEvidence, PaceChange, ReplicaPace,
-            ReplicaView, UsualPace, Work,
+            ReplicaView, BaselinePace, Work,
         },
     },
     std::{collections::HashMap, sync::Arc},
@@ -51,7 +51,7 @@
     pub(super) fn baseline_pace(
         &self,
         service: &str,
-    ) -> UsualPace {
+    ) -> BaselinePace {
         self.usual_paces.get(service).copied().unwrap_or_default()
     }
 
@@ -126,7 +126,7 @@
 pub(super) fn zone_evidence(
     view: &ReplicaView,
     now: Moment,
-    baselines: &HashMap<Arc<str>, UsualPace>,
+    baselines: &HashMap<Arc<str>, BaselinePace>,
 ) -> PaceEvidence {
     let baseline = baselines.get(&view.entry.service).copied();
     view.seen.pace.all(now, baseline.unwrap_or_default())
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -5,7 +5,7 @@
             Moment, NoticeBook,
             placement::{
                 PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, PauseAims,
-                PlacementSettings, ReplicaView, RunLengths, SharedParts, UsualPace, TypicalPrompts,
+                PlacementSettings, ReplicaView, RunLengths, SharedParts, BaselinePace, TypicalPrompts,
                 Work, WorkNumber,
             },
             slow_start::{StartLimit, ZoneRouters},
@@ -28,7 +28,7 @@
     pub(super) works: HashMap<WorkNumber, Work>,
     pub(super) engines: LatencyModels,
     pub(super) usual: TypicalPrompts,
-    pub(super) usual_paces: HashMap<Arc<str>, UsualPace>, // by service
+    pub(super) usual_paces: HashMap<Arc<str>, BaselinePace>, // by service
     pub(super) refreshed: Moment, // the last refresh of the estimates
     pub(super) pause_aims: PauseAims,
     pub(super) run_lengths: RunLengths,
--- a/src/policy/direct/placement/engines/usual_pace.rs
+++ b/src/policy/direct/placement/engines/baseline_pace.rs
@@ -7,12 +7,12 @@
 /// time taken to time expected. Replicas are judged relative to it, so that a router that
 /// reads answers late, a burst, or an inexact model is not held against a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct UsualPace {
+pub struct BaselinePace {
     pub lasting: f32,
     pub recent: f32,
 }
 
-impl UsualPace {
+impl BaselinePace {
     /// The mean of the summed evidence that a router has collected itself of a service.
     pub fn new(evidence: PaceEvidence) -> Self {
         let lasting = match evidence.lasting.weight > 0.0 {
--- a/src/policy/direct/placement/engines/mod.rs
+++ b/src/policy/direct/placement/engines/mod.rs
@@ -11,13 +11,13 @@
 mod pause_evidence;
 mod replica_evidence;
 mod replica_pace;
-mod usual_pace;
+mod baseline_pace;
 mod typical_prompts;
 
 pub use {
     latency_model::LatencyModel, latency_models::LatencyModels, latency_report::LatencyReport,
     engine_latency::EngineLatency, first_token::FirstToken, pace_evidence::PaceEvidence,
     pace_change::PaceChange, pace_sum::PaceSum, pause_evidence::PauseEvidence,
-    replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, usual_pace::UsualPace,
+    replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, baseline_pace::BaselinePace,
     typical_prompts::TypicalPrompts,
 };
--- a/src/policy/direct/placement/engines/pace_evidence.rs
+++ b/src/policy/direct/placement/engines/pace_evidence.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PaceSum, UsualPace},
+    super::{PaceSum, BaselinePace},
     serde::{Deserialize, Serialize},
     std::{
         ops::{AddAssign, SubAssign},
@@ -66,7 +66,7 @@
     /// The same relative to the mean pace that a router observes of the service.
     pub fn beside(
         self,
-        usual: UsualPace,
+        usual: BaselinePace,
     ) -> Self {
         Self {
             lasting: self.lasting.beside(usual.lasting),
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -16,7 +16,7 @@
     choosing::{Choice, PlacementRequest, RefusalReason},
     engines::{
         LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken, PaceEvidence, PaceChange,
-        PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, UsualPace, TypicalPrompts,
+        PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, BaselinePace, TypicalPrompts,
     },
     kept::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
     loads::{ExpectedWork, FleetSize, Load, PeerLoads, ReplicaReport, Work, WorkNumber},
--- a/src/policy/direct/placement/replicas/seen_pace.rs
+++ b/src/policy/direct/placement/replicas/seen_pace.rs
@@ -1,7 +1,7 @@
 use {
     crate::policy::{
         Moment,
-        placement::{PaceEvidence, UsualPace},
+        placement::{PaceEvidence, BaselinePace},
     },
     std::{collections::HashMap, time::Duration},
 };
@@ -96,7 +96,7 @@
     pub fn all(
         &self,
         now: Moment,
-        baseline: UsualPace,
+        baseline: BaselinePace,
     ) -> PaceEvidence {
         let mut sum = self.own(now).beside(baseline);
         sum += self
