--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -40,7 +40,7 @@
             placed: view.placed,
             rests: view.health.is_ejected(now),
         });
-        views.filter(ReplicaReport::says_something).collect()
+        views.filter(ReplicaReport::has_content).collect()
     }
 
     /// Load reports of all routers of this zone together, for other zones.
@@ -55,7 +55,7 @@
             placed: view.placed_by_zone,
             rests: view.health.is_ejected(now) || view.is_avoided_in_zone(now, age),
         });
-        views.filter(ReplicaReport::says_something).collect()
+        views.filter(ReplicaReport::has_content).collect()
     }
 
     /// Removes and returns the prompt parts that this router sent to replicas.
@@ -102,7 +102,7 @@
                 ..own
             }
         });
-        evidence.filter(ReplicaEvidence::says_something).collect()
+        evidence.filter(ReplicaEvidence::has_content).collect()
     }
 
     /// Applies another router's evidence on the performance of replicas. Impossible figures are
--- a/src/policy/direct/placement/engines/replica_evidence.rs
+++ b/src/policy/direct/placement/engines/replica_evidence.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether the evidence has enough weight to be sent.
-    pub fn says_something(&self) -> bool {
+    pub fn has_content(&self) -> bool {
         self.pace.lasting.weight > NEGLIGIBLE || self.pauses.watched_s > NEGLIGIBLE
     }
 }
--- a/src/policy/direct/placement/loads/replica_report.rs
+++ b/src/policy/direct/placement/loads/replica_report.rs
@@ -14,7 +14,7 @@
 
 impl ReplicaReport {
     /// Whether the report differs from that of an unused, healthy replica.
-    pub fn says_something(&self) -> bool {
+    pub fn has_content(&self) -> bool {
         self.rests || self.placed > 0 || self.load != Load::default()
     }
 }
