--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/board/board_paces.rs
@@ -6,7 +6,7 @@
         Moment,
         placement::{
             EngineLatency, ExpectedWork, FirstToken, PaceEvidence, PaceChange, ReplicaPace,
-            ReplicaView, BaselinePace, Work,
+            ReplicaView, BaselinePace, InFlightRequest,
         },
     },
     std::{collections::HashMap, sync::Arc},
@@ -28,7 +28,7 @@
     pub(super) fn record_pace(
         &mut self,
         now: Moment,
-        work: &Work,
+        work: &InFlightRequest,
         expected: ExpectedWork,
     ) -> Option<EngineLatency> {
         let took = now.saturating_sub(work.sent);
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            PartPlacement, EngineLatency, ExpectedWork, Load, PaceEvidence, SentPrompt, Work, WorkNumber,
+            PartPlacement, EngineLatency, ExpectedWork, Load, PaceEvidence, SentPrompt, InFlightRequest, WorkNumber,
         },
     },
     std::sync::Arc,
@@ -69,7 +69,7 @@
         if is_slow {
             view.start_pace.sent(now);
         }
-        let work = Work {
+        let work = InFlightRequest {
             is_counted: is_slow,
             replica: replica.clone(),
             start: view.start,
@@ -108,7 +108,7 @@
     pub fn finish(
         &mut self,
         number: WorkNumber,
-    ) -> Option<Work> {
+    ) -> Option<InFlightRequest> {
         let work = self.works.remove(&number)?;
         let view = self.replicas.get_mut(&work.replica);
         if let Some(view) = view.filter(|view| view.start == work.start) {
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -6,7 +6,7 @@
             placement::{
                 PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, BaselinePace, TypicalPrompts,
-                Work, WorkNumber,
+                InFlightRequest, WorkNumber,
             },
             slow_start::{StartLimit, ZoneRouters},
         },
@@ -25,7 +25,7 @@
     pub(super) settings: PlacementSettings,
     pub(super) replicas: BTreeMap<Arc<str>, ReplicaView>,
     ids_by_start: HashMap<u32, Arc<str>>, // by the hashes of their starts
-    pub(super) works: HashMap<WorkNumber, Work>,
+    pub(super) works: HashMap<WorkNumber, InFlightRequest>,
     pub(super) engines: LatencyModels,
     pub(super) usual: TypicalPrompts,
     pub(super) usual_paces: HashMap<Arc<str>, BaselinePace>, // by service
--- a/src/policy/direct/placement/loads/mod.rs
+++ b/src/policy/direct/placement/loads/mod.rs
@@ -5,7 +5,7 @@
 mod load;
 mod peer_loads;
 mod replica_report;
-mod work;
+mod in_flight_request;
 
 pub use {
     expected_work::ExpectedWork,
@@ -13,5 +13,5 @@
     load::Load,
     peer_loads::PeerLoads,
     replica_report::ReplicaReport,
-    work::{Work, WorkNumber},
+    in_flight_request::{Work, WorkNumber},
 };
