--- a/src/direct/held_work.rs
+++ b/src/direct/held_work.rs
@@ -1,13 +1,13 @@
 use {
     super::gateway::Gateway,
-    crate::{catalog::UpstreamEntry, policy::placement::WorkNumber},
+    crate::{catalog::UpstreamEntry, policy::placement::InFlightId},
     std::sync::Arc,
 };
 
 /// A request that counts at its replica for as long as this lives.
 pub struct HeldWork {
     gateway: Arc<Gateway>,
-    number: WorkNumber,
+    number: InFlightId,
     replica: Arc<str>,
 }
 
@@ -15,7 +15,7 @@
     /// Counts a request that the board has started.
     pub fn new(
         gateway: Arc<Gateway>,
-        number: WorkNumber,
+        number: InFlightId,
         replica: Arc<str>,
     ) -> Self {
         Self {
--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -4,7 +4,7 @@
     super::ReplicaBoard,
     crate::{
         catalog::{UpstreamEntry, UpstreamState},
-        policy::{Moment, ReplicaNotice, placement::WorkNumber},
+        policy::{Moment, ReplicaNotice, placement::InFlightId},
     },
     std::{sync::Arc, time::Duration},
 };
@@ -77,7 +77,7 @@
     pub fn may_be_sent(
         &self,
         now: Moment,
-        number: WorkNumber,
+        number: InFlightId,
         replica: &UpstreamEntry,
     ) -> bool {
         self.wants_requests(now, replica) && self.still_bears(now, number)
--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -4,7 +4,7 @@
     super::ReplicaBoard,
     crate::policy::{
         Moment,
-        placement::{PlacementRequest, ReplicaView, WorkNumber},
+        placement::{PlacementRequest, ReplicaView, InFlightId},
         slow_start::{StartLimit, StartPace, ZoneRouters},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
@@ -48,7 +48,7 @@
     pub fn still_bears(
         &self,
         now: Moment,
-        number: WorkNumber,
+        number: InFlightId,
     ) -> bool {
         let Some(work) = self.works.get(&number) else {
             return false;
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            PartPlacement, EngineLatency, ExpectedWork, Load, PaceEvidence, SentPrompt, InFlightRequest, WorkNumber,
+            PartPlacement, EngineLatency, ExpectedWork, Load, PaceEvidence, SentPrompt, InFlightRequest, InFlightId,
         },
     },
     std::sync::Arc,
@@ -18,7 +18,7 @@
         now: Moment,
         replica: &Arc<str>,
         prompt: Option<SentPrompt>,
-    ) -> Option<WorkNumber> {
+    ) -> Option<InFlightId> {
         let age = self.belief_age();
         let view = self.replicas.get_mut(replica)?;
         let load_before = view.load(now, age);
@@ -91,7 +91,7 @@
     pub fn first_token(
         &mut self,
         now: Moment,
-        number: WorkNumber,
+        number: InFlightId,
     ) -> Option<EngineLatency> {
         let work = self.works.get_mut(&number)?;
         let unread = std::mem::take(&mut work.load.reading);
@@ -107,7 +107,7 @@
     /// Removes a request that ended at its replica, in whatever way.
     pub fn finish(
         &mut self,
-        number: WorkNumber,
+        number: InFlightId,
     ) -> Option<InFlightRequest> {
         let work = self.works.remove(&number)?;
         let view = self.replicas.get_mut(&work.replica);
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -6,7 +6,7 @@
             placement::{
                 PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, PauseAims,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, BaselinePace, TypicalPrompts,
-                InFlightRequest, WorkNumber,
+                InFlightRequest, InFlightId,
             },
             slow_start::{StartLimit, ZoneRouters},
         },
@@ -25,14 +25,14 @@
     pub(super) settings: PlacementSettings,
     pub(super) replicas: BTreeMap<Arc<str>, ReplicaView>,
     ids_by_start: HashMap<u32, Arc<str>>, // by the hashes of their starts
-    pub(super) works: HashMap<WorkNumber, InFlightRequest>,
+    pub(super) works: HashMap<InFlightId, InFlightRequest>,
     pub(super) engines: LatencyModels,
     pub(super) usual: TypicalPrompts,
     pub(super) usual_paces: HashMap<Arc<str>, BaselinePace>, // by service
     pub(super) refreshed: Moment, // the last refresh of the estimates
     pub(super) pause_aims: PauseAims,
     pub(super) run_lengths: RunLengths,
-    pub(super) next_work: WorkNumber,
+    pub(super) next_work: InFlightId,
     pub(super) notes: Vec<PartPlacement>, // sent by this router, to be announced in its zone
     pub(super) zone_notes: Vec<PartPlacement>, // shared parts sent by the zone, for other zones
     pub(super) kept_news: Vec<(u32, CacheEventBatch)>, // to be forwarded, by replica start
--- a/src/policy/direct/placement/loads/in_flight_request.rs
+++ b/src/policy/direct/placement/loads/in_flight_request.rs
@@ -5,7 +5,7 @@
 };
 
 /// Identifies an in-flight request within this router.
-pub type WorkNumber = u64;
+pub type InFlightId = u64;
 
 /// A request that was sent to a replica and is not answered completely.
 #[derive(Debug, Clone)]
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -9,7 +9,7 @@
             placement::{
                 Choice, LatencyReport, EngineLatency, PaceEvidence, PaceSum, PauseEvidence,
                 PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
-                ReplicaEvidence, ReplicaPace, SentPrompt, WorkNumber,
+                ReplicaEvidence, ReplicaPace, SentPrompt, InFlightId,
             },
             shares::Standing,
             short_name,
@@ -119,7 +119,7 @@
     engines: BTreeMap<&'static str, Engine>,
     now: Duration,
     next: u64,
-    under_way: Vec<(Duration, WorkNumber)>, // when first tokens come
+    under_way: Vec<(Duration, InFlightId)>, // when first tokens come
     refused: u32,
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -10,7 +10,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, WorkNumber},
+            placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, InFlightId},
             shares::Standing,
             slow_start::{StartBounds, StartLimit, ZoneRouters},
             stable_hash,
@@ -128,7 +128,7 @@
         &mut self,
         now: Moment,
         index: usize,
-    ) -> Option<(Arc<str>, WorkNumber)> {
+    ) -> Option<(Arc<str>, InFlightId)> {
         let router = &mut self.routers[index];
         let request = PlacementRequest {
             service: SERVICE,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -13,7 +13,7 @@
             placement::{
                 Choice, PaceEvidence, PauseEvidence, PauseWatch, PlacementRequest,
                 PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaBoard,
-                ReplicaEvidence, SentPrompt, WorkNumber,
+                ReplicaEvidence, SentPrompt, InFlightId,
             },
             shares::Standing,
         },
@@ -102,7 +102,7 @@
 
 struct Stream {
     kind: usize,
-    number: WorkNumber,
+    number: InFlightId,
     sent: Moment,
     begun: Moment,
     watch: Option<PauseWatch>,
