--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/board/board_paces.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            EngineLatency, ExpectedWork, FirstToken, PaceEvidence, PaceChange, ReplicaPace,
+            EngineLatency, ExpectedTimes, FirstToken, PaceEvidence, PaceChange, ReplicaPace,
             ReplicaView, BaselinePace, InFlightRequest,
         },
     },
@@ -29,7 +29,7 @@
         &mut self,
         now: Moment,
         work: &InFlightRequest,
-        expected: ExpectedWork,
+        expected: ExpectedTimes,
     ) -> Option<EngineLatency> {
         let took = now.saturating_sub(work.sent);
         let view = self.replicas.get_mut(&work.replica)?;
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -5,7 +5,7 @@
     crate::policy::{
         Moment,
         placement::{
-            PartPlacement, EngineLatency, ExpectedWork, Load, PaceEvidence, SentPrompt, InFlightRequest, InFlightId,
+            PartPlacement, EngineLatency, ExpectedTimes, Load, PaceEvidence, SentPrompt, InFlightRequest, InFlightId,
         },
     },
     std::sync::Arc,
@@ -58,7 +58,7 @@
         let times = self.engines.times(&view.entry.service);
         let expected = prompt.map(|prompt| {
             let front_ms = prompt.front_ms / view.pace.now;
-            ExpectedWork {
+            ExpectedTimes {
                 front_ms,
                 first_ms: times.fixed_ms + times.reading_ms(prompt.reading) + front_ms,
             }
--- a/src/policy/direct/placement/loads/in_flight_request.rs
+++ b/src/policy/direct/placement/loads/in_flight_request.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ExpectedWork, Load},
+    super::{ExpectedTimes, Load},
     crate::policy::Moment,
     std::{sync::Arc, time::Duration},
 };
@@ -16,6 +16,6 @@
     pub is_counted: bool, // against the slow-start limit of the replica
     pub load: Load,       // its current part of the router's load there
     pub reading: u32,     // uncached prompt tokens as of its sending
-    pub expected: Option<ExpectedWork>, // of a prompt, until its first token arrives
+    pub expected: Option<ExpectedTimes>, // of a prompt, until its first token arrives
     pub overdue: Option<(Moment, Duration)>, // last check that found it late, and its wait then
 }
--- a/src/policy/direct/placement/loads/mod.rs
+++ b/src/policy/direct/placement/loads/mod.rs
@@ -1,6 +1,6 @@
 //! In-flight load of routers at replicas.
 
-mod expected_work;
+mod expected_times;
 mod fleet_size;
 mod load;
 mod peer_loads;
@@ -8,7 +8,7 @@
 mod in_flight_request;
 
 pub use {
-    expected_work::ExpectedWork,
+    expected_times::ExpectedTimes,
     fleet_size::FleetSize,
     load::Load,
     peer_loads::PeerLoads,
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -19,7 +19,7 @@
         PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, BaselinePace, TypicalPrompts,
     },
     kept::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
-    loads::{ExpectedWork, FleetSize, Load, PeerLoads, ReplicaReport, Work, InFlightId},
+    loads::{ExpectedTimes, FleetSize, Load, PeerLoads, ReplicaReport, Work, InFlightId},
     pauses::{PauseAims, PauseRecord, PauseRisk, PauseSight, PauseWatch, RunLengths, broken_share},
     placement_settings::PlacementSettings,
     prompts::{PartPlacement, CachedPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
