--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -4,7 +4,7 @@
         policy::{
             Moment, NoticeBook,
             placement::{
-                PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, PauseAims,
+                PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, TargetPauses,
                 PlacementSettings, ReplicaView, RunLengths, SharedParts, BaselinePace, TypicalPrompts,
                 InFlightRequest, InFlightId,
             },
@@ -30,7 +30,7 @@
     pub(super) usual: TypicalPrompts,
     pub(super) usual_paces: HashMap<Arc<str>, BaselinePace>, // by service
     pub(super) refreshed: Moment, // the last refresh of the estimates
-    pub(super) pause_aims: PauseAims,
+    pub(super) pause_aims: TargetPauses,
     pub(super) run_lengths: RunLengths,
     pub(super) next_work: InFlightId,
     pub(super) notes: Vec<PartPlacement>, // sent by this router, to be announced in its zone
@@ -62,7 +62,7 @@
             usual: TypicalPrompts::default(),
             usual_paces: HashMap::new(),
             refreshed: Moment::ZERO,
-            pause_aims: PauseAims::default(),
+            pause_aims: TargetPauses::default(),
             run_lengths: RunLengths::default(),
             next_work: 1,
             notes: Vec::new(),
--- a/src/policy/direct/placement/pauses/mod.rs
+++ b/src/policy/direct/placement/pauses/mod.rs
@@ -2,7 +2,7 @@
 //! route, and how the placement of a request affects them.
 
 mod broken_share;
-mod pause_aims;
+mod target_pauses;
 mod pause_record;
 mod pause_risk;
 mod pause_sight;
@@ -10,7 +10,7 @@
 mod run_lengths;
 
 pub use {
-    broken_share::broken_share, pause_aims::PauseAims, pause_record::PauseRecord,
+    broken_share::broken_share, target_pauses::TargetPauses, pause_record::PauseRecord,
     pause_risk::PauseRisk, pause_sight::PauseSight, pause_watch::PauseWatch,
     run_lengths::RunLengths,
 };
--- a/src/policy/direct/placement/pauses/pause_aims.rs
+++ b/src/policy/direct/placement/pauses/target_pauses.rs
@@ -8,11 +8,11 @@
 
 /// Pause targets of the streams that were recently sent to each service.
 #[derive(Debug, Default)]
-pub struct PauseAims {
+pub struct TargetPauses {
     services: HashMap<Arc<str>, HashMap<Duration, Moment>>, // last sending by service and target
 }
 
-impl PauseAims {
+impl TargetPauses {
     /// Records that a stream with this pause target was sent.
     pub fn record(
         &mut self,
