--- a/src/policy/direct/placement/board/board_beliefs.rs
+++ b/src/policy/direct/placement/board/board_beliefs.rs
@@ -5,7 +5,7 @@
     super::{ReplicaBoard, board_paces::zone_evidence},
     crate::policy::{
         Moment,
-        placement::{PaceEvidence, PauseSight, ReplicaPace, BaselinePace},
+        placement::{PaceEvidence, PauseEstimate, ReplicaPace, BaselinePace},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
@@ -47,7 +47,7 @@
         for view in self.replicas.values_mut() {
             let evidence = zone_evidence(view, now, &self.usual_paces);
             view.pace = ReplicaPace::new(evidence);
-            view.pause_sight = PauseSight::new(now, view.seen.pauses(now), &view.pauses);
+            view.pause_sight = PauseEstimate::new(now, view.seen.pauses(now), &view.pauses);
         }
     }
 }
--- a/src/policy/direct/placement/board/board_pauses.rs
+++ b/src/policy/direct/placement/board/board_pauses.rs
@@ -8,7 +8,7 @@
         policy::{
             Moment,
             placement::{
-                PauseEvidence, PauseRisk, PauseSight, PlacementRequest, PromptShape, ReplicaView,
+                PauseEvidence, PauseRisk, PauseEstimate, PlacementRequest, PromptShape, ReplicaView,
                 broken_share, choosing::Candidate,
             },
         },
@@ -39,7 +39,7 @@
                 .record_late(now, expected, evidence.broken.into());
         }
         let all = view.seen.pauses(now);
-        view.pause_sight = PauseSight::new(now, all, &view.pauses);
+        view.pause_sight = PauseEstimate::new(now, all, &view.pauses);
         view.pauses.rate_change(now, all)
     }
 
--- a/src/policy/direct/placement/pauses/mod.rs
+++ b/src/policy/direct/placement/pauses/mod.rs
@@ -5,12 +5,12 @@
 mod target_pauses;
 mod pause_record;
 mod pause_risk;
-mod pause_sight;
+mod pause_estimate;
 mod pause_watch;
 mod run_lengths;
 
 pub use {
     broken_share::broken_share, target_pauses::TargetPauses, pause_record::PauseRecord,
-    pause_risk::PauseRisk, pause_sight::PauseSight, pause_watch::PauseWatch,
+    pause_risk::PauseRisk, pause_estimate::PauseEstimate, pause_watch::PauseWatch,
     run_lengths::RunLengths,
 };
--- a/src/policy/direct/placement/pauses/pause_sight.rs
+++ b/src/policy/direct/placement/pauses/pause_estimate.rs
@@ -6,7 +6,7 @@
 /// Snapshot of the pauses at one replica, from which [`PauseRisk`](super::PauseRisk) estimates
 /// costs. A stream is late if one of its pauses exceeds the target.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PauseSight {
+pub struct PauseEstimate {
     pub watched_s: f64, // seconds of streams, observed by all routers of the zone
     pub broken: f64,    // late streams in that time
     pub expected: f64,  // late streams expected from the queue, by this router alone
@@ -14,7 +14,7 @@
     pub run_ratio: f64, // mean stream duration relative to the service's average
 }
 
-impl PauseSight {
+impl PauseEstimate {
     /// Takes a snapshot of the zone's evidence and this router's own record.
     pub fn new(
         now: Moment,
--- a/src/policy/direct/placement/pauses/pause_risk.rs
+++ b/src/policy/direct/placement/pauses/pause_risk.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PauseSight, broken_share},
+    super::{PauseEstimate, broken_share},
     std::time::Duration,
 };
 
@@ -38,9 +38,9 @@
         pause_target: Duration,
         run_s: f64,
         mean_run_s: f64,
-        estimates: impl Iterator<Item = PauseSight>,
+        estimates: impl Iterator<Item = PauseEstimate>,
     ) -> Option<Self> {
-        let mut all = PauseSight::default();
+        let mut all = PauseEstimate::default();
         for estimate in estimates {
             all.watched_s += estimate.watched_s;
             all.broken += estimate.broken;
@@ -62,7 +62,7 @@
     /// Expected cost of the request's own late events at a replica, in milliseconds.
     pub fn own_ms(
         &self,
-        estimate: PauseSight,
+        estimate: PauseEstimate,
     ) -> f64 {
         let watched_s = estimate.watched_s + PRIOR_WATCHED_S;
         let rate = (estimate.broken + self.rate * PRIOR_WATCHED_S) / watched_s;
@@ -74,7 +74,7 @@
     /// request's prefill of `own_ms`, after `front_ms` of queued prefill.
     pub fn others_late(
         &self,
-        estimate: PauseSight,
+        estimate: PauseEstimate,
         running: u32,
         front_ms: f64,
         own_ms: f64,
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -5,7 +5,7 @@
         policy::{
             Moment, Teller, TellerScope,
             placement::{
-                Load, PauseRecord, PauseSight, PeerLoads, PrefixCache, ReplicaPace, ReplicaReport,
+                Load, PauseRecord, PauseEstimate, PeerLoads, PrefixCache, ReplicaPace, ReplicaReport,
             },
             slow_start::StartPace,
             stable_hash,
@@ -31,7 +31,7 @@
     pub pace: ReplicaPace,       // as of the last refresh of the estimates
     pub logged_pace: f64,        // lasting pace as of the last log line
     pub pauses: PauseRecord,     // observed by this router
-    pub pause_sight: PauseSight, // as of the last refresh of the estimates
+    pub pause_sight: PauseEstimate, // as of the last refresh of the estimates
     pub start_pace: StartPace,   // slow-start limit on requests of this router
     routers: PeerLoads,          // of the other routers of the zone
     zones: PeerLoads,            // of the other zones, one report for each
@@ -55,7 +55,7 @@
             pace: ReplicaPace::default(),
             logged_pace: 1.0,
             pauses: PauseRecord::default(),
-            pause_sight: PauseSight::default(),
+            pause_sight: PauseEstimate::default(),
             start_pace: StartPace::default(),
             routers: PeerLoads::default(),
             zones: PeerLoads::default(),
