--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -5,7 +5,7 @@
             Moment, NoticeBook,
             placement::{
                 PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, TargetPauses,
-                PlacementSettings, ReplicaView, RunLengths, SharedParts, BaselinePace, TypicalPrompts,
+                PlacementSettings, ReplicaView, StreamDurations, SharedParts, BaselinePace, TypicalPrompts,
                 InFlightRequest, InFlightId,
             },
             slow_start::{StartLimit, ZoneRouters},
@@ -31,7 +31,7 @@
     pub(super) usual_paces: HashMap<Arc<str>, BaselinePace>, // by service
     pub(super) refreshed: Moment, // the last refresh of the estimates
     pub(super) pause_aims: TargetPauses,
-    pub(super) run_lengths: RunLengths,
+    pub(super) run_lengths: StreamDurations,
     pub(super) next_work: InFlightId,
     pub(super) notes: Vec<PartPlacement>, // sent by this router, to be announced in its zone
     pub(super) zone_notes: Vec<PartPlacement>, // shared parts sent by the zone, for other zones
@@ -63,7 +63,7 @@
             usual_paces: HashMap::new(),
             refreshed: Moment::ZERO,
             pause_aims: TargetPauses::default(),
-            run_lengths: RunLengths::default(),
+            run_lengths: StreamDurations::default(),
             next_work: 1,
             notes: Vec::new(),
             zone_notes: Vec::new(),
--- a/src/policy/direct/placement/pauses/mod.rs
+++ b/src/policy/direct/placement/pauses/mod.rs
@@ -7,10 +7,10 @@
 mod pause_risk;
 mod pause_estimate;
 mod pause_watch;
-mod run_lengths;
+mod stream_durations;
 
 pub use {
     broken_share::broken_share, target_pauses::TargetPauses, pause_record::PauseRecord,
     pause_risk::PauseRisk, pause_estimate::PauseEstimate, pause_watch::PauseWatch,
-    run_lengths::RunLengths,
+    stream_durations::StreamDurations,
 };
--- a/src/policy/direct/placement/pauses/run_lengths.rs
+++ b/src/policy/direct/placement/pauses/stream_durations.rs
@@ -6,7 +6,7 @@
 /// Mean duration of the streams of each service, in all and per token of their output limit,
 /// which most streams do not reach.
 #[derive(Debug, Default)]
-pub struct RunLengths {
+pub struct StreamDurations {
     services: HashMap<Arc<str>, Sums>,
 }
 
@@ -18,7 +18,7 @@
     tokens: f64,
 }
 
-impl RunLengths {
+impl StreamDurations {
     /// Adds a stream with an output limit of `tokens` that ended `took` after its first event.
     pub fn record(
         &mut self,
