--- a/src/policy/direct/placement/board/board_pauses.rs
+++ b/src/policy/direct/placement/board/board_pauses.rs
@@ -9,7 +9,7 @@
             Moment,
             placement::{
                 PauseEvidence, PauseRisk, PauseEstimate, PlacementRequest, PromptShape, ReplicaView,
-                broken_share, choosing::Candidate,
+                late_fraction, choosing::Candidate,
             },
         },
     },
@@ -34,7 +34,7 @@
             let front_ms = view.pace.of(times).reading_ms(view.load(now, age).reading);
             let target_s = target.as_secs_f64();
             let pauses = (f64::from(evidence.watched_s) / target_s).min(1.0);
-            let expected = pauses * broken_share(front_ms, target_s * 1000.0);
+            let expected = pauses * late_fraction(front_ms, target_s * 1000.0);
             view.pauses
                 .record_late(now, expected, evidence.broken.into());
         }
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -20,7 +20,7 @@
     },
     kept::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
     loads::{ExpectedTimes, FleetSize, Load, PeerLoads, ReplicaReport, Work, InFlightId},
-    pauses::{TargetPauses, PauseRecord, PauseRisk, PauseEstimate, PauseWatch, StreamDurations, broken_share},
+    pauses::{TargetPauses, PauseRecord, PauseRisk, PauseEstimate, PauseWatch, StreamDurations, late_fraction},
     placement_settings::PlacementSettings,
     prompts::{PartPlacement, CachedPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
     replicas::{PlainRun, PlainTimes, ReplicaHealth, ReplicaView, SeenPace, SeenWork},
--- a/src/policy/direct/placement/pauses/broken_share.rs
+++ b/src/policy/direct/placement/pauses/late_fraction.rs
@@ -3,7 +3,7 @@
 ///
 /// A quadratic ramp rather than a step at the target, since the replica's current speed is not
 /// known exactly. It starts at 0, since short blocks in succession add up to a long pause.
-pub fn broken_share(
+pub fn late_fraction(
     block_ms: f64,
     target_ms: f64,
 ) -> f64 {
--- a/src/policy/direct/placement/pauses/mod.rs
+++ b/src/policy/direct/placement/pauses/mod.rs
@@ -1,7 +1,7 @@
 //! Pauses between the events of a stream: how often they exceed the target of the stream's
 //! route, and how the placement of a request affects them.
 
-mod broken_share;
+mod late_fraction;
 mod target_pauses;
 mod pause_record;
 mod pause_risk;
@@ -10,7 +10,7 @@
 mod stream_durations;
 
 pub use {
-    broken_share::broken_share, target_pauses::TargetPauses, pause_record::PauseRecord,
+    late_fraction::late_fraction, target_pauses::TargetPauses, pause_record::PauseRecord,
     pause_risk::PauseRisk, pause_estimate::PauseEstimate, pause_watch::PauseWatch,
     stream_durations::StreamDurations,
 };
--- a/src/policy/direct/placement/pauses/pause_risk.rs
+++ b/src/policy/direct/placement/pauses/pause_risk.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PauseEstimate, broken_share},
+    super::{PauseEstimate, late_fraction},
     std::time::Duration,
 };
 
@@ -79,7 +79,7 @@
         front_ms: f64,
         own_ms: f64,
     ) -> f64 {
-        let share = |block_ms| broken_share(block_ms, self.target_ms);
+        let share = |block_ms| late_fraction(block_ms, self.target_ms);
         let added = share(front_ms + own_ms) - share(front_ms);
         let expected = estimate.expected + PRIOR_EXPECTED;
         let susceptible = (estimate.came + self.susceptible * PRIOR_EXPECTED) / expected;
