--- a/src/policy/direct/placement/replicas/mod.rs
+++ b/src/policy/direct/placement/replicas/mod.rs
@@ -3,13 +3,13 @@
 mod plain_times;
 mod replica_health;
 mod replica_view;
-mod seen_pace;
+mod pace_observations;
 mod seen_work;
 
 pub use {
     plain_times::{PlainRun, PlainTimes},
     replica_health::ReplicaHealth,
     replica_view::ReplicaView,
-    seen_pace::SeenPace,
+    pace_observations::PaceObservations,
     seen_work::SeenWork,
 };
--- a/src/policy/direct/placement/replicas/seen_pace.rs
+++ b/src/policy/direct/placement/replicas/pace_observations.rs
@@ -12,7 +12,7 @@
 /// Pace of one start of a replica as observed by the routers of the zone. The sum of the peers'
 /// evidence is maintained incrementally, since it is read often and there may be many peers.
 #[derive(Debug, Default)]
-pub struct SeenPace {
+pub struct PaceObservations {
     own: PaceEvidence, // decayed until `own_updated`
     own_updated: Moment,
     overdue: PaceEvidence, // of first tokens that are overdue, as of the last check
@@ -22,7 +22,7 @@
     oldest: Moment, // no evidence in `peers` was received before
 }
 
-impl SeenPace {
+impl PaceObservations {
     /// Adds evidence of this router.
     pub fn record(
         &mut self,
--- a/src/policy/direct/placement/replicas/seen_work.rs
+++ b/src/policy/direct/placement/replicas/seen_work.rs
@@ -1,5 +1,5 @@
 use {
-    super::SeenPace,
+    super::PaceObservations,
     crate::policy::{
         Moment,
         placement::{PauseEvidence, ReplicaEvidence},
@@ -16,7 +16,7 @@
 /// Performance of one start of a replica as observed by the routers of the zone.
 #[derive(Debug, Default)]
 pub struct SeenWork {
-    pub pace: SeenPace,
+    pub pace: PaceObservations,
     pauses: PauseEvidence, // of this router, decayed until `pauses_updated`
     pauses_updated: Moment,
     peers: HashMap<u32, (Moment, PauseEvidence)>, // time received and evidence, by router
