--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -23,5 +23,5 @@
     pauses::{TargetPauses, PauseRecord, PauseRisk, PauseEstimate, PauseWatch, StreamDurations, late_fraction},
     placement_settings::PlacementSettings,
     prompts::{PartPlacement, CachedPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
-    replicas::{PlainRun, PlainTimes, ReplicaHealth, ReplicaView, PaceObservations, SeenWork},
+    replicas::{PlainRun, PlainTimes, ReplicaHealth, ReplicaView, PaceObservations, ReplicaObservations},
 };
--- a/src/policy/direct/placement/replicas/mod.rs
+++ b/src/policy/direct/placement/replicas/mod.rs
@@ -4,12 +4,12 @@
 mod replica_health;
 mod replica_view;
 mod pace_observations;
-mod seen_work;
+mod replica_observations;
 
 pub use {
     plain_times::{PlainRun, PlainTimes},
     replica_health::ReplicaHealth,
     replica_view::ReplicaView,
     pace_observations::PaceObservations,
-    seen_work::SeenWork,
+    replica_observations::ReplicaObservations,
 };
--- a/src/policy/direct/placement/replicas/seen_work.rs
+++ b/src/policy/direct/placement/replicas/replica_observations.rs
@@ -15,14 +15,14 @@
 
 /// Performance of one start of a replica as observed by the routers of the zone.
 #[derive(Debug, Default)]
-pub struct SeenWork {
+pub struct ReplicaObservations {
     pub pace: PaceObservations,
     pauses: PauseEvidence, // of this router, decayed until `pauses_updated`
     pauses_updated: Moment,
     peers: HashMap<u32, (Moment, PauseEvidence)>, // time received and evidence, by router
 }
 
-impl SeenWork {
+impl ReplicaObservations {
     /// Adds pauses that this router observed.
     pub fn record_pauses(
         &mut self,
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PlainTimes, ReplicaHealth, SeenWork},
+    super::{PlainTimes, ReplicaHealth, ReplicaObservations},
     crate::{
         catalog::UpstreamEntry,
         policy::{
@@ -27,7 +27,7 @@
     pub placed_by_zone: u64,     // tokens that all routers of the zone have sent there
     pub heard: Moment,           // of the last answer to this router
     pub plain: PlainTimes,       // of requests without a prompt
-    pub seen: SeenWork,          // observed pace and pauses
+    pub seen: ReplicaObservations,          // observed pace and pauses
     pub pace: ReplicaPace,       // as of the last refresh of the estimates
     pub logged_pace: f64,        // lasting pace as of the last log line
     pub pauses: PauseRecord,     // observed by this router
@@ -51,7 +51,7 @@
             placed_by_zone: 0,
             heard: Moment::ZERO,
             plain: PlainTimes::default(),
-            seen: SeenWork::default(),
+            seen: ReplicaObservations::default(),
             pace: ReplicaPace::default(),
             logged_pace: 1.0,
             pauses: PauseRecord::default(),
