--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -92,7 +92,7 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         let is_own_zone = report.zone == gateway.peers.own().zone;
-        let believed = gateway.board().belief_age();
+        let believed = gateway.board().max_report_age();
         if from != report.address || !is_own_zone || !gateway.peers.hear(now, report, believed) {
             return;
         }
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -86,9 +86,9 @@
         let mut board = self.gateway.board();
         board.set_reports(pace, fleet);
         board.set_zone_routers(routers);
-        let belief_age = board.belief_age();
+        let max_report_age = board.max_report_age();
         drop(board);
-        self.gateway.shares().set_peer_age(belief_age);
+        self.gateway.shares().set_peer_age(max_report_age);
     }
 
     /// The routers of the own zone, for who sends to replicas that have just started.
--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -100,7 +100,7 @@
         usable: &[&ReplicaView],
     ) -> Choice {
         let settings = &self.settings;
-        let age = self.belief_age();
+        let age = self.max_report_age();
         let times = self.engine_times(request.service);
         let most_are_idle = is_over(request.standing) && self.most_are_idle(now, usable);
         let admission = Admission::new(settings, request, engine, most_are_idle);
@@ -156,7 +156,7 @@
         if let Some(rank) = candidate.rank {
             cost -= PREFERENCE_BONUS_MS / (rank + 1) as f64;
         }
-        if offer.view.is_avoided(now, self.belief_age()) {
+        if offer.view.is_avoided(now, self.max_report_age()) {
             cost += FAILURE_PENALTY_MS;
         }
         if !candidate.is_home {
@@ -171,7 +171,7 @@
         now: Moment,
         usable: &[&ReplicaView],
     ) -> bool {
-        let age = self.belief_age();
+        let age = self.max_report_age();
         let idle = usable
             .iter()
             .filter(|view| view.load(now, age).reading == 0);
--- a/src/policy/direct/placement/board/board_pauses.rs
+++ b/src/policy/direct/placement/board/board_pauses.rs
@@ -27,7 +27,7 @@
     ) -> Option<f32> {
         let target = self.pause_aims.shortest(now, &replica.service);
         let times = self.engine_times(&replica.service);
-        let age = self.belief_age();
+        let age = self.max_report_age();
         let view = self.same_start(replica)?;
         view.seen.record_pauses(now, evidence);
         if let Some(target) = target {
--- a/src/policy/direct/placement/board/board_plain.rs
+++ b/src/policy/direct/placement/board/board_plain.rs
@@ -37,7 +37,7 @@
         let mut best: Option<(f64, PlainQueue, &ReplicaView)> = None;
         let mut min_late_ms = f64::MAX;
         for view in usable {
-            let in_flight = view.load(now, self.belief_age()).running;
+            let in_flight = view.load(now, self.max_report_age()).running;
             let queue = PlainQueue::new(view, in_flight, mean_ms);
             let late_ms = queue.late_ms(target_ms);
             min_late_ms = min_late_ms.min(late_ms);
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -21,7 +21,7 @@
         teller: Teller,
         reports: &[ReplicaReport],
     ) {
-        let age = self.belief_age();
+        let age = self.max_report_age();
         for report in reports {
             if let Some(view) = self.by_key(report.replica) {
                 view.hear(now, age, teller, report);
@@ -48,7 +48,7 @@
         &self,
         now: Moment,
     ) -> Vec<ReplicaReport> {
-        let age = self.belief_age();
+        let age = self.max_report_age();
         let views = self.replicas.values().map(|view| ReplicaReport {
             replica: view.start,
             load: view.zone_load(now, age),
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -19,7 +19,7 @@
         replica: &Arc<str>,
         prompt: Option<SentPrompt>,
     ) -> Option<InFlightId> {
-        let age = self.belief_age();
+        let age = self.max_report_age();
         let view = self.replicas.get_mut(replica)?;
         let load_before = view.load(now, age);
         let mut load = Load {
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -100,7 +100,7 @@
 
     /// Age beyond which a peer's load report is ignored. In large fleets, where reports are
     /// less frequent, it spans several report intervals.
-    pub fn belief_age(&self) -> Duration {
+    pub fn max_report_age(&self) -> Duration {
         self.settings
             .peer_age
             .max(self.report_interval * MAX_MISSED_REPORTS)
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -940,7 +940,7 @@
 fn reports_that_come_seldom_are_believed_for_longer() {
     let mut board = board(&["a"]);
     board.set_reports(Duration::from_millis(100), in_one_zone(20));
-    assert_eq!(board.belief_age(), Duration::from_secs(1));
+    assert_eq!(board.max_report_age(), Duration::from_secs(1));
     board.set_reports(Duration::from_millis(1500), in_one_zone(300));
-    assert!(board.belief_age() > Duration::from_secs(3));
+    assert!(board.max_report_age() > Duration::from_secs(3));
 }
