--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -187,7 +187,7 @@
             run.is_over();
             let mut board = self.gateway.board();
             board.succeeded(&run.entry);
-            board.learn_plain(&run.entry, run.plain(now));
+            board.record_plain_request(&run.entry, run.plain(now));
         }
     }
 
--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records the times of a plain request that a replica answered.
-    pub fn learn_plain(
+    pub fn record_plain_request(
         &mut self,
         replica: &UpstreamEntry,
         run: PlainRun,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -826,7 +826,7 @@
     let mut board = board(&["a"]);
     let replica = entry("a", "z", UpstreamState::Ready);
     for _ in 0..100 {
-        board.learn_plain(&replica, run(200, 200));
+        board.record_plain_request(&replica, run(200, 200));
     }
     let counts = filled_with(&mut board, &plain("z"));
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [8]);
@@ -837,14 +837,14 @@
     let mut board = board(&["a"]);
     let replica = entry("a", "z", UpstreamState::Ready);
     for _ in 0..100 {
-        board.learn_plain(&replica, run(10, 10));
+        board.record_plain_request(&replica, run(10, 10));
     }
     for _ in 0..100 {
         let late = PlainRun {
             waited: Duration::from_millis(10),
             ..run(30, 20)
         };
-        board.learn_plain(&replica, late);
+        board.record_plain_request(&replica, late);
     }
     let counts = filled_with(&mut board, &plain("z"));
     // Half of 30 ms is what one takes now, and 10 ms go to the usual error: of 30 ms that
@@ -861,7 +861,7 @@
         waited: Duration::from_millis(10),
         ..run(120, 20)
     };
-    board.learn_plain(&replica, waiting);
+    board.record_plain_request(&replica, waiting);
     // 60 ms at both: nothing is let wait for an aim of 30 ms.
     let counts = filled_with(&mut board, &plain("z"));
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [8, 8]);
