--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -114,7 +114,7 @@
         return;
     };
     let memory = engine.memory_tokens;
-    gateway.board().learn_kept(entry, parts, memory);
+    gateway.board().apply_cached_parts(entry, parts, memory);
 }
 
 async fn ask(
--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -126,7 +126,7 @@
     }
 
     /// Adds the parts that a replica lists as cached in its memory of `memory` tokens.
-    pub fn learn_kept(
+    pub fn apply_cached_parts(
         &mut self,
         replica: &UpstreamEntry,
         parts: &[CachedPart],
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -191,10 +191,10 @@
 fn its_own_word_on_what_it_keeps_holds_for_the_start_that_gave_it() {
     let mut board = board();
     let kept = [(1, 4000), (2, 1000)].map(|(part, tokens)| CachedPart { part, tokens });
-    board.learn_kept(&start("i-a", 1000), &kept, MEMORY);
+    board.apply_cached_parts(&start("i-a", 1000), &kept, MEMORY);
     assert_eq!(reading(&mut board), 0);
     board.set_entries(NOW, vec![start("i-a", 2000)]);
-    board.learn_kept(&start("i-a", 1000), &kept, MEMORY);
+    board.apply_cached_parts(&start("i-a", 1000), &kept, MEMORY);
     assert_eq!(reading(&mut board), 5000);
 }
 
