--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -193,14 +193,14 @@
 
     /// A stream came whole: how long it ran says how long others will, if one replica ran
     /// all of it.
-    pub fn learn_run(&self) {
+    pub fn record_stream(&self) {
         let run = self.run.as_ref().filter(|_| self.sent == 1);
         let begun = run.and_then(|run| Some((&run.entry, run.first_event?)));
         if let Some(((entry, begun), prompt)) = begun.zip(self.call.prompt.as_ref()) {
             let now = self.gateway.now();
             let took = now.saturating_sub(begun);
             let mut board = self.gateway.board();
-            board.learn_run(now, entry, prompt.output_tokens, took);
+            board.record_stream(now, entry, prompt.output_tokens, took);
         }
     }
 
--- a/src/policy/direct/placement/board/board_pauses.rs
+++ b/src/policy/direct/placement/board/board_pauses.rs
@@ -45,7 +45,7 @@
 
     /// Records a stream with an output limit of `tokens` that ended regularly at a replica,
     /// `took` after its first event.
-    pub fn learn_run(
+    pub fn record_stream(
         &mut self,
         now: Moment,
         replica: &UpstreamEntry,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -571,7 +571,7 @@
         };
         board.start(BEGIN, &"a".into(), Some(sent));
     }
-    board.learn_run(BEGIN, &entry("a", 1), 50, Duration::from_secs(2));
+    board.record_stream(BEGIN, &entry("a", 1), 50, Duration::from_secs(2));
     let seen = PauseEvidence {
         watched_s: 20.0,
         broken: 1.0,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -303,7 +303,7 @@
             let tokens = self.kinds[stream.kind].events * STEPS as u32;
             self.board.finish(stream.number);
             self.board
-                .learn_run(self.now, &entry, tokens, self.now - stream.begun);
+                .record_stream(self.now, &entry, tokens, self.now - stream.begun);
             self.seen[stream.kind].ended += 1;
             self.seen[stream.kind].late += u32::from(stream.late);
         }
@@ -455,7 +455,7 @@
 fn idle_board() -> (ReplicaBoard, PromptShape, usize) {
     let world = World::new(&[1.0, 1.0], &[CHAT], Some(PAUSE_AIM));
     let mut board = world.board;
-    board.learn_run(START, &entry(0, None), 170, Duration::from_secs(2));
+    board.record_stream(START, &entry(0, None), 170, Duration::from_secs(2));
     let shape = PromptShape {
         parts: vec![PromptPart { id: 7, tokens: 500 }],
         output_tokens: 170,
