--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -108,7 +108,7 @@
             let mut board = self.board();
             board.ended(now, &run.entry);
             // A planned end speaks against no request, also while the list does not know yet.
-            board.is_to_end(now, &run.entry)
+            board.is_leaving(now, &run.entry)
         };
         if was_to_end {
             return None;
--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/board/board_evidence.rs
@@ -44,7 +44,7 @@
 
     /// Whether a replica is about to stop: it is not listed as ready any more, or announced its
     /// end in an answer.
-    pub fn is_to_end(
+    pub fn is_leaving(
         &self,
         now: Moment,
         replica: &UpstreamEntry,
