--- a/src/direct/stream_watch.rs
+++ b/src/direct/stream_watch.rs
@@ -80,7 +80,7 @@
         let news = self
             .gateway
             .board()
-            .see_pauses(self.gateway.now(), entry, seen);
+            .record_pauses(self.gateway.now(), entry, seen);
         if let Some(rate) = news {
             log::info!(
                 replica = &*entry.id,
--- a/src/policy/direct/placement/board/board_pauses.rs
+++ b/src/policy/direct/placement/board/board_pauses.rs
@@ -19,7 +19,7 @@
 impl ReplicaBoard {
     /// Adds observations of streams at a replica. Returns the rate of late streams per second
     /// watched if it has changed markedly.
-    pub fn see_pauses(
+    pub fn record_pauses(
         &mut self,
         now: Moment,
         replica: &UpstreamEntry,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -576,7 +576,7 @@
         watched_s: 20.0,
         broken: 1.0,
     };
-    board.see_pauses(BEGIN, &entry("a", 1), seen);
+    board.record_pauses(BEGIN, &entry("a", 1), seen);
     let shape = prompt(1);
     let request = PlacementRequest {
         pause_aim,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -282,7 +282,7 @@
                 let open = watch.filter(|watch| watch.aim().is_some_and(|aim| waited > aim));
                 if let Some(watch) = open {
                     let seen = watch.breaks(self.now);
-                    self.board.see_pauses(self.now, &entry, seen);
+                    self.board.record_pauses(self.now, &entry, seen);
                 }
                 continue;
             }
@@ -292,7 +292,7 @@
             stream.late |= waited > PAUSE_AIM;
             let watch = stream.watch.as_mut();
             if let Some(seen) = watch.and_then(|watch| watch.event(self.now, waited)) {
-                self.board.see_pauses(self.now, &entry, seen);
+                self.board.record_pauses(self.now, &entry, seen);
             }
             if stream.left == 0 {
                 ended.push(place);
@@ -480,7 +480,7 @@
 #[test]
 fn a_replica_where_streams_paused_is_used_again_later() {
     let (mut board, shape, home) = idle_board();
-    board.see_pauses(START, &entry(home, None), pauses(20.0, 15.0));
+    board.record_pauses(START, &entry(home, None), pauses(20.0, 15.0));
     assert_ne!(chosen(&mut board, START, &shape), home);
     let later = START + Duration::from_secs(60);
     assert_eq!(chosen(&mut board, later, &shape), home);
@@ -503,7 +503,7 @@
     assert_eq!(chosen(&mut board, later, &shape), home);
 
     board.hear_evidence(later, 1, &[told]);
-    board.see_pauses(later, &entry(home, None), pauses(20.0, 15.0));
+    board.record_pauses(later, &entry(home, None), pauses(20.0, 15.0));
     let other = 1 - home;
     board.set_entries(later, vec![entry(home, Some(2)), entry(other, None)]);
     board.hear_evidence(later, 1, &[told]);
@@ -545,7 +545,7 @@
         let broken = pauses(20.0, 15.0);
         world
             .board
-            .see_pauses(world.now, &entry(index, None), broken);
+            .record_pauses(world.now, &entry(index, None), broken);
     }
     let long = PromptShape {
         parts: vec![PromptPart {
