--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -149,7 +149,7 @@
     kept: &mut Option<UpstreamConnection>,
 ) -> Result<CacheEventBatch, Fault> {
     let calls = gateway.dialect.cache;
-    let next = gateway.board().kept_follow(entry).next;
+    let next = gateway.board().cache_cursor(entry).next;
     let mut connection = match kept.take().filter(UpstreamConnection::is_usable) {
         Some(connection) => connection,
         None => {
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -68,7 +68,7 @@
     }
 
     /// Position of the next cache event of a replica to read.
-    pub fn kept_follow(
+    pub fn cache_cursor(
         &self,
         entry: &UpstreamEntry,
     ) -> CacheCursor {
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -273,8 +273,8 @@
         fellow.hear_kept(LATER, *start, news);
     }
     assert_eq!(
-        fellow.kept_follow(&replica()),
-        follower.kept_follow(&replica())
+        fellow.cache_cursor(&replica()),
+        follower.cache_cursor(&replica())
     );
     let cache = &fellow.replica("i-a").expect("listed").cache;
     assert_eq!(
@@ -314,7 +314,7 @@
         Some((4, 6, false))
     );
     assert!(fellow.is_followed(LATER + ms(1500), &replica()));
-    assert_eq!(fellow.kept_follow(&replica()).next, 6);
+    assert_eq!(fellow.cache_cursor(&replica()).next, 6);
 }
 
 #[test]
