--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -28,7 +28,7 @@
         };
         if has_new {
             let zone = &self.gateway.settings().process.zone;
-            self.gateway.board().tell_kept_again(now, zone);
+            self.gateway.board().resend_cached_parts(now, zone);
         }
         let (news, zone_news) = {
             let mut board = self.gateway.board();
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -48,7 +48,7 @@
 
     /// Queues snapshots of the cached parts of the zone's replicas that this router reads, for
     /// a router of the zone that has just started.
-    pub fn tell_kept_again(
+    pub fn resend_cached_parts(
         &mut self,
         now: Moment,
         zone: &str,
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -331,9 +331,9 @@
     follower.heard_kept(LATER, &replica(), &news(&[event(7, 10, false)]));
     follower.take_kept_news();
     fellow.hear_kept(LATER, start, &news(&[event(8, 400, true)]));
-    follower.tell_kept_again(LATER, "elsewhere");
+    follower.resend_cached_parts(LATER, "elsewhere");
     assert!(follower.take_kept_news().is_empty(), "its own zone's only");
-    follower.tell_kept_again(LATER, "z");
+    follower.resend_cached_parts(LATER, "z");
     let told = follower.take_kept_news();
     assert!(told.iter().all(|(_, news)| news.events.len() <= 256));
     for (start, news) in &told {
