--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -79,7 +79,7 @@
 
     /// Applies cache events that this router read from a replica, and queues them for other
     /// routers. Returns none if the replica is not listed or has restarted.
-    pub fn heard_kept(
+    pub fn apply_cache_events(
         &mut self,
         now: Moment,
         entry: &UpstreamEntry,
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -266,7 +266,7 @@
     }
     // What is kept at a replica without a prompt of this router counts once it is followed.
     let heard = news(&[event(1, 5, true), event(2, 1, false), event(3, 2, false)]);
-    follower.heard_kept(LATER, &replica(), &heard);
+    follower.apply_cache_events(LATER, &replica(), &heard);
     let told = follower.take_kept_news();
     assert_eq!(told.len(), 1);
     for (start, news) in &told {
@@ -290,7 +290,7 @@
 fn answers_without_a_change_are_told_once_a_second_and_leave_no_gap() {
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
     let mut tell = |at, heard: &CacheEventBatch| {
-        follower.heard_kept(LATER + at, &replica(), heard);
+        follower.apply_cache_events(LATER + at, &replica(), heard);
         let told = follower.take_kept_news();
         for (start, news) in &told {
             fellow.hear_kept(LATER + at, *start, news);
@@ -328,7 +328,7 @@
     });
     let parts: Vec<PartPlacement> = parts.collect();
     follower.hear_notes(ms(0), TellerScope::Router, &parts);
-    follower.heard_kept(LATER, &replica(), &news(&[event(7, 10, false)]));
+    follower.apply_cache_events(LATER, &replica(), &news(&[event(7, 10, false)]));
     follower.take_kept_news();
     fellow.hear_kept(LATER, start, &news(&[event(8, 400, true)]));
     follower.resend_cached_parts(LATER, "elsewhere");
