--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -77,7 +77,7 @@
         let now = gateway.now();
         let mut board = gateway.board();
         for (start, news) in &told.replicas {
-            board.hear_kept(now, *start, news);
+            board.apply_peer_cache_events(now, *start, news);
         }
         !is_own_zone && from == told.teller
     }
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -114,7 +114,7 @@
     }
 
     /// Applies cache events of a replica that another router forwarded.
-    pub fn hear_kept(
+    pub fn apply_peer_cache_events(
         &mut self,
         now: Moment,
         start: u32,
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -270,7 +270,7 @@
     let told = follower.take_kept_news();
     assert_eq!(told.len(), 1);
     for (start, news) in &told {
-        fellow.hear_kept(LATER, *start, news);
+        fellow.apply_peer_cache_events(LATER, *start, news);
     }
     assert_eq!(
         fellow.cache_cursor(&replica()),
@@ -293,7 +293,7 @@
         follower.apply_cache_events(LATER + at, &replica(), heard);
         let told = follower.take_kept_news();
         for (start, news) in &told {
-            fellow.hear_kept(LATER + at, *start, news);
+            fellow.apply_peer_cache_events(LATER + at, *start, news);
         }
         told.first()
             .map(|(_, news)| (news.from, news.next, news.has_gap))
@@ -330,14 +330,14 @@
     follower.hear_notes(ms(0), TellerScope::Router, &parts);
     follower.apply_cache_events(LATER, &replica(), &news(&[event(7, 10, false)]));
     follower.take_kept_news();
-    fellow.hear_kept(LATER, start, &news(&[event(8, 400, true)]));
+    fellow.apply_peer_cache_events(LATER, start, &news(&[event(8, 400, true)]));
     follower.resend_cached_parts(LATER, "elsewhere");
     assert!(follower.take_kept_news().is_empty(), "its own zone's only");
     follower.resend_cached_parts(LATER, "z");
     let told = follower.take_kept_news();
     assert!(told.iter().all(|(_, news)| news.events.len() <= 256));
     for (start, news) in &told {
-        fellow.hear_kept(LATER, *start, news);
+        fellow.apply_peer_cache_events(LATER, *start, news);
     }
     let cache = &fellow.replica("i-a").expect("listed").cache;
     let kept = (1..=300).filter(|part| cache.holds(*part)).count();
