--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -103,7 +103,7 @@
 
     /// Removes and returns the batches for the zone's routers, with the hashes of the
     /// replicas' starts.
-    pub fn take_kept_news(&mut self) -> Vec<(u32, CacheEventBatch)> {
+    pub fn take_cache_events(&mut self) -> Vec<(u32, CacheEventBatch)> {
         std::mem::take(&mut self.kept_news)
     }
 
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -267,7 +267,7 @@
     // What is kept at a replica without a prompt of this router counts once it is followed.
     let heard = news(&[event(1, 5, true), event(2, 1, false), event(3, 2, false)]);
     follower.apply_cache_events(LATER, &replica(), &heard);
-    let told = follower.take_kept_news();
+    let told = follower.take_cache_events();
     assert_eq!(told.len(), 1);
     for (start, news) in &told {
         fellow.apply_peer_cache_events(LATER, *start, news);
@@ -283,7 +283,7 @@
     );
     let zones = follower.take_zone_kept_news();
     assert_eq!(zones[0].1.events, [event(2, 1, false)]);
-    assert!(follower.take_kept_news().is_empty());
+    assert!(follower.take_cache_events().is_empty());
 }
 
 #[test]
@@ -291,7 +291,7 @@
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
     let mut tell = |at, heard: &CacheEventBatch| {
         follower.apply_cache_events(LATER + at, &replica(), heard);
-        let told = follower.take_kept_news();
+        let told = follower.take_cache_events();
         for (start, news) in &told {
             fellow.apply_peer_cache_events(LATER + at, *start, news);
         }
@@ -329,12 +329,12 @@
     let parts: Vec<PartPlacement> = parts.collect();
     follower.hear_notes(ms(0), TellerScope::Router, &parts);
     follower.apply_cache_events(LATER, &replica(), &news(&[event(7, 10, false)]));
-    follower.take_kept_news();
+    follower.take_cache_events();
     fellow.apply_peer_cache_events(LATER, start, &news(&[event(8, 400, true)]));
     follower.resend_cached_parts(LATER, "elsewhere");
-    assert!(follower.take_kept_news().is_empty(), "its own zone's only");
+    assert!(follower.take_cache_events().is_empty(), "its own zone's only");
     follower.resend_cached_parts(LATER, "z");
-    let told = follower.take_kept_news();
+    let told = follower.take_cache_events();
     assert!(told.iter().all(|(_, news)| news.events.len() <= 256));
     for (start, news) in &told {
         fellow.apply_peer_cache_events(LATER, *start, news);
