--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -32,7 +32,7 @@
         }
         let (news, zone_news) = {
             let mut board = self.gateway.board();
-            (board.take_cache_events(), board.take_zone_kept_news())
+            (board.take_cache_events(), board.take_zone_evictions())
         };
         self.send_kept_news(news, addresses).await;
         if !zone_news.is_empty() {
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -109,7 +109,7 @@
 
     /// Removes and returns the batches for other zones, which hold evictions of shared parts
     /// only. Parts that are cached are announced to them as they are sent to replicas.
-    pub fn take_zone_kept_news(&mut self) -> Vec<(u32, CacheEventBatch)> {
+    pub fn take_zone_evictions(&mut self) -> Vec<(u32, CacheEventBatch)> {
         std::mem::take(&mut self.zone_kept_news)
     }
 
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -281,7 +281,7 @@
         [1, 2, 5].map(|part| cache.holds(part)),
         [false, false, true]
     );
-    let zones = follower.take_zone_kept_news();
+    let zones = follower.take_zone_evictions();
     assert_eq!(zones[0].1.events, [event(2, 1, false)]);
     assert!(follower.take_cache_events().is_empty());
 }
