--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -153,7 +153,7 @@
     ) {
         let mut board = self.gateway.board();
         board.hear(now, teller, &figures.replicas);
-        board.hear_notes(now, teller.scope, &figures.notes);
+        board.apply_placements(now, teller.scope, &figures.notes);
         board.hear_engines(&figures.engines);
         drop(board);
         self.gateway.shares().hear(now, teller, &figures.accounts);
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -70,7 +70,7 @@
     }
 
     /// Applies announcements of prompt parts that other routers sent to replicas.
-    pub fn hear_notes(
+    pub fn apply_placements(
         &mut self,
         now: Moment,
         scope: TellerScope,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -170,7 +170,7 @@
             part: 10 + part,
             shared: true,
         };
-        board.hear_notes(NOW, TellerScope::Zone, &[note]);
+        board.apply_placements(NOW, TellerScope::Zone, &[note]);
     }
     board
 }
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -262,7 +262,7 @@
         shared,
     };
     for board in [&mut follower, &mut fellow] {
-        board.hear_notes(ms(0), TellerScope::Router, &[note(1, true), note(2, false)]);
+        board.apply_placements(ms(0), TellerScope::Router, &[note(1, true), note(2, false)]);
     }
     // What is kept at a replica without a prompt of this router counts once it is followed.
     let heard = news(&[event(1, 5, true), event(2, 1, false), event(3, 2, false)]);
@@ -327,7 +327,7 @@
         shared: part > 3,
     });
     let parts: Vec<PartPlacement> = parts.collect();
-    follower.hear_notes(ms(0), TellerScope::Router, &parts);
+    follower.apply_placements(ms(0), TellerScope::Router, &parts);
     follower.apply_cache_events(LATER, &replica(), &news(&[event(7, 10, false)]));
     follower.take_cache_events();
     fellow.apply_peer_cache_events(LATER, start, &news(&[event(8, 400, true)]));
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -171,7 +171,7 @@
     board.hear(NOW, PEER, &[report(&earlier)]);
     assert_eq!(load(&board).running, 0);
     assert!(!board.replica("i-a").expect("listed").is_avoided(NOW, age));
-    board.hear_notes(
+    board.apply_placements(
         NOW,
         TellerScope::Router,
         &[note(&earlier, 1), note(&earlier, 2)],
