--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -215,7 +215,7 @@
     ) -> Figures {
         let gateway = &self.gateway;
         let mut board = gateway.board();
-        let notes = board.take_notes();
+        let notes = board.take_placements();
         let replicas = board.reports(now);
         let engines = board.engine_reports();
         drop(board);
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -59,7 +59,7 @@
     }
 
     /// Removes and returns the prompt parts that this router sent to replicas.
-    pub fn take_notes(&mut self) -> Vec<PartPlacement> {
+    pub fn take_placements(&mut self) -> Vec<PartPlacement> {
         std::mem::take(&mut self.notes)
     }
 
