--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -136,7 +136,7 @@
         now: Moment,
     ) -> usize {
         let gateway = &self.gateway;
-        let notes = gateway.board().take_zone_notes();
+        let notes = gateway.board().take_zone_placements();
         let suspects = gateway.suspects().take_zone_news(now);
         let zones = gateway.peers.other_zones();
         let leaves = gateway.is_stopping() && gateway.peers.alive(now, SILENCE) > 0;
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -65,7 +65,7 @@
 
     /// Removes and returns the shared prompt parts that the routers of this zone sent to
     /// replicas, for other zones.
-    pub fn take_zone_notes(&mut self) -> Vec<PartPlacement> {
+    pub fn take_zone_placements(&mut self) -> Vec<PartPlacement> {
         std::mem::take(&mut self.zone_notes)
     }
 
