--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -154,7 +154,7 @@
         let mut board = self.gateway.board();
         board.hear(now, teller, &figures.replicas);
         board.apply_placements(now, teller.scope, &figures.notes);
-        board.hear_engines(&figures.engines);
+        board.apply_latency_reports(&figures.engines);
         drop(board);
         self.gateway.shares().hear(now, teller, &figures.accounts);
     }
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -127,7 +127,7 @@
     }
 
     /// Applies a peer's latency models of services of which this router has few samples.
-    pub fn hear_engines(
+    pub fn apply_latency_reports(
         &mut self,
         reports: &[LatencyReport],
     ) {
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -68,7 +68,7 @@
 fn board(ids: &[&str]) -> ReplicaBoard {
     let mut board = ReplicaBoard::new(PlacementSettings::default());
     board.set_entries(BEGIN, ids.iter().map(|id| entry(id, 1)).collect());
-    board.hear_engines(&[LatencyReport {
+    board.apply_latency_reports(&[LatencyReport {
         service: short_name("model"),
         times: USUAL,
         samples: 5000,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -78,7 +78,7 @@
 
 fn board(ids: &[&str]) -> ReplicaBoard {
     let mut board = fresh_board(ids);
-    board.hear_engines(&[LatencyReport {
+    board.apply_latency_reports(&[LatencyReport {
         service: short_name("model"),
         ..KNOWN
     }]);
@@ -273,7 +273,7 @@
 #[test]
 fn a_belief_that_was_far_off_does_not_keep_engines_idle() {
     let mut board = fresh_board(&["a"]);
-    board.hear_engines(&[LatencyReport {
+    board.apply_latency_reports(&[LatencyReport {
         service: short_name("model"),
         times: EngineLatency {
             residual_ms: 700.0,
