--- a/src/peers/tell_leaving.rs
+++ b/src/peers/tell_leaving.rs
@@ -23,7 +23,7 @@
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let leaving = self.gateway.board().heard_leaving();
+        let leaving = self.gateway.board().leaving_starts();
         let due: Vec<u32> = {
             let times = &mut self.told.lock().expect("told lock").leaving;
             times.retain(|start, _| leaving.contains(start));
--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -23,7 +23,7 @@
     }
 
     /// Hashes of the replica starts that announced to this router that they leave.
-    pub fn heard_leaving(&self) -> Vec<u32> {
+    pub fn leaving_starts(&self) -> Vec<u32> {
         let views = self.replicas.values();
         let leaving = views.filter(|view| self.notices.heard_leaving_here(&view.entry));
         leaving.map(|view| view.start).collect()
