--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -70,7 +70,7 @@
     let board = gateway.board();
     let now = gateway.now();
     let is_open =
-        |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.wants_requests(now, entry);
+        |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.accepts_requests(now, entry);
     // Of other zones' replicas it is told only what they gave up.
     let is_told = |entry: &UpstreamEntry| *entry.zone == **zone && board.is_followed(now, entry);
     due.retain(|entry| is_open(entry) && !is_told(entry) && asked.insert(entry.start_name()));
--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -76,7 +76,7 @@
             .filter(|view| !request.tried.contains(&view.entry.id))
             .filter(|view| self.is_allowed(request.regions, &view.entry))
             .filter(|view| !self.is_cordoned(&view.entry))
-            .filter(|view| self.wants_requests(now, &view.entry))
+            .filter(|view| self.accepts_requests(now, &view.entry))
             .filter(|view| self.slow_start_permits(now, request, view))
             .collect();
         let healthy: Vec<&ReplicaView> = eligible
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/board/board_kept.rs
@@ -31,7 +31,7 @@
             && view.entry.state == UpstreamState::Ready
             && !view.health.is_ejected(now)
             && !self.is_cordoned(&view.entry)
-            && self.wants_requests(now, &view.entry)
+            && self.accepts_requests(now, &view.entry)
             && self.zone_routers.draws(now, view.hash)
     }
 
--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -46,7 +46,7 @@
 
     /// Whether a replica accepts requests of this router, by its notices. These are more recent
     /// than the list of replicas, which does not change while the store is unavailable.
-    pub fn wants_requests(
+    pub fn accepts_requests(
         &self,
         now: Moment,
         replica: &UpstreamEntry,
@@ -80,6 +80,6 @@
         number: InFlightId,
         replica: &UpstreamEntry,
     ) -> bool {
-        self.wants_requests(now, replica) && self.still_bears(now, number)
+        self.accepts_requests(now, replica) && self.still_bears(now, number)
     }
 }
