--- a/src/direct/exchange_end.rs
+++ b/src/direct/exchange_end.rs
@@ -128,7 +128,7 @@
         match end {
             AttemptEnd::Refused { status: 503, .. } => {
                 let board = self.gateway.board();
-                let rest = board.all_rest_for(self.gateway.now(), &self.call.service);
+                let rest = board.shortest_backoff(self.gateway.now(), &self.call.service);
                 rest.unwrap_or_default().max(REFUSED_RETRY)
             }
             AttemptEnd::Refused { retry_after, .. } => retry_after.unwrap_or(REFUSED_RETRY),
--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -56,7 +56,7 @@
 
     /// Time until the first replica of a service that is not leaving accepts requests again;
     /// zero if one accepts them now, none if there is no such replica.
-    pub fn all_rest_for(
+    pub fn shortest_backoff(
         &self,
         now: Moment,
         service: &str,
--- a/src/policy/direct/placement/board/board_refusals.rs
+++ b/src/policy/direct/placement/board/board_refusals.rs
@@ -47,7 +47,7 @@
                 retry_after: NO_REGION_RETRY,
             };
         }
-        let rest = self.all_rest_for(now, request.service);
+        let rest = self.shortest_backoff(now, request.service);
         if let Some(rest) = rest.filter(|rest| !rest.is_zero()) {
             return Choice::Refuse {
                 reason: RefusalReason::Resting,
