--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/board/board_notices.rs
@@ -80,6 +80,6 @@
         number: InFlightId,
         replica: &UpstreamEntry,
     ) -> bool {
-        self.accepts_requests(now, replica) && self.still_bears(now, number)
+        self.accepts_requests(now, replica) && self.may_still_start(now, number)
     }
 }
--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/board/board_starts.rs
@@ -45,7 +45,7 @@
 
     /// Whether slow start still permits a request that was counted at its replica. It does not
     /// if the replica has restarted since, or the request was delayed for too long.
-    pub fn still_bears(
+    pub fn may_still_start(
         &self,
         now: Moment,
         number: InFlightId,
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -155,7 +155,7 @@
         index: usize,
     ) {
         if let Some((replica, number)) = self.ask(now, index) {
-            if self.routers[index].board.still_bears(now, number) {
+            if self.routers[index].board.may_still_start(now, number) {
                 self.got.entry(replica).or_default().push(now);
             }
             self.routers[index].board.finish(number);
@@ -308,7 +308,7 @@
     let late = START + Duration::from_millis(2999);
     let left = waiting
         .iter()
-        .filter(|(index, number)| fleet.routers[*index].board.still_bears(late, *number));
+        .filter(|(index, number)| fleet.routers[*index].board.may_still_start(late, *number));
     assert!(left.count() as f64 <= PER_SECOND);
 }
 
@@ -321,9 +321,9 @@
     }
     let (_, number) = fleet.ask(START, 0).expect("a replica");
     let board = &mut fleet.routers[0].board;
-    assert!(board.still_bears(START, number));
+    assert!(board.may_still_start(START, number));
     board.set_entries(START, vec![entry("i-0", "z", SLOW_FOR)]);
-    assert!(!board.still_bears(START, number));
+    assert!(!board.may_still_start(START, number));
 }
 
 #[test]
