--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -29,7 +29,7 @@
             .filter(|view| view.health.is_ejected(now))
             .count();
         metrics::gauge!(RESTING).set(resting as f64);
-        let slow = self.board().slower_than(SLOW);
+        let slow = self.board().count_slower_than(SLOW);
         metrics::gauge!(SLOW_REPLICAS).set(slow as f64);
         metrics::gauge!(REVISION).set(version.config as f64);
         let store_age = self.reading.answer_age(now);
--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/board/board_paces.rs
@@ -79,7 +79,7 @@
     }
 
     /// Number of replicas whose current pace is above `factor`.
-    pub fn slower_than(
+    pub fn count_slower_than(
         &self,
         factor: f64,
     ) -> usize {
