--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -43,7 +43,7 @@
             tried: &self.tried,
             regions: call.regions.as_ref(),
         };
-        board.refresh_beliefs(now);
+        board.refresh_estimates(now);
         let choice = board.choose(now, &request);
         self.count_room(now, &choice, standing);
         match choice {
--- a/src/policy/direct/placement/board/board_beliefs.rs
+++ b/src/policy/direct/placement/board/board_beliefs.rs
@@ -18,7 +18,7 @@
 
 impl ReplicaBoard {
     /// Recomputes the estimates of all replicas, unless the last refresh is recent.
-    pub fn refresh_beliefs(
+    pub fn refresh_estimates(
         &mut self,
         now: Moment,
     ) {
--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/board/board_paces.rs
@@ -43,7 +43,7 @@
         let changed_times = self.engines.learn(&view.entry.service, first_token);
         let evidence = zone_evidence(view, now, &self.usual_paces);
         view.pace = ReplicaPace::new(evidence);
-        self.refresh_beliefs(now);
+        self.refresh_estimates(now);
         changed_times
     }
 
@@ -62,7 +62,7 @@
         now: Moment,
         max: usize,
     ) -> Vec<PaceChange> {
-        self.refresh_beliefs(now);
+        self.refresh_estimates(now);
         let baselines = &self.usual_paces;
         let views = self.replicas.values_mut();
         let changed = views.filter(|view| {
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/board/board_reports.rs
@@ -118,7 +118,7 @@
                 view.seen.apply_peer_evidence(now, peer, *evidence);
             }
         }
-        self.refresh_beliefs(now);
+        self.refresh_estimates(now);
     }
 
     /// Latency models of this router, for its peers.
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -82,7 +82,7 @@
         let number = self.next_work;
         self.next_work += 1;
         self.works.insert(number, work);
-        self.refresh_beliefs(now);
+        self.refresh_estimates(now);
         Some(number)
     }
 
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -469,7 +469,7 @@
     now: Moment,
     shape: &PromptShape,
 ) -> usize {
-    board.refresh_beliefs(now);
+    board.refresh_estimates(now);
     match board.choose(now, &request(shape, Some(PAUSE_AIM))) {
         Choice::Send { replica, .. } => replica.parse().expect("an index"),
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
