--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -84,7 +84,7 @@
         };
         let routers = self.zone_routers(now);
         let mut board = self.gateway.board();
-        board.set_reports(pace, fleet);
+        board.set_reporting(pace, fleet);
         board.set_zone_routers(routers);
         let max_report_age = board.max_report_age();
         drop(board);
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/board/replica_board.rs
@@ -89,7 +89,7 @@
     }
 
     /// Sets the interval between the load reports of a router, and the number of routers.
-    pub fn set_reports(
+    pub fn set_reporting(
         &mut self,
         interval: Duration,
         fleet: FleetSize,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -156,7 +156,7 @@
         in_zone: scale.routers / ZONES,
         in_all: scale.routers,
     };
-    board.set_reports(Duration::from_millis(100), fleet);
+    board.set_reporting(Duration::from_millis(100), fleet);
     let loads: Vec<ReplicaReport> = ids.iter().map(|id| load(id)).collect();
     for number in 1..fleet.in_zone as u32 {
         board.hear(NOW, router(number), &loads);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -643,7 +643,7 @@
     let names: Vec<&str> = ids.iter().map(String::as_str).collect();
     let chosen_idle = |routers: usize| {
         let mut board = board(&names);
-        board.set_reports(Duration::from_millis(200), in_one_zone(routers));
+        board.set_reporting(Duration::from_millis(200), in_one_zone(routers));
         for id in &names[1..] {
             let busy = ReplicaReport {
                 replica: short_name(id),
@@ -672,7 +672,7 @@
     let ids: Vec<String> = (0..38).map(|number| format!("r{number}")).collect();
     let names: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut board = board(&names);
-    board.set_reports(Duration::from_millis(100), in_one_zone(20));
+    board.set_reporting(Duration::from_millis(100), in_one_zone(20));
     let first = prompt(1, 100);
     let home = run_whole(&mut board, &first);
     let prompts = (0..100).map(|own| prompt(1, 1000 + own));
@@ -939,8 +939,8 @@
 #[test]
 fn reports_that_come_seldom_are_believed_for_longer() {
     let mut board = board(&["a"]);
-    board.set_reports(Duration::from_millis(100), in_one_zone(20));
+    board.set_reporting(Duration::from_millis(100), in_one_zone(20));
     assert_eq!(board.max_report_age(), Duration::from_secs(1));
-    board.set_reports(Duration::from_millis(1500), in_one_zone(300));
+    board.set_reporting(Duration::from_millis(1500), in_one_zone(300));
     assert!(board.max_report_age() > Duration::from_secs(3));
 }
