--- a/src/policy/direct/placement/choosing/homes.rs
+++ b/src/policy/direct/placement/choosing/homes.rs
@@ -24,7 +24,7 @@
     prompt: &PromptShape,
     usable: &[&ReplicaView],
 ) -> Vec<usize> {
-    let key = prompt.home_part().unwrap_or(0);
+    let key = prompt.affinity_part().unwrap_or(0);
     let mut best: Vec<(u64, usize)> = Vec::with_capacity(MAX_PREFERRED + 1);
     for (index, view) in usable.iter().enumerate() {
         let weight = mix(key, view.hash);
--- a/src/policy/direct/placement/prompts/prompt.rs
+++ b/src/policy/direct/placement/prompts/prompt.rs
@@ -21,7 +21,7 @@
 
     /// The hash key for the prompt's preferred replicas: its last shared part, or its only
     /// part.
-    pub fn home_part(&self) -> Option<u64> {
+    pub fn affinity_part(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2);
         shared
             .and_then(|index| self.parts.get(index))
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -115,7 +115,7 @@
     };
     let prompt = shape("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80").expect("a prompt");
     assert_eq!((prompt.tokens(), prompt.output_tokens), (1460, 80));
-    assert_eq!(prompt.home_part(), Some(0x91bd_3f06));
+    assert_eq!(prompt.affinity_part(), Some(0x91bd_3f06));
     for (parts, counts) in [("", "1,1"), ("a:x", "1,1"), ("a:1", "1"), ("a", "1,1")] {
         assert_eq!(shape(parts, counts), None, "{parts} {counts}");
     }
