--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -150,8 +150,8 @@
         let settings = &self.settings;
         let offer = &candidate.offer;
         let mut cost = candidate.expected_ms() + candidate.pauses_ms;
-        cost += candidate.reading_ms(offer.again) * settings.reread_weight;
-        cost += candidate.reading_ms(offer.fetched) * settings.fetch_weight;
+        cost += candidate.prefill_ms(offer.again) * settings.reread_weight;
+        cost += candidate.prefill_ms(offer.fetched) * settings.fetch_weight;
         cost += self.zone_ms(request, offer.view);
         if let Some(rank) = candidate.rank {
             cost -= PREFERENCE_BONUS_MS / (rank + 1) as f64;
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/board/board_works.rs
@@ -60,7 +60,7 @@
             let front_ms = prompt.front_ms / view.pace.now;
             ExpectedTimes {
                 front_ms,
-                first_ms: times.fixed_ms + times.reading_ms(prompt.reading) + front_ms,
+                first_ms: times.fixed_ms + times.prefill_ms(prompt.reading) + front_ms,
             }
         });
         view.own += load;
--- a/src/policy/direct/placement/choosing/candidate.rs
+++ b/src/policy/direct/placement/choosing/candidate.rs
@@ -29,8 +29,8 @@
     ) -> Self {
         let times = offer.view.pace.of(usual);
         Self {
-            front_ms: times.reading_ms(front),
-            own_ms: times.reading_ms(offer.reading) + offer.fetch_ms,
+            front_ms: times.prefill_ms(front),
+            own_ms: times.prefill_ms(offer.reading) + offer.fetch_ms,
             times,
             pauses_ms: 0.0,
             others_late: 0.0,
@@ -49,10 +49,10 @@
 
     /// Prefill time of some tokens at an average engine of the service, in milliseconds.
     /// Independent of the replica's pace, since it weighs duplicate work for the service.
-    pub fn reading_ms(
+    pub fn prefill_ms(
         &self,
         tokens: u32,
     ) -> f64 {
-        self.usual.reading_ms(tokens)
+        self.usual.prefill_ms(tokens)
     }
 }
--- a/src/policy/direct/placement/engines/engine_latency.rs
+++ b/src/policy/direct/placement/engines/engine_latency.rs
@@ -10,7 +10,7 @@
 
 impl EngineLatency {
     /// Prefill time of some uncached tokens, in milliseconds.
-    pub fn reading_ms(
+    pub fn prefill_ms(
         &self,
         tokens: u32,
     ) -> f64 {
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -103,7 +103,7 @@
     ) {
         let tokens = f64::from(sample.tokens) / THOUSAND;
         let times = self.times();
-        let expected = times.fixed_ms + times.reading_ms(sample.tokens);
+        let expected = times.fixed_ms + times.prefill_ms(sample.tokens);
         let residual = sample.took.as_secs_f64() * 1000.0 - sample.front_ms - expected;
         let clipped = self.clip(residual);
         // The wider clip of the first samples is for the fitted times, not the mean residual.
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -60,9 +60,9 @@
     ) {
         let engine = Engine { fixed_ms, tokens_per_ms: speed };
         let times = learnt(engine, 200, 5.0).times();
-        let whole = times.fixed_ms + times.reading_ms(8000);
+        let whole = times.fixed_ms + times.prefill_ms(8000);
         prop_assert!(is_near(whole, fixed_ms + 8000.0 / speed), "{times:?}");
-        let small = times.fixed_ms + times.reading_ms(500);
+        let small = times.fixed_ms + times.prefill_ms(500);
         prop_assert!((small - fixed_ms - 500.0 / speed).abs() < 20.0, "{times:?}");
     }
 
@@ -77,7 +77,7 @@
             model.learn(engine(after).first_token(200 + (sample * 2953) % 9000, 0.0));
         }
         let times = model.times();
-        let whole = times.fixed_ms + times.reading_ms(8000);
+        let whole = times.fixed_ms + times.prefill_ms(8000);
         prop_assert!(is_near(whole, 50.0 + 8000.0 / after), "{times:?}");
     }
 }
@@ -90,7 +90,7 @@
             tokens_per_ms,
         };
         let times = learnt(engine, 12, 0.0).times();
-        let whole = times.fixed_ms + times.reading_ms(8000);
+        let whole = times.fixed_ms + times.prefill_ms(8000);
         assert!(is_near(whole, 50.0 + 8000.0 / tokens_per_ms), "{times:?}");
     }
 }
@@ -137,7 +137,7 @@
         model.learn(engine.first_token(1000, 0.0));
     }
     let times = model.times();
-    let whole = times.fixed_ms + times.reading_ms(1000);
+    let whole = times.fixed_ms + times.prefill_ms(1000);
     assert!(is_near(whole, 75.0), "{times:?}");
 }
 
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -251,7 +251,7 @@
         let engine = self.engines.get_mut(&*replica).expect("an engine");
         // Some take up to a third longer: the noise is skewed, as it is in life.
         let noise = 1.0 + ((self.next * 7919) % 97) as f64 / 290.0;
-        let usual = USUAL.reading_ms(reading) * engine.pace * noise;
+        let usual = USUAL.prefill_ms(reading) * engine.pace * noise;
         engine.free = engine.free.max(self.now) + secs(usual / 1000.0);
         let first = engine.free + secs(USUAL.fixed_ms * engine.pace / 1000.0);
         seen.slowest = seen.slowest.max(first - self.now);
@@ -314,8 +314,8 @@
         let times = play.board.engine_times("model");
         for (id, pace) in [("a", 0.6), ("b", 0.6), ("c", 1.2)] {
             let (believed, _) = play.pace(id);
-            let ms = (times.fixed_ms + times.reading_ms(TOKENS)) * believed;
-            let actual = (USUAL.fixed_ms + USUAL.reading_ms(TOKENS) * 1.16) * pace;
+            let ms = (times.fixed_ms + times.prefill_ms(TOKENS)) * believed;
+            let actual = (USUAL.fixed_ms + USUAL.prefill_ms(TOKENS) * 1.16) * pace;
             assert!((ms / actual - 1.0).abs() < 0.2, "{id}: {ms} {actual}");
         }
     }
