--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -10,7 +10,7 @@
                 Choice, PlacementRequest, PromptShape, ReplicaView,
                 choosing::{
                     Admission, Candidate, Cheapest, Considered, Sources, SpareTime, Tier, homes,
-                    is_over, offer,
+                    is_over_share, offer,
                 },
             },
         },
@@ -102,7 +102,7 @@
         let settings = &self.settings;
         let age = self.max_report_age();
         let times = self.engine_times(request.service);
-        let most_are_idle = is_over(request.standing) && self.most_are_idle(now, usable);
+        let most_are_idle = is_over_share(request.standing) && self.most_are_idle(now, usable);
         let admission = Admission::new(settings, request, engine, most_are_idle);
         let spare = SpareTime::new(now, request, &self.usual);
         let homes = homes(prompt, usable);
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -36,7 +36,7 @@
             Standing::Within => 1.0,
             Standing::Behind => settings.behind_share,
         };
-        let max_late = match is_over(request.standing) {
+        let max_late = match is_over_share(request.standing) {
             true => MAX_LATE_OVER_SHARE,
             false => f64::INFINITY,
         };
@@ -45,7 +45,7 @@
             max_memory: engine.memory_tokens as f64 * settings.memory_share,
             own_weight: settings.own_weight,
             max_late,
-            may_use_idle: most_are_idle || !is_over(request.standing),
+            may_use_idle: most_are_idle || !is_over_share(request.standing),
         }
     }
 
@@ -92,6 +92,6 @@
 ///
 /// Such accounts leave idle replicas to others unless most replicas are idle. Otherwise the
 /// account with the highest request rate would take most of them.
-pub fn is_over(standing: Standing) -> bool {
+pub fn is_over_share(standing: Standing) -> bool {
     matches!(standing, Standing::Over { .. })
 }
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -13,7 +13,7 @@
 mod spare_time;
 
 pub use {
-    admission::{Admission, is_over},
+    admission::{Admission, is_over_share},
     candidate::Candidate,
     cheapest::Cheapest,
     choice::{Choice, RefusalReason},
