--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -9,7 +9,7 @@
             placement::{
                 Choice, PlacementRequest, PromptShape, ReplicaView,
                 choosing::{
-                    Admission, Candidate, Cheapest, Considered, Sources, SpareTime, Tier, homes,
+                    Admission, Candidate, Cheapest, Considered, Sources, QueueBudget, Tier, homes,
                     is_over_share, offer,
                 },
             },
@@ -104,7 +104,7 @@
         let times = self.engine_times(request.service);
         let most_are_idle = is_over_share(request.standing) && self.most_are_idle(now, usable);
         let admission = Admission::new(settings, request, engine, most_are_idle);
-        let spare = SpareTime::new(now, request, &self.usual);
+        let spare = QueueBudget::new(now, request, &self.usual);
         let homes = homes(prompt, usable);
         let sources = Sources::new(prompt, usable);
         let considered = self.considered(request, usable);
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -10,7 +10,7 @@
 mod offer;
 mod placement_request;
 mod plain_queue;
-mod spare_time;
+mod queue_budget;
 
 pub use {
     admission::{Admission, is_over_share},
@@ -22,5 +22,5 @@
     offer::{Sources, offer},
     placement_request::PlacementRequest,
     plain_queue::PlainQueue,
-    spare_time::SpareTime,
+    queue_budget::QueueBudget,
 };
--- a/src/policy/direct/placement/choosing/spare_time.rs
+++ b/src/policy/direct/placement/choosing/queue_budget.rs
@@ -13,12 +13,12 @@
 
 /// Prefill time that may be queued ahead of a request so that it and the service's typical
 /// requests still meet their latency targets.
-pub struct SpareTime {
+pub struct QueueBudget {
     aim_ms: f64,
     usual: Vec<(f64, f64)>, // latency targets in milliseconds, with mean uncached tokens
 }
 
-impl SpareTime {
+impl QueueBudget {
     /// The budget for a request. Typical requests whose target no engine of the service can
     /// meet count as well, and shrink the budget to 0.
     pub fn new(
