--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -9,7 +9,7 @@
             placement::{
                 Choice, PlacementRequest, PromptShape, ReplicaView,
                 choosing::{
-                    Admission, Candidate, Cheapest, Considered, Sources, QueueBudget, Tier, homes,
+                    Admission, Candidate, Cheapest, CandidateSampling, Sources, QueueBudget, Tier, homes,
                     is_over_share, offer,
                 },
             },
@@ -184,12 +184,12 @@
         &self,
         request: &PlacementRequest,
         usable: &[&ReplicaView],
-    ) -> Considered {
+    ) -> CandidateSampling {
         if self.fleet.in_all <= MAX_ROUTERS_WITHOUT_SAMPLING {
-            return Considered::All;
+            return CandidateSampling::All;
         }
         let near = usable.iter().filter(|view| is_near(request, view)).count();
-        Considered::Parts {
+        CandidateSampling::Parts {
             near: sampled_fraction(self.fleet.in_zone, near),
             far: sampled_fraction(self.fleet.in_all, usable.len() - near),
         }
--- a/src/policy/direct/placement/choosing/considered.rs
+++ b/src/policy/direct/placement/choosing/candidate_sampling.rs
@@ -3,7 +3,7 @@
 /// Which replicas a request considers first. Sampling keeps many routers that choose by the
 /// same reports from all sending to the same replica.
 #[derive(Debug, Clone, Copy)]
-pub enum Considered {
+pub enum CandidateSampling {
     /// All replicas.
     All,
     /// These fractions, from 0 to 1, of the router's own zone and of the other zones.
@@ -29,7 +29,7 @@
     pub const COUNT: usize = 4;
 }
 
-impl Considered {
+impl CandidateSampling {
     /// The tier of a candidate, which is in the router's own zone if `is_near`.
     pub fn tier(
         &self,
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -5,7 +5,7 @@
 mod candidate;
 mod cheapest;
 mod choice;
-mod considered;
+mod candidate_sampling;
 mod homes;
 mod offer;
 mod placement_request;
@@ -17,7 +17,7 @@
     candidate::Candidate,
     cheapest::Cheapest,
     choice::{Choice, RefusalReason},
-    considered::{Considered, Tier},
+    candidate_sampling::{CandidateSampling, Tier},
     homes::homes,
     offer::{Sources, offer},
     placement_request::PlacementRequest,
