--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -9,7 +9,7 @@
             placement::{
                 Choice, PlacementRequest, PromptShape, ReplicaView,
                 choosing::{
-                    Admission, Candidate, Cheapest, CandidateSampling, Sources, QueueBudget, Tier, homes,
+                    Admission, Candidate, Cheapest, CandidateSampling, CacheSources, QueueBudget, Tier, homes,
                     is_over_share, offer,
                 },
             },
@@ -106,7 +106,7 @@
         let admission = Admission::new(settings, request, engine, most_are_idle);
         let spare = QueueBudget::new(now, request, &self.usual);
         let homes = homes(prompt, usable);
-        let sources = Sources::new(prompt, usable);
+        let sources = CacheSources::new(prompt, usable);
         let considered = self.considered(request, usable);
         let risk = self.pause_risk(now, request, prompt, usable);
         let mut best: [Cheapest; Tier::COUNT] = Default::default();
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -19,7 +19,7 @@
     choice::{Choice, RefusalReason},
     candidate_sampling::{CandidateSampling, Tier},
     homes::homes,
-    offer::{Sources, offer},
+    offer::{CacheSources, offer},
     placement_request::PlacementRequest,
     plain_queue::PlainQueue,
     queue_budget::QueueBudget,
--- a/src/policy/direct/placement/choosing/offer.rs
+++ b/src/policy/direct/placement/choosing/offer.rs
@@ -37,7 +37,7 @@
 }
 
 /// Uncached tokens of a prompt at each replica, and the replicas that cache the most of it.
-pub struct Sources<'v> {
+pub struct CacheSources<'v> {
     uncached: Vec<u32>,                    // by replica index
     least: u32,                            // minimum of `uncached`
     best: Vec<usize>,                      // replicas with that minimum
@@ -45,7 +45,7 @@
     draw: u64,                             // pseudo-random, equal for a request at any router
 }
 
-impl<'v> Sources<'v> {
+impl<'v> CacheSources<'v> {
     /// Looks up the prompt in the cache view of each replica.
     pub fn new(
         prompt: &PromptShape,
@@ -94,7 +94,7 @@
     index: usize,
     engine: EngineFacts,
     usable: &[&'v ReplicaView],
-    sources: &Sources<'_>,
+    sources: &CacheSources<'_>,
 ) -> Offer<'v> {
     let uncached = sources.uncached[index];
     let source = sources.source(index, usable[index]);
