--- a/src/policy/direct/placement/loads/in_flight_request.rs
+++ b/src/policy/direct/placement/loads/in_flight_request.rs
@@ -9,7 +9,7 @@
 
 /// A request that was sent to a replica and is not answered completely.
 #[derive(Debug, Clone)]
-pub struct Work {
+pub struct InFlightRequest {
     pub replica: Arc<str>,
     pub start: u32, // hash of the replica's start
     pub sent: Moment,
--- a/src/policy/direct/placement/loads/mod.rs
+++ b/src/policy/direct/placement/loads/mod.rs
@@ -13,5 +13,5 @@
     load::Load,
     peer_loads::PeerLoads,
     replica_report::ReplicaReport,
-    in_flight_request::{Work, InFlightId},
+    in_flight_request::{InFlightRequest, InFlightId},
 };
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -19,7 +19,7 @@
         PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, BaselinePace, TypicalPrompts,
     },
     kept::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
-    loads::{ExpectedTimes, FleetSize, Load, PeerLoads, ReplicaReport, Work, InFlightId},
+    loads::{ExpectedTimes, FleetSize, Load, PeerLoads, ReplicaReport, InFlightRequest, InFlightId},
     pauses::{TargetPauses, PauseRecord, PauseRisk, PauseEstimate, PauseWatch, StreamDurations, late_fraction},
     placement_settings::PlacementSettings,
     prompts::{PartPlacement, CachedPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
