--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/board/board_choice.rs
@@ -9,8 +9,8 @@
             placement::{
                 Choice, PlacementRequest, PromptShape, ReplicaView,
                 choosing::{
-                    Admission, Candidate, Cheapest, CandidateSampling, CacheSources, QueueBudget, Tier, homes,
-                    is_over_share, offer,
+                    Admission, Candidate, Cheapest, CandidateSampling, CacheSources, QueueBudget, CandidateTier, preferred_replicas,
+                    is_over_share, prefill_plan,
                 },
             },
         },
@@ -104,34 +104,34 @@
         let times = self.engine_times(request.service);
         let most_are_idle = is_over_share(request.standing) && self.most_are_idle(now, usable);
         let admission = Admission::new(settings, request, engine, most_are_idle);
-        let spare = QueueBudget::new(now, request, &self.usual);
-        let homes = homes(prompt, usable);
+        let budget = QueueBudget::new(now, request, &self.usual);
+        let preferred = preferred_replicas(prompt, usable);
         let sources = CacheSources::new(prompt, usable);
-        let considered = self.considered(request, usable);
+        let sampling = self.sampling(request, usable);
         let risk = self.pause_risk(now, request, prompt, usable);
-        let mut best: [Cheapest; Tier::COUNT] = Default::default();
+        let mut best: [Cheapest; CandidateTier::COUNT] = Default::default();
         let mut min_excess_ms = f64::MAX;
         for (index, view) in usable.iter().enumerate() {
             let load = view.load(now, age);
-            let offer = offer(index, engine, usable, &sources);
-            let tokens = offer.reading + prompt.output_tokens;
-            let rank = homes.iter().position(|home| *home == index);
-            let mut candidate = Candidate::new(offer, prompt, load.reading, times, rank);
+            let plan = prefill_plan(index, engine, usable, &sources);
+            let tokens = plan.reading + prompt.output_tokens;
+            let rank = preferred.iter().position(|other| *other == index);
+            let mut candidate = Candidate::new(plan, prompt, load.reading, times, rank);
             if let Some(risk) = &risk {
                 Self::set_pause_costs(risk, load.running, &mut candidate);
             }
-            let excess_ms = admission.excess_ms(&candidate, spare.ms(candidate.times));
+            let excess_ms = admission.excess_ms(&candidate, budget.available_ms(candidate.times));
             min_excess_ms = min_excess_ms.min(excess_ms);
             if !admission.admits(&candidate, &load, tokens, excess_ms) {
                 continue;
             }
             let mut cost_ms = self.cost_ms(now, request, &candidate);
-            let mut tier = considered.tier(&candidate, is_near(request, view));
-            if risk.is_some() && matches!(tier, Tier::FarConsidered) {
-                tier = Tier::First;
+            let mut tier = sampling.tier(&candidate, is_near(request, view));
+            if risk.is_some() && matches!(tier, CandidateTier::FarSampled) {
+                tier = CandidateTier::First;
                 cost_ms += FAR_ZONE_PENALTY_MS;
             }
-            best[tier as usize].show(cost_ms, candidate);
+            best[tier as usize].consider(cost_ms, candidate);
         }
         match best.into_iter().find_map(Cheapest::take) {
             Some(candidate) => send_to(&candidate),
@@ -148,19 +148,19 @@
         candidate: &Candidate,
     ) -> f64 {
         let settings = &self.settings;
-        let offer = &candidate.offer;
+        let plan = &candidate.plan;
         let mut cost = candidate.expected_ms() + candidate.pauses_ms;
-        cost += candidate.prefill_ms(offer.again) * settings.reread_weight;
-        cost += candidate.prefill_ms(offer.fetched) * settings.fetch_weight;
-        cost += self.zone_ms(request, offer.view);
+        cost += candidate.prefill_ms(plan.duplicate_tokens) * settings.reread_weight;
+        cost += candidate.prefill_ms(plan.fetched_tokens) * settings.fetch_weight;
+        cost += self.zone_ms(request, plan.view);
         if let Some(rank) = candidate.rank {
             cost -= PREFERENCE_BONUS_MS / (rank + 1) as f64;
         }
-        if offer.view.is_avoided(now, self.max_report_age()) {
+        if plan.view.is_avoided(now, self.max_report_age()) {
             cost += FAILURE_PENALTY_MS;
         }
-        if !candidate.is_home {
-            cost += self.report_interval.as_secs_f64() * 1000.0 * COST_SPREAD * candidate.scatter;
+        if !candidate.caches_shared_parts {
+            cost += self.report_interval.as_secs_f64() * 1000.0 * COST_SPREAD * candidate.random_fraction;
         }
         cost
     }
@@ -180,7 +180,7 @@
 
     /// Which replicas a request considers first. All routers choose by the same reports, and
     /// without sampling all would send to the least loaded replica until the next reports.
-    fn considered(
+    fn sampling(
         &self,
         request: &PlacementRequest,
         usable: &[&ReplicaView],
@@ -189,7 +189,7 @@
             return CandidateSampling::All;
         }
         let near = usable.iter().filter(|view| is_near(request, view)).count();
-        CandidateSampling::Parts {
+        CandidateSampling::Fractions {
             near: sampled_fraction(self.fleet.in_zone, near),
             far: sampled_fraction(self.fleet.in_all, usable.len() - near),
         }
@@ -225,12 +225,12 @@
 }
 
 fn send_to(candidate: &Candidate) -> Choice {
-    let offer = &candidate.offer;
+    let plan = &candidate.plan;
     Choice::Send {
-        replica: offer.view.entry.id.clone(),
-        reading: offer.reading,
-        fetch_from: offer.source.map(|view| view.entry.id.clone()),
-        front_ms: candidate.front_ms + offer.fetch_ms,
+        replica: plan.view.entry.id.clone(),
+        reading: plan.reading,
+        fetch_from: plan.source.map(|view| view.entry.id.clone()),
+        front_ms: candidate.front_ms + plan.fetch_ms,
         pauses_ms: candidate.pauses_ms,
         expected: Duration::from_secs_f64(candidate.expected_ms() / 1000.0),
     }
--- a/src/policy/direct/placement/board/board_pauses.rs
+++ b/src/policy/direct/placement/board/board_pauses.rs
@@ -85,8 +85,8 @@
         running: u32,
         candidate: &mut Candidate,
     ) {
-        let estimate = candidate.offer.view.pause_sight;
-        let own_ms = candidate.times.prefill_ms(candidate.offer.reading);
+        let estimate = candidate.plan.view.pause_sight;
+        let own_ms = candidate.times.prefill_ms(candidate.plan.reading);
         candidate.others_late = risk.others_late(estimate, running, candidate.front_ms, own_ms);
         candidate.pauses_ms = risk.own_ms(estimate) + risk.cost_ms(candidate.others_late);
     }
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -76,7 +76,7 @@
         let fits = memory <= self.max_memory || load.running == 0;
         let is_idle = load.reading == 0 && self.may_use_idle;
         let in_time = excess_ms <= 0.0 || (is_idle && self.keeps_streams_in_time(candidate));
-        load.running < candidate.offer.view.entry.slots && fits && in_time
+        load.running < candidate.plan.view.entry.slots && fits && in_time
     }
 
     /// Whether the request is expected to make no more streams late than allowed.
--- a/src/policy/direct/placement/choosing/candidate.rs
+++ b/src/policy/direct/placement/choosing/candidate.rs
@@ -1,44 +1,44 @@
 use {
-    super::{homes::scatter, offer::Offer},
+    super::{preferred_replicas::random_fraction, prefill_plan::PrefillPlan},
     crate::policy::placement::{EngineLatency, PromptShape},
 };
 
 /// A replica that may run a prompt, with the estimates by which candidates are compared.
 pub struct Candidate<'v> {
-    pub offer: Offer<'v>,
+    pub plan: PrefillPlan<'v>,
     pub times: EngineLatency,  // of the service's engines, scaled by the replica's pace
-    pub usual: EngineLatency,  // average of the service's engines
+    pub service_times: EngineLatency,  // average of the service's engines
     pub front_ms: f64,       // prefill queued ahead of the prompt
     pub own_ms: f64,         // prefill and fetching of the prompt itself
     pub pauses_ms: f64,      // expected cost of late stream events
     pub others_late: f64,    // running streams that it is expected to make late
     pub rank: Option<usize>, // among the prompt's preferred replicas, 0 is the first
-    pub scatter: f64,        // pseudo-random number from 0 to 1 for this request and replica
-    pub is_home: bool,       // it caches all parts that the prompt shares with others
+    pub random_fraction: f64,        // pseudo-random number from 0 to 1 for this request and replica
+    pub caches_shared_parts: bool,       // it caches all parts that the prompt shares with others
 }
 
 impl<'v> Candidate<'v> {
     /// A replica with `front` uncached prompt tokens in its queue, of a service whose engines
-    /// take the times `usual` on average.
+    /// take the times `service_times` on average.
     pub fn new(
-        offer: Offer<'v>,
+        plan: PrefillPlan<'v>,
         prompt: &PromptShape,
         front: u32,
-        usual: EngineLatency,
+        service_times: EngineLatency,
         rank: Option<usize>,
     ) -> Self {
-        let times = offer.view.pace.of(usual);
+        let times = plan.view.pace.of(service_times);
         Self {
             front_ms: times.prefill_ms(front),
-            own_ms: times.prefill_ms(offer.reading) + offer.fetch_ms,
+            own_ms: times.prefill_ms(plan.reading) + plan.fetch_ms,
             times,
             pauses_ms: 0.0,
             others_late: 0.0,
-            usual,
+            service_times,
             rank,
-            scatter: scatter(prompt, offer.view),
-            is_home: offer.keeps_shared(prompt),
-            offer,
+            random_fraction: random_fraction(prompt, plan.view),
+            caches_shared_parts: plan.caches_shared_parts(prompt),
+            plan,
         }
     }
 
@@ -53,6 +53,6 @@
         &self,
         tokens: u32,
     ) -> f64 {
-        self.usual.prefill_ms(tokens)
+        self.service_times.prefill_ms(tokens)
     }
 }
--- a/src/policy/direct/placement/choosing/candidate_sampling.rs
+++ b/src/policy/direct/placement/choosing/candidate_sampling.rs
@@ -7,24 +7,24 @@
     /// All replicas.
     All,
     /// These fractions, from 0 to 1, of the router's own zone and of the other zones.
-    Parts { near: f64, far: f64 },
+    Fractions { near: f64, far: f64 },
 }
 
 /// Order of precedence of candidates. Within a tier the cheapest wins.
 #[derive(Debug, Clone, Copy)]
-pub enum Tier {
+pub enum CandidateTier {
     /// Sampled replicas of the own zone and, in any zone, the prompt's first preferred
     /// replica and those that cache all its shared parts.
     First,
     /// The other replicas of the own zone.
     Near,
     /// Sampled replicas of other zones.
-    FarConsidered,
+    FarSampled,
     /// The other replicas of other zones.
     Far,
 }
 
-impl Tier {
+impl CandidateTier {
     /// Number of tiers.
     pub const COUNT: usize = 4;
 }
@@ -35,19 +35,19 @@
         &self,
         candidate: &Candidate,
         is_near: bool,
-    ) -> Tier {
-        let Self::Parts { near, far } = *self else {
-            return Tier::First;
+    ) -> CandidateTier {
+        let Self::Fractions { near, far } = *self else {
+            return CandidateTier::First;
         };
         let is_first_preferred = candidate.rank == Some(0);
-        if candidate.is_home || is_first_preferred || (is_near && candidate.scatter < near) {
-            Tier::First
+        if candidate.caches_shared_parts || is_first_preferred || (is_near && candidate.random_fraction < near) {
+            CandidateTier::First
         } else if is_near {
-            Tier::Near
-        } else if candidate.scatter < far {
-            Tier::FarConsidered
+            CandidateTier::Near
+        } else if candidate.random_fraction < far {
+            CandidateTier::FarSampled
         } else {
-            Tier::Far
+            CandidateTier::Far
         }
     }
 }
--- a/src/policy/direct/placement/choosing/cheapest.rs
+++ b/src/policy/direct/placement/choosing/cheapest.rs
@@ -8,7 +8,7 @@
 
 impl<'v> Cheapest<'v> {
     /// Replaces the current candidate by one that costs less.
-    pub fn show(
+    pub fn consider(
         &mut self,
         cost: f64,
         candidate: Candidate<'v>,
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -6,8 +6,8 @@
 mod cheapest;
 mod choice;
 mod candidate_sampling;
-mod homes;
-mod offer;
+mod preferred_replicas;
+mod prefill_plan;
 mod placement_request;
 mod plain_queue;
 mod queue_budget;
@@ -17,9 +17,9 @@
     candidate::Candidate,
     cheapest::Cheapest,
     choice::{Choice, RefusalReason},
-    candidate_sampling::{CandidateSampling, Tier},
-    homes::homes,
-    offer::{CacheSources, offer},
+    candidate_sampling::{CandidateSampling, CandidateTier},
+    preferred_replicas::preferred_replicas,
+    prefill_plan::{CacheSources, prefill_plan},
     placement_request::PlacementRequest,
     plain_queue::PlainQueue,
     queue_budget::QueueBudget,
--- a/src/policy/direct/placement/choosing/homes.rs
+++ b/src/policy/direct/placement/choosing/preferred_replicas.rs
@@ -10,7 +10,7 @@
 
 /// A pseudo-random number from 0 to 1, derived from the request's last prompt part and the
 /// replica.
-pub fn scatter(
+pub fn random_fraction(
     prompt: &PromptShape,
     view: &ReplicaView,
 ) -> f64 {
@@ -20,7 +20,7 @@
 
 /// Indices of the preferred replicas of a prompt, best first. Adding or removing a replica
 /// moves only the prompts that prefer it.
-pub fn homes(
+pub fn preferred_replicas(
     prompt: &PromptShape,
     usable: &[&ReplicaView],
 ) -> Vec<usize> {
--- a/src/policy/direct/placement/choosing/offer.rs
+++ b/src/policy/direct/placement/choosing/prefill_plan.rs
@@ -16,18 +16,18 @@
 const FETCH_SETUP_MS: f64 = 3.0;
 
 /// Work of one replica before a prompt's first token: prefill and fetching.
-pub struct Offer<'v> {
+pub struct PrefillPlan<'v> {
     pub view: &'v ReplicaView,
     pub source: Option<&'v ReplicaView>, // replica to fetch cached tokens from
     pub reading: u32,                    // tokens to prefill
-    pub again: u32,                      // of these, cached at other replicas
-    pub fetched: u32,                    // tokens to fetch
+    pub duplicate_tokens: u32,                      // of these, cached at other replicas
+    pub fetched_tokens: u32,                    // tokens to fetch
     pub fetch_ms: f64,
 }
 
-impl Offer<'_> {
+impl PrefillPlan<'_> {
     /// Whether the replica itself caches all parts that the prompt shares with others.
-    pub fn keeps_shared(
+    pub fn caches_shared_parts(
         &self,
         prompt: &PromptShape,
     ) -> bool {
@@ -90,30 +90,30 @@
 
 /// The work for a prompt at a replica, with a fetch from another one where that saves enough
 /// tokens.
-pub fn offer<'v>(
+pub fn prefill_plan<'v>(
     index: usize,
     engine: EngineFacts,
     usable: &[&'v ReplicaView],
     sources: &CacheSources<'_>,
-) -> Offer<'v> {
+) -> PrefillPlan<'v> {
     let uncached = sources.uncached[index];
     let source = sources.source(index, usable[index]);
     let fetchable = uncached - sources.least;
-    let without_fetch = Offer {
+    let without_fetch = PrefillPlan {
         view: usable[index],
         source: None,
         reading: uncached,
-        again: fetchable,
-        fetched: 0,
+        duplicate_tokens: fetchable,
+        fetched_tokens: 0,
         fetch_ms: 0.0,
     };
     match fetch_ms(engine, fetchable).filter(|_| fetchable >= MIN_FETCH_TOKENS) {
         None => without_fetch,
-        Some(fetch_ms) => Offer {
+        Some(fetch_ms) => PrefillPlan {
             source: source.map(|other| usable[other]),
             reading: sources.least,
-            again: 0,
-            fetched: fetchable,
+            duplicate_tokens: 0,
+            fetched_tokens: fetchable,
             fetch_ms,
             ..without_fetch
         },
--- a/src/policy/direct/placement/choosing/queue_budget.rs
+++ b/src/policy/direct/placement/choosing/queue_budget.rs
@@ -14,8 +14,8 @@
 /// Prefill time that may be queued ahead of a request so that it and the service's typical
 /// requests still meet their latency targets.
 pub struct QueueBudget {
-    aim_ms: f64,
-    usual: Vec<(f64, f64)>, // latency targets in milliseconds, with mean uncached tokens
+    target_ms: f64,
+    typical: Vec<(f64, f64)>, // latency targets in milliseconds, with mean uncached tokens
 }
 
 impl QueueBudget {
@@ -24,23 +24,23 @@
     pub fn new(
         now: Moment,
         request: &PlacementRequest,
-        usual: &TypicalPrompts,
+        typical: &TypicalPrompts,
     ) -> Self {
         Self {
-            aim_ms: request.aim.as_secs_f64() * 1000.0,
-            usual: usual.recent(now, request.service).collect(),
+            target_ms: request.aim.as_secs_f64() * 1000.0,
+            typical: typical.recent(now, request.service).collect(),
         }
     }
 
     /// Milliseconds left by the latency targets at an engine after its fixed time, the
     /// prefill of typical requests and the model error.
-    pub fn ms(
+    pub fn available_ms(
         &self,
         times: EngineLatency,
     ) -> f64 {
-        let usual = self.usual.iter();
-        let left = usual.map(|(aim_ms, tokens)| aim_ms - tokens * times.token_ms);
-        let left_ms = left.fold(self.aim_ms, f64::min);
+        let typical = self.typical.iter();
+        let left = typical.map(|(target_ms, tokens)| target_ms - tokens * times.token_ms);
+        let left_ms = left.fold(self.target_ms, f64::min);
         let residual_ms = times.residual_ms.min(left_ms * MAX_RESIDUAL_SHARE);
         (left_ms - times.fixed_ms - residual_ms).max(0.0)
     }
