--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -10,7 +10,7 @@
         peers::{NamedRouter, PeerTable, ZoneTable},
         policy::{
             Incarnation, Moment, Standstill,
-            placement::ReplicaBoard,
+            placement::ReplicaTable,
             shares::{RetryWindow, ShareBook},
             short_name,
             suspects::SuspectBook,
@@ -47,7 +47,7 @@
     pub report_wanted: Notify,                // peers should be told before the regular time
     pub(super) answer_bytes: Arc<AtomicU64>,  // held for callers' connections
     pub(super) request_bytes: Arc<AtomicU64>, // held of requests
-    board: Mutex<ReplicaBoard>,
+    board: Mutex<ReplicaTable>,
     shares: Mutex<ShareBook>,
     retries: Mutex<RetryWindow>,
     suspects: Mutex<SuspectBook>,  // a leaf lock
@@ -75,7 +75,7 @@
             address: settings.peers,
             zone: short_name(&settings.process.zone),
         };
-        let mut board = ReplicaBoard::new(settings.placement);
+        let mut board = ReplicaTable::new(settings.placement);
         board.set_regions(settings.regions.clone());
         Self {
             dialect,
@@ -160,7 +160,7 @@
     }
 
     /// The replicas and what is at them.
-    pub fn board(&self) -> MutexGuard<'_, ReplicaBoard> {
+    pub fn board(&self) -> MutexGuard<'_, ReplicaTable> {
         self.board.lock().expect("board lock")
     }
 
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -1,7 +1,7 @@
 //! Choice of the replica that runs a request, by the cost of its prompt there, the
 //! queue, the free memory and the observed health of the replica.
 
-mod board;
+mod replica_table;
 mod choosing;
 mod engines;
 mod kept;
@@ -12,7 +12,7 @@
 mod replicas;
 
 pub use {
-    board::ReplicaBoard,
+    replica_table::ReplicaTable,
     choosing::{Choice, PlacementRequest, RefusalReason},
     engines::{
         LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken, PaceEvidence, PaceChange,
--- a/src/policy/direct/placement/board/board_kept.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -1,7 +1,7 @@
 //! Prompt-cache events of replicas: which router reads them, and their exchange among routers.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
@@ -15,7 +15,7 @@
 /// which the receivers see as a gap.
 const MAX_QUEUED_BATCHES: usize = 400;
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Whether this router is to read the cache events of a replica of its zone. One live router
     /// of the zone is selected by hash. Replicas that are leaving, in backoff, ejected or in a
     /// cordoned zone are not read.
--- a/src/policy/direct/placement/board/board_choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -1,7 +1,7 @@
 //! Choice of the replica for a request.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::{
         catalog::UpstreamState,
         policy::{
@@ -42,7 +42,7 @@
 /// Number of replicas that are sampled on average in addition to a router's equal share.
 const MIN_SAMPLED_REPLICAS: f64 = 2.0;
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Chooses the replica for a request, or refuses it.
     pub fn choose(
         &self,
--- a/src/policy/direct/placement/board/board_beliefs.rs
+++ b/src/policy/direct/placement/replica_table/estimates.rs
@@ -2,7 +2,7 @@
 //! frequent, read the refreshed values.
 
 use {
-    super::{ReplicaBoard, board_paces::zone_evidence},
+    super::{ReplicaTable, paces::zone_evidence},
     crate::policy::{
         Moment,
         placement::{PaceEvidence, PauseEstimate, ReplicaPace, BaselinePace},
@@ -16,7 +16,7 @@
 /// Minimum interval for each replica, many times the computing time of its refresh.
 const REFRESH_INTERVAL_PER_REPLICA: Duration = Duration::from_micros(100);
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Recomputes the estimates of all replicas, unless the last refresh is recent.
     pub fn refresh_estimates(
         &mut self,
--- a/src/policy/direct/placement/board/board_works.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -1,7 +1,7 @@
 //! In-flight requests of this router, from their sending to their end.
 
 use {
-    super::{ReplicaBoard, board_reports::push_bounded},
+    super::{ReplicaTable, peer_reports::push_bounded},
     crate::policy::{
         Moment,
         placement::{
@@ -11,7 +11,7 @@
     std::sync::Arc,
 };
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Records that a request is sent to a replica. Returns none if the replica is not listed.
     pub fn start(
         &mut self,
--- a/src/policy/direct/placement/board/board_notices.rs
+++ b/src/policy/direct/placement/replica_table/notices.rs
@@ -1,7 +1,7 @@
 //! Notices in which replicas announce that they leave, or ask for backoff.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::{Moment, ReplicaNotice, placement::InFlightId},
@@ -9,7 +9,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Applies a notice that a replica sent in an answer, received at `unix_ms` by this host's
     /// clock. Returns whether it was not known before.
     pub fn hear_notice(
--- a/src/policy/direct/placement/board/board_evidence.rs
+++ b/src/policy/direct/placement/replica_table/outcomes.rs
@@ -1,7 +1,7 @@
 //! Outcomes of requests, which determine the health of replicas.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
@@ -19,7 +19,7 @@
 /// Duration of the ejection of a replica that reported that it has no free capacity.
 const OVERLOAD_EJECTION: Duration = Duration::from_millis(60);
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Records that a replica answered anything.
     pub fn heard(
         &mut self,
--- a/src/policy/direct/placement/board/board_paces.rs
+++ b/src/policy/direct/placement/replica_table/paces.rs
@@ -1,7 +1,7 @@
 //! Pace of each replica: the time that it takes relative to its service's engines on average.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::policy::{
         Moment,
         placement::{
@@ -22,7 +22,7 @@
 /// Factor by which a lasting pace must differ from the last reported one to be reported.
 const REPORTED_CHANGE: f64 = 1.5;
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Adds the sample of a first token to the replica's pace and, scaled to the average pace,
     /// to the service's model. Returns the modelled times if they have changed markedly.
     pub(super) fn record_pace(
--- a/src/policy/direct/placement/board/board_pauses.rs
+++ b/src/policy/direct/placement/replica_table/pauses.rs
@@ -2,7 +2,7 @@
 //! late if one of its pauses between events exceeds the target of its route.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::{
         catalog::UpstreamEntry,
         policy::{
@@ -16,7 +16,7 @@
     std::time::Duration,
 };
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Adds observations of streams at a replica. Returns the rate of late streams per second
     /// watched if it has changed markedly.
     pub fn record_pauses(
--- a/src/policy/direct/placement/board/board_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -1,7 +1,7 @@
 //! Exchange among routers of loads, sent prompt parts, performance evidence and latency models.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::policy::{
         Moment, Teller, TellerScope,
         placement::{PartPlacement, LatencyReport, ReplicaEvidence, ReplicaReport},
@@ -12,7 +12,7 @@
 /// Maximum number of announcements that are queued for other routers. Further ones are dropped.
 const MAX_QUEUED: usize = 400;
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Applies load reports of another router or zone. Its earlier reports on other replicas
     /// stay in force until they are too old.
     pub fn hear(
--- a/src/policy/direct/placement/board/board_plain.rs
+++ b/src/policy/direct/placement/replica_table/plain_choice.rs
@@ -6,8 +6,8 @@
 
 use {
     super::{
-        ReplicaBoard,
-        board_choice::{FAILURE_PENALTY_MS, is_near},
+        ReplicaTable,
+        choice::{FAILURE_PENALTY_MS, is_near},
     },
     crate::policy::{
         Moment, mix,
@@ -23,7 +23,7 @@
 /// spreads requests over idle replicas, but does not outweigh the cost of another zone.
 const IN_FLIGHT_COST: f64 = 0.1;
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Chooses the replica with the earliest expected answer, or refuses the request if it would
     /// have to wait and be answered after the latency target everywhere.
     pub(super) fn choose_plain(
--- a/src/policy/direct/placement/board/board_refusals.rs
+++ b/src/policy/direct/placement/replica_table/refusals.rs
@@ -1,7 +1,7 @@
 //! Refusals of requests, with the reason and the time after which to retry.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::{
         catalog::UpstreamState,
         policy::{
@@ -30,7 +30,7 @@
 /// Time to retry after if no replica is in an allowed region, which takes a new replica.
 const NO_REGION_RETRY: Duration = Duration::from_secs(1);
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// The refusal of a request for which no replica is usable.
     pub(super) fn refuse_unusable(
         &self,
--- a/src/policy/direct/placement/board/board_starts.rs
+++ b/src/policy/direct/placement/replica_table/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: replicas that have just started get a limited rate of requests.
 
 use {
-    super::ReplicaBoard,
+    super::ReplicaTable,
     crate::policy::{
         Moment,
         placement::{PlacementRequest, ReplicaView, InFlightId},
@@ -10,7 +10,7 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Replaces the slow-start limits, by service.
     pub fn set_start_limits(
         &mut self,
--- a/src/policy/direct/placement/board/replica_board.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -21,7 +21,7 @@
 
 /// A router's view of all replicas and their load. It chooses the replica of each request.
 #[derive(Debug)]
-pub struct ReplicaBoard {
+pub struct ReplicaTable {
     pub(super) settings: PlacementSettings,
     pub(super) replicas: BTreeMap<Arc<str>, ReplicaView>,
     ids_by_start: HashMap<u32, Arc<str>>, // by the hashes of their starts
@@ -50,7 +50,7 @@
 /// Report intervals after which a peer's last report is ignored.
 const MAX_MISSED_REPORTS: u32 = 3;
 
-impl ReplicaBoard {
+impl ReplicaTable {
     /// Starts without replicas.
     pub fn new(settings: PlacementSettings) -> Self {
         Self {
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -11,7 +11,7 @@
             Teller, TellerScope,
             placement::{
                 PartPlacement, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
-                PromptShape, ReplicaBoard, ReplicaReport,
+                PromptShape, ReplicaTable, ReplicaReport,
             },
             shares::{AccountUsage, ShareBook, Standing},
             short_name,
@@ -134,8 +134,8 @@
 }
 
 /// A board on which every replica of the fleet has work of routers and of zones.
-fn full_board(scale: FleetScale) -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn full_board(scale: FleetScale) -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     let ids: Vec<String> = (0..scale.replicas)
         .map(|number| format!("i-{number:08x}"))
         .collect();
@@ -227,7 +227,7 @@
 
 /// A report of a router that has something at every replica of one zone, as
 /// datagrams.
-fn encoded(board: &ReplicaBoard) -> Vec<Vec<u8>> {
+fn encoded(board: &ReplicaTable) -> Vec<Vec<u8>> {
     let replicas = board.zone_reports(NOW).into_iter().step_by(ZONES).collect();
     let figures = Figures {
         replicas: ToldReports::default().replicas(NOW, AGE, replicas),
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -8,7 +8,7 @@
         policy::{
             placement::{
                 Choice, LatencyReport, EngineLatency, PaceEvidence, PaceSum, PauseEvidence,
-                PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
+                PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaTable,
                 ReplicaEvidence, ReplicaPace, SentPrompt, InFlightId,
             },
             shares::Standing,
@@ -65,8 +65,8 @@
     })
 }
 
-fn board(ids: &[&str]) -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn board(ids: &[&str]) -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     board.set_entries(BEGIN, ids.iter().map(|id| entry(id, 1)).collect());
     board.apply_latency_reports(&[LatencyReport {
         service: short_name("model"),
@@ -100,7 +100,7 @@
 }
 
 fn choose(
-    board: &ReplicaBoard,
+    board: &ReplicaTable,
     now: Duration,
     prompt: &PromptShape,
 ) -> Choice {
@@ -115,7 +115,7 @@
 
 /// One router, some engines, and a steady stream of prompts.
 struct Play {
-    board: ReplicaBoard,
+    board: ReplicaTable,
     engines: BTreeMap<&'static str, Engine>,
     now: Duration,
     next: u64,
@@ -283,7 +283,7 @@
 }
 
 fn lasting(
-    board: &ReplicaBoard,
+    board: &ReplicaTable,
     replica: &str,
 ) -> f64 {
     board.replica(replica).expect("a replica").pace.lasting
@@ -428,7 +428,7 @@
     board.hear_evidence(BEGIN, 1, &[told("a", 3.0, 500.0), told("b", 3.0, 500.0)]);
     let slow = board;
     let usual = self::board(&["a", "b"]);
-    let with_front = |mut board: ReplicaBoard| {
+    let with_front = |mut board: ReplicaTable| {
         for (number, replica) in [(900, "a"), (901, "a"), (902, "b"), (903, "b")] {
             let shape = prompt(number);
             let sent = SentPrompt {
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -9,7 +9,7 @@
         policy::{
             TellerScope,
             placement::{
-                PartPlacement, CacheEvent, CacheEventBatch, PlacementSettings, PrefixCache, ReplicaBoard,
+                PartPlacement, CacheEvent, CacheEventBatch, PlacementSettings, PrefixCache, ReplicaTable,
             },
             slow_start::ZoneRouters,
             stable_hash,
@@ -199,7 +199,7 @@
 fn board(
     own: u64,
     fellows: &[u64],
-) -> ReplicaBoard {
+) -> ReplicaTable {
     let settings = PlacementSettings {
         aim_share: 1.0,
         over_share: 0.1,
@@ -212,7 +212,7 @@
         plain_zone_penalty: ms(20),
         peer_age: ms(1000),
     };
-    let mut board = ReplicaBoard::new(settings);
+    let mut board = ReplicaTable::new(settings);
     board.set_entries(LATER, vec![replica()]);
     let known = fellows.len();
     board.set_zone_routers(ZoneRouters::new(LATER, own, fellows.to_vec(), known));
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -6,7 +6,7 @@
         policy::placement::{
             Choice, LatencyReport, EngineLatency, FleetSize, CachedPart, Load, PeerLoads,
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
-            ReplicaBoard, ReplicaReport, SentPrompt,
+            ReplicaTable, ReplicaReport, SentPrompt,
         },
         policy::{Teller, TellerScope, shares::Standing, short_name},
         routing::{AllowedRegions, EngineFacts},
@@ -69,14 +69,14 @@
 }
 
 /// A board that has learnt nothing of the engines.
-fn fresh_board(ids: &[&str]) -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn fresh_board(ids: &[&str]) -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     let entries = ids.iter().map(|id| entry(id, "z", UpstreamState::Ready));
     board.set_entries(NOW, entries.collect());
     board
 }
 
-fn board(ids: &[&str]) -> ReplicaBoard {
+fn board(ids: &[&str]) -> ReplicaTable {
     let mut board = fresh_board(ids);
     board.apply_latency_reports(&[LatencyReport {
         service: short_name("model"),
@@ -180,7 +180,7 @@
 }
 
 fn place(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     prompt: &PromptShape,
 ) -> Arc<str> {
     let (replica, reading) = sent(board.choose(NOW, &request(prompt)));
@@ -190,7 +190,7 @@
 
 /// A prompt is run to its end where the board sends it.
 fn run_whole(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     prompt: &PromptShape,
 ) -> Arc<str> {
     let (replica, reading) = sent(board.choose(NOW, &able(prompt)));
@@ -298,7 +298,7 @@
 }
 
 fn place_if_possible(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     prompt: &PromptShape,
 ) {
     if let Choice::Send {
@@ -391,7 +391,7 @@
 
 #[test]
 fn a_leaving_or_foreign_replica_gets_nothing() {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     board.set_entries(NOW, vec![entry("a", "z", UpstreamState::Draining)]);
     let prompt = prompt(1, 2);
     let (reason, _) = refused(board.choose(NOW, &request(&prompt)));
@@ -495,7 +495,7 @@
     let number = board
         .start(NOW, &"a".into(), Some(sent_prompt(&prompt, 5000)))
         .expect("listed");
-    let own = |board: &ReplicaBoard| board.replica("a").expect("listed").own;
+    let own = |board: &ReplicaTable| board.replica("a").expect("listed").own;
     assert_eq!(own(&board).reading, 5000);
     board.first_token(NOW + Duration::from_millis(200), number);
     assert_eq!((own(&board).reading, own(&board).running), (0, 1));
@@ -738,7 +738,7 @@
         placed,
         rests: false,
     };
-    let uncached = |board: &ReplicaBoard| {
+    let uncached = |board: &ReplicaTable| {
         let view = board.replica("a").expect("listed");
         view.cache.uncached(&prompt(1, 101))
     };
@@ -780,7 +780,7 @@
 
 /// How many plain requests each replica gets until one is refused.
 fn filled_with(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     request: &PlacementRequest,
 ) -> BTreeMap<Arc<str>, i32> {
     let mut counts = BTreeMap::new();
@@ -869,7 +869,7 @@
 
 #[test]
 fn plain_requests_leave_a_zone_whose_replicas_make_them_wait() {
-    let mut board = ReplicaBoard::new(PlacementSettings {
+    let mut board = ReplicaTable::new(PlacementSettings {
         plain_zone_penalty: Duration::from_millis(5),
         ..PlacementSettings::default()
     });
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -10,7 +10,7 @@
             Teller, TellerScope,
             placement::{
                 PartPlacement, Choice, CachedPart, Load, PlacementRequest, PlacementSettings, PromptPart,
-                PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
+                PromptShape, ReplicaTable, ReplicaReport, SentPrompt,
             },
             shares::Standing,
         },
@@ -49,8 +49,8 @@
     })
 }
 
-fn board() -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn board() -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     board.set_entries(NOW, vec![start("i-a", 1000)]);
     board
 }
@@ -64,7 +64,7 @@
 }
 
 /// What the replica would have to read of the prompt.
-fn reading(board: &mut ReplicaBoard) -> u32 {
+fn reading(board: &mut ReplicaTable) -> u32 {
     let prompt = prompt();
     let request = PlacementRequest {
         service: "model",
@@ -83,7 +83,7 @@
     }
 }
 
-fn send(board: &mut ReplicaBoard) -> u64 {
+fn send(board: &mut ReplicaTable) -> u64 {
     let sent = SentPrompt {
         shape: &prompt(),
         engine: ENGINE,
@@ -112,7 +112,7 @@
     let mut board = board();
     let earlier = send(&mut board);
     board.set_entries(NOW, vec![start("i-a", 2000)]);
-    let load = |board: &ReplicaBoard| board.replica("i-a").expect("listed").own;
+    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").own;
     assert_eq!(load(&board), Load::default());
     send(&mut board);
     let there = load(&board);
@@ -130,7 +130,7 @@
     for _ in 0..8 {
         board.failed(NOW, &earlier);
     }
-    let rests = |board: &ReplicaBoard| board.replica("i-a").expect("listed").health.is_ejected(NOW);
+    let rests = |board: &ReplicaTable| board.replica("i-a").expect("listed").health.is_ejected(NOW);
     assert!(rests(&board));
     board.set_entries(NOW, vec![start("i-a", 2000)]);
     assert!(!rests(&board));
@@ -164,7 +164,7 @@
     let (earlier, later) = (start("i-a", 1000), start("i-a", 2000));
     let mut board = board();
     board.hear(NOW, PEER, &[report(&earlier)]);
-    let load = |board: &ReplicaBoard| board.replica("i-a").expect("listed").load(NOW, age);
+    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").load(NOW, age);
     assert_eq!(load(&board).running, 3);
     board.set_entries(NOW, vec![later.clone()]);
     assert_eq!(load(&board).running, 0);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -10,7 +10,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, InFlightId},
+            placement::{Choice, PlacementRequest, PlacementSettings, ReplicaTable, InFlightId},
             shares::Standing,
             slow_start::{StartBounds, StartLimit, ZoneRouters},
             stable_hash,
@@ -67,7 +67,7 @@
 struct Router {
     zone: &'static str,
     hash: u64,
-    board: ReplicaBoard,
+    board: ReplicaTable,
 }
 
 struct Fleet {
@@ -85,7 +85,7 @@
             (0..*count).map(|number| Router {
                 zone,
                 hash: stable_hash(&(*zone, number)),
-                board: ReplicaBoard::new(PlacementSettings::default()),
+                board: ReplicaTable::new(PlacementSettings::default()),
             })
         });
         let mut fleet = Self {
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -12,7 +12,7 @@
             Moment,
             placement::{
                 Choice, PaceEvidence, PauseEvidence, PauseWatch, PlacementRequest,
-                PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaBoard,
+                PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaTable,
                 ReplicaEvidence, SentPrompt, InFlightId,
             },
             shares::Standing,
@@ -120,7 +120,7 @@
 }
 
 struct World {
-    board: ReplicaBoard,
+    board: ReplicaTable,
     replicas: Vec<Replica>,
     kinds: Vec<Kind>,
     due: Vec<f64>,
@@ -136,7 +136,7 @@
         kinds: &[Kind],
         pause_aim: Option<Duration>,
     ) -> Self {
-        let mut board = ReplicaBoard::new(PlacementSettings::default());
+        let mut board = ReplicaTable::new(PlacementSettings::default());
         let entries = (0..speeds.len()).map(|index| entry(index, None));
         board.set_entries(START, entries.collect());
         let seen = Seen {
@@ -452,7 +452,7 @@
 }
 
 /// Two replicas that have run streams, and the one to which a prompt goes that is alone.
-fn idle_board() -> (ReplicaBoard, PromptShape, usize) {
+fn idle_board() -> (ReplicaTable, PromptShape, usize) {
     let world = World::new(&[1.0, 1.0], &[CHAT], Some(PAUSE_AIM));
     let mut board = world.board;
     board.record_stream(START, &entry(0, None), 170, Duration::from_secs(2));
@@ -465,7 +465,7 @@
 }
 
 fn chosen(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     now: Moment,
     shape: &PromptShape,
 ) -> usize {
