--- a/src/policy/direct/placement/replica_table/cache_events.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -64,7 +64,7 @@
             Some((view.start, snapshot))
         });
         let snapshots: Vec<_> = snapshots.collect();
-        self.kept_news.extend(snapshots);
+        self.cache_events.extend(snapshots);
     }
 
     /// Position of the next cache event of a replica to read.
@@ -92,11 +92,11 @@
         let shared_evictions = change
             .news
             .given_up(|part| self.shared_parts.contains(part));
-        if !shared_evictions.events.is_empty() && self.zone_kept_news.len() < MAX_QUEUED_BATCHES {
-            self.zone_kept_news.push((start, shared_evictions));
+        if !shared_evictions.events.is_empty() && self.zone_evictions.len() < MAX_QUEUED_BATCHES {
+            self.zone_evictions.push((start, shared_evictions));
         }
-        if self.kept_news.len() < MAX_QUEUED_BATCHES {
-            self.kept_news.extend(forwarded.map(|batch| (start, batch)));
+        if self.cache_events.len() < MAX_QUEUED_BATCHES {
+            self.cache_events.extend(forwarded.map(|batch| (start, batch)));
         }
         Some(change)
     }
@@ -104,13 +104,13 @@
     /// Removes and returns the batches for the zone's routers, with the hashes of the
     /// replicas' starts.
     pub fn take_cache_events(&mut self) -> Vec<(u32, CacheEventBatch)> {
-        std::mem::take(&mut self.kept_news)
+        std::mem::take(&mut self.cache_events)
     }
 
     /// Removes and returns the batches for other zones, which hold evictions of shared parts
     /// only. Parts that are cached are announced to them as they are sent to replicas.
     pub fn take_zone_evictions(&mut self) -> Vec<(u32, CacheEventBatch)> {
-        std::mem::take(&mut self.zone_kept_news)
+        std::mem::take(&mut self.zone_evictions)
     }
 
     /// Applies cache events of a replica that another router forwarded.
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -104,7 +104,7 @@
         let times = self.engine_times(request.service);
         let most_are_idle = is_over_share(request.standing) && self.most_are_idle(now, usable);
         let admission = Admission::new(settings, request, engine, most_are_idle);
-        let budget = QueueBudget::new(now, request, &self.usual);
+        let budget = QueueBudget::new(now, request, &self.typical_prompts);
         let preferred = preferred_replicas(prompt, usable);
         let sources = CacheSources::new(prompt, usable);
         let sampling = self.sampling(request, usable);
@@ -185,13 +185,13 @@
         request: &PlacementRequest,
         usable: &[&ReplicaView],
     ) -> CandidateSampling {
-        if self.fleet.in_all <= MAX_ROUTERS_WITHOUT_SAMPLING {
+        if self.fleet_size.in_all <= MAX_ROUTERS_WITHOUT_SAMPLING {
             return CandidateSampling::All;
         }
         let near = usable.iter().filter(|view| is_near(request, view)).count();
         CandidateSampling::Fractions {
-            near: sampled_fraction(self.fleet.in_zone, near),
-            far: sampled_fraction(self.fleet.in_all, usable.len() - near),
+            near: sampled_fraction(self.fleet_size.in_zone, near),
+            far: sampled_fraction(self.fleet_size.in_all, usable.len() - near),
         }
     }
 
--- a/src/policy/direct/placement/replica_table/estimates.rs
+++ b/src/policy/direct/placement/replica_table/estimates.rs
@@ -31,8 +31,8 @@
         self.refresh_overdue(now);
         let mut sums: HashMap<Arc<str>, PaceEvidence> = HashMap::new();
         for view in self.replicas.values_mut() {
-            view.seen.pace.remove_old_peer_evidence(now);
-            let own = view.seen.pace.own(now);
+            view.observations.pace.remove_old_peer_evidence(now);
+            let own = view.observations.pace.own(now);
             match sums.get_mut(&view.entry.service) {
                 Some(sum) => *sum += own,
                 None => {
@@ -41,13 +41,13 @@
             }
         }
         let sums = sums.into_iter();
-        self.usual_paces = sums
+        self.baseline_paces = sums
             .map(|(service, sum)| (service, BaselinePace::new(sum)))
             .collect();
         for view in self.replicas.values_mut() {
-            let evidence = zone_evidence(view, now, &self.usual_paces);
+            let evidence = zone_evidence(view, now, &self.baseline_paces);
             view.pace = ReplicaPace::new(evidence);
-            view.pause_sight = PauseEstimate::new(now, view.seen.pauses(now), &view.pauses);
+            view.pause_estimate = PauseEstimate::new(now, view.observations.pauses(now), &view.pauses);
         }
     }
 }
--- a/src/policy/direct/placement/replica_table/in_flight.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -28,9 +28,9 @@
         };
         if let Some(prompt) = prompt {
             let service = &view.entry.service;
-            self.usual.record(now, service, prompt.aim, prompt.reading);
+            self.typical_prompts.record(now, service, prompt.aim, prompt.reading);
             if let Some(aim) = prompt.pause_aim {
-                self.pause_aims.record(now, service, aim);
+                self.target_pauses.record(now, service, aim);
             }
             load.reading = prompt.reading;
             load.memory = prompt.reading + prompt.shape.output_tokens;
@@ -48,14 +48,14 @@
                     part: part.id,
                     shared: index + 1 < parts.len(),
                 };
-                push_bounded(&mut self.notes, placement);
+                push_bounded(&mut self.placements, placement);
                 if placement.shared {
                     self.shared_parts.insert(part.id);
-                    push_bounded(&mut self.zone_notes, placement);
+                    push_bounded(&mut self.zone_placements, placement);
                 }
             }
         }
-        let times = self.engines.times(&view.entry.service);
+        let times = self.latency_models.times(&view.entry.service);
         let expected = prompt.map(|prompt| {
             let front_ms = prompt.front_ms / view.pace.now;
             ExpectedTimes {
@@ -65,11 +65,11 @@
         });
         view.own += load;
         let is_slow =
-            view.start_pace.is_slow(now) && self.start_limits.contains_key(&view.entry.service);
+            view.slow_start.is_slow(now) && self.start_limits.contains_key(&view.entry.service);
         if is_slow {
-            view.start_pace.sent(now);
+            view.slow_start.sent(now);
         }
-        let work = InFlightRequest {
+        let request = InFlightRequest {
             is_counted: is_slow,
             replica: replica.clone(),
             start: view.start,
@@ -79,11 +79,11 @@
             expected,
             overdue: None,
         };
-        let number = self.next_work;
-        self.next_work += 1;
-        self.works.insert(number, work);
+        let id = self.next_id;
+        self.next_id += 1;
+        self.in_flight.insert(id, request);
         self.refresh_estimates(now);
-        Some(number)
+        Some(id)
     }
 
     /// Records the arrival of the first token of a prompt. Returns the modelled times of the
@@ -91,35 +91,35 @@
     pub fn first_token(
         &mut self,
         now: Moment,
-        number: InFlightId,
+        id: InFlightId,
     ) -> Option<EngineLatency> {
-        let work = self.works.get_mut(&number)?;
-        let unread = std::mem::take(&mut work.load.reading);
-        let expected = work.expected.take();
-        work.overdue = None;
-        let work = work.clone();
-        let view = self.replicas.get_mut(&work.replica);
-        let view = view.filter(|view| view.start == work.start)?;
+        let request = self.in_flight.get_mut(&id)?;
+        let unread = std::mem::take(&mut request.load.reading);
+        let expected = request.expected.take();
+        request.overdue = None;
+        let request = request.clone();
+        let view = self.replicas.get_mut(&request.replica);
+        let view = view.filter(|view| view.start == request.start)?;
         view.own.reading = view.own.reading.saturating_sub(unread);
-        self.record_pace(now, &work, expected?)
+        self.record_pace(now, &request, expected?)
     }
 
     /// Removes a request that ended at its replica, in whatever way.
     pub fn finish(
         &mut self,
-        number: InFlightId,
+        id: InFlightId,
     ) -> Option<InFlightRequest> {
-        let work = self.works.remove(&number)?;
-        let view = self.replicas.get_mut(&work.replica);
-        if let Some(view) = view.filter(|view| view.start == work.start) {
-            if let (Some(expected), Some((seen_at, waited))) = (work.expected, work.overdue) {
+        let request = self.in_flight.remove(&id)?;
+        let view = self.replicas.get_mut(&request.replica);
+        if let Some(view) = view.filter(|view| view.start == request.start) {
+            if let (Some(expected), Some((seen_at, waited))) = (request.expected, request.overdue) {
                 let sample = PaceEvidence::sample(waited, expected.first_ms);
-                view.seen.pace.record(seen_at, sample);
+                view.observations.pace.record(seen_at, sample);
             }
-            view.own.running = view.own.running.saturating_sub(work.load.running);
-            view.own.reading = view.own.reading.saturating_sub(work.load.reading);
-            view.own.memory = view.own.memory.saturating_sub(work.load.memory);
+            view.own.running = view.own.running.saturating_sub(request.load.running);
+            view.own.reading = view.own.reading.saturating_sub(request.load.reading);
+            view.own.memory = view.own.memory.saturating_sub(request.load.memory);
         }
-        Some(work)
+        Some(request)
     }
 }
--- a/src/policy/direct/placement/replica_table/notices.rs
+++ b/src/policy/direct/placement/replica_table/notices.rs
@@ -77,9 +77,9 @@
     pub fn may_be_sent(
         &self,
         now: Moment,
-        number: InFlightId,
+        id: InFlightId,
         replica: &UpstreamEntry,
     ) -> bool {
-        self.accepts_requests(now, replica) && self.may_still_start(now, number)
+        self.accepts_requests(now, replica) && self.may_still_start(now, id)
     }
 }
--- a/src/policy/direct/placement/replica_table/outcomes.rs
+++ b/src/policy/direct/placement/replica_table/outcomes.rs
@@ -120,7 +120,7 @@
         if let Some(view) = self.same_start(replica) {
             view.cache = PrefixCache::default();
             if let Some(limit) = limit {
-                view.start_pace.doubt(now, limit.lasts + MAX_ABSENCE);
+                view.slow_start.doubt(now, limit.lasts + MAX_ABSENCE);
             }
         }
     }
--- a/src/policy/direct/placement/replica_table/paces.rs
+++ b/src/policy/direct/placement/replica_table/paces.rs
@@ -28,20 +28,20 @@
     pub(super) fn record_pace(
         &mut self,
         now: Moment,
-        work: &InFlightRequest,
+        request: &InFlightRequest,
         expected: ExpectedTimes,
     ) -> Option<EngineLatency> {
-        let took = now.saturating_sub(work.sent);
-        let view = self.replicas.get_mut(&work.replica)?;
+        let took = now.saturating_sub(request.sent);
+        let view = self.replicas.get_mut(&request.replica)?;
         let first_token = FirstToken {
-            tokens: work.reading,
+            tokens: request.reading,
             front_ms: expected.front_ms,
             took: took.div_f64(view.pace.lasting),
         };
         let sample = PaceEvidence::sample(took, expected.first_ms);
-        view.seen.pace.record(now, sample);
-        let changed_times = self.engines.learn(&view.entry.service, first_token);
-        let evidence = zone_evidence(view, now, &self.usual_paces);
+        view.observations.pace.record(now, sample);
+        let changed_times = self.latency_models.learn(&view.entry.service, first_token);
+        let evidence = zone_evidence(view, now, &self.baseline_paces);
         view.pace = ReplicaPace::new(evidence);
         self.refresh_estimates(now);
         changed_times
@@ -52,7 +52,7 @@
         &self,
         service: &str,
     ) -> BaselinePace {
-        self.usual_paces.get(service).copied().unwrap_or_default()
+        self.baseline_paces.get(service).copied().unwrap_or_default()
     }
 
     /// Replicas whose lasting pace has changed since it was last returned, at most `max` of
@@ -63,7 +63,7 @@
         max: usize,
     ) -> Vec<PaceChange> {
         self.refresh_estimates(now);
-        let baselines = &self.usual_paces;
+        let baselines = &self.baseline_paces;
         let views = self.replicas.values_mut();
         let changed = views.filter(|view| {
             let factor = view.pace.lasting / view.logged_pace;
@@ -93,29 +93,29 @@
         now: Moment,
     ) {
         for view in self.replicas.values_mut() {
-            view.seen.pace.set_overdue(PaceEvidence::default());
+            view.observations.pace.set_overdue(PaceEvidence::default());
         }
         let mut overdue: HashMap<Arc<str>, PaceEvidence> = HashMap::new();
-        for work in self.works.values_mut() {
-            let waited = now.saturating_sub(work.sent);
-            let Some(expected) = work.expected else {
+        for request in self.in_flight.values_mut() {
+            let waited = now.saturating_sub(request.sent);
+            let Some(expected) = request.expected else {
                 continue;
             };
-            let view = self.replicas.get(&work.replica);
-            let Some(view) = view.filter(|view| view.start == work.start) else {
+            let view = self.replicas.get(&request.replica);
+            let Some(view) = view.filter(|view| view.start == request.start) else {
                 continue;
             };
             let max_ms =
                 expected.first_ms * view.pace.lasting * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
             if waited.as_secs_f64() * 1000.0 > max_ms {
-                work.overdue = Some((now, waited));
-                *overdue.entry(work.replica.clone()).or_default() +=
+                request.overdue = Some((now, waited));
+                *overdue.entry(request.replica.clone()).or_default() +=
                     PaceEvidence::overdue(waited, expected.first_ms);
             }
         }
         for (replica, overdue) in overdue {
             if let Some(view) = self.replicas.get_mut(&replica) {
-                view.seen.pace.set_overdue(overdue);
+                view.observations.pace.set_overdue(overdue);
             }
         }
     }
@@ -129,5 +129,5 @@
     baselines: &HashMap<Arc<str>, BaselinePace>,
 ) -> PaceEvidence {
     let baseline = baselines.get(&view.entry.service).copied();
-    view.seen.pace.all(now, baseline.unwrap_or_default())
+    view.observations.pace.all(now, baseline.unwrap_or_default())
 }
--- a/src/policy/direct/placement/replica_table/pauses.rs
+++ b/src/policy/direct/placement/replica_table/pauses.rs
@@ -25,11 +25,11 @@
         replica: &UpstreamEntry,
         evidence: PauseEvidence,
     ) -> Option<f32> {
-        let target = self.pause_aims.shortest(now, &replica.service);
+        let target = self.target_pauses.shortest(now, &replica.service);
         let times = self.engine_times(&replica.service);
         let age = self.max_report_age();
         let view = self.same_start(replica)?;
-        view.seen.record_pauses(now, evidence);
+        view.observations.record_pauses(now, evidence);
         if let Some(target) = target {
             let front_ms = view.pace.of(times).prefill_ms(view.load(now, age).reading);
             let target_s = target.as_secs_f64();
@@ -38,8 +38,8 @@
             view.pauses
                 .record_late(now, expected, evidence.broken.into());
         }
-        let all = view.seen.pauses(now);
-        view.pause_sight = PauseEstimate::new(now, all, &view.pauses);
+        let all = view.observations.pauses(now);
+        view.pause_estimate = PauseEstimate::new(now, all, &view.pauses);
         view.pauses.rate_change(now, all)
     }
 
@@ -52,8 +52,8 @@
         tokens: u32,
         took: Duration,
     ) {
-        let expected_s = self.run_lengths.expected_s(&replica.service, tokens);
-        self.run_lengths.record(&replica.service, tokens, took);
+        let expected_s = self.stream_durations.expected_s(&replica.service, tokens);
+        self.stream_durations.record(&replica.service, tokens, took);
         let expected_s = expected_s.filter(|expected_s| *expected_s > 0.0);
         if let Some((view, expected_s)) = self.same_start(replica).zip(expected_s) {
             view.pauses
@@ -70,12 +70,12 @@
         prompt: &PromptShape,
         usable: &[&ReplicaView],
     ) -> Option<PauseRisk> {
-        let shortest = self.pause_aims.shortest(now, request.service);
+        let shortest = self.target_pauses.shortest(now, request.service);
         let pause_target = shortest.into_iter().chain(request.pause_aim).min()?;
         let tokens = request.pause_aim.map_or(0, |_| prompt.output_tokens);
-        let run_s = self.run_lengths.expected_s(request.service, tokens)?;
-        let mean_run_s = self.run_lengths.mean_s(request.service)?;
-        let estimates = usable.iter().map(|view| view.pause_sight);
+        let run_s = self.stream_durations.expected_s(request.service, tokens)?;
+        let mean_run_s = self.stream_durations.mean_s(request.service)?;
+        let estimates = usable.iter().map(|view| view.pause_estimate);
         PauseRisk::new(request.aim, pause_target, run_s, mean_run_s, estimates)
     }
 
@@ -85,7 +85,7 @@
         running: u32,
         candidate: &mut Candidate,
     ) {
-        let estimate = candidate.plan.view.pause_sight;
+        let estimate = candidate.plan.view.pause_estimate;
         let own_ms = candidate.times.prefill_ms(candidate.plan.reading);
         candidate.others_late = risk.others_late(estimate, running, candidate.front_ms, own_ms);
         candidate.pauses_ms = risk.own_ms(estimate) + risk.cost_ms(candidate.others_late);
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -60,13 +60,13 @@
 
     /// Removes and returns the prompt parts that this router sent to replicas.
     pub fn take_placements(&mut self) -> Vec<PartPlacement> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.placements)
     }
 
     /// Removes and returns the shared prompt parts that the routers of this zone sent to
     /// replicas, for other zones.
     pub fn take_zone_placements(&mut self) -> Vec<PartPlacement> {
-        std::mem::take(&mut self.zone_notes)
+        std::mem::take(&mut self.zone_placements)
     }
 
     /// Applies announcements of prompt parts that other routers sent to replicas.
@@ -74,17 +74,17 @@
         &mut self,
         now: Moment,
         scope: TellerScope,
-        notes: &[PartPlacement],
+        placements: &[PartPlacement],
     ) {
-        for note in notes {
-            if let Some(view) = self.by_key(note.replica) {
-                view.cache.note(now, note.part);
+        for placement in placements {
+            if let Some(view) = self.by_key(placement.replica) {
+                view.cache.note(now, placement.part);
             }
-            if note.shared {
-                self.shared_parts.insert(note.part);
+            if placement.shared {
+                self.shared_parts.insert(placement.part);
             }
-            if note.shared && scope == TellerScope::Router {
-                push_bounded(&mut self.zone_notes, *note);
+            if placement.shared && scope == TellerScope::Router {
+                push_bounded(&mut self.zone_placements, *placement);
             }
         }
     }
@@ -96,7 +96,7 @@
     ) -> Vec<ReplicaEvidence> {
         let views = self.replicas.values();
         let evidence = views.map(|view| {
-            let own = view.seen.own(now, view.start);
+            let own = view.observations.own(now, view.start);
             ReplicaEvidence {
                 pace: own.pace.beside(self.baseline_pace(&view.entry.service)),
                 ..own
@@ -115,7 +115,7 @@
     ) {
         for evidence in evidence.iter().filter(|evidence| evidence.is_possible()) {
             if let Some(view) = self.by_key(evidence.start) {
-                view.seen.apply_peer_evidence(now, peer, *evidence);
+                view.observations.apply_peer_evidence(now, peer, *evidence);
             }
         }
         self.refresh_estimates(now);
@@ -123,7 +123,7 @@
 
     /// Latency models of this router, for its peers.
     pub fn engine_reports(&self) -> Vec<LatencyReport> {
-        self.engines.reports()
+        self.latency_models.reports()
     }
 
     /// Applies a peer's latency models of services of which this router has few samples.
@@ -135,7 +135,7 @@
             let mut services = self.replicas.values().map(|view| &view.entry.service);
             let service = services.find(|name| short_name(name) == report.service);
             if let Some(service) = service {
-                self.engines.hear(service, report);
+                self.latency_models.hear(service, report);
             }
         }
     }
--- a/src/policy/direct/placement/replica_table/slow_start.rs
+++ b/src/policy/direct/placement/replica_table/slow_start.rs
@@ -39,7 +39,7 @@
             return true;
         };
         &*view.entry.zone == request.zone
-            && view.start_pace.has_room(now, limit.per_second)
+            && view.slow_start.has_room(now, limit.per_second)
             && self.zone_routers.owns(now, view.hash)
     }
 
@@ -48,17 +48,17 @@
     pub fn may_still_start(
         &self,
         now: Moment,
-        number: InFlightId,
+        id: InFlightId,
     ) -> bool {
-        let Some(work) = self.works.get(&number) else {
+        let Some(request) = self.in_flight.get(&id) else {
             return false;
         };
-        let view = self.replicas.get(&work.replica);
+        let view = self.replicas.get(&request.replica);
         let Some(view) = view.filter(|view| self.slow_limit(now, view).is_some()) else {
             return true;
         };
-        let is_same = view.start == work.start;
-        is_same && work.is_counted && now.saturating_sub(work.sent) <= StartPace::LATEST
+        let is_same = view.start == request.start;
+        is_same && request.is_counted && now.saturating_sub(request.sent) <= StartPace::LATEST
     }
 
     /// The shortest remaining slow start among the replicas of a service; none if no replica is
@@ -71,7 +71,7 @@
         let views = self.replicas.values();
         let of_service = views.filter(|view| &*view.entry.service == service);
         let slow = of_service.filter(|view| self.slow_limit(now, view).is_some());
-        slow.map(|view| view.start_pace.left(now)).min()
+        slow.map(|view| view.slow_start.left(now)).min()
     }
 
     /// The slow-start limit in force at a replica; none if it is not in slow start.
@@ -81,6 +81,6 @@
         view: &ReplicaView,
     ) -> Option<StartLimit> {
         let limit = self.start_limits.get(&view.entry.service)?;
-        view.start_pace.is_slow(now).then_some(*limit)
+        view.slow_start.is_slow(now).then_some(*limit)
     }
 }
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -25,21 +25,21 @@
     pub(super) settings: PlacementSettings,
     pub(super) replicas: BTreeMap<Arc<str>, ReplicaView>,
     ids_by_start: HashMap<u32, Arc<str>>, // by the hashes of their starts
-    pub(super) works: HashMap<InFlightId, InFlightRequest>,
-    pub(super) engines: LatencyModels,
-    pub(super) usual: TypicalPrompts,
-    pub(super) usual_paces: HashMap<Arc<str>, BaselinePace>, // by service
+    pub(super) in_flight: HashMap<InFlightId, InFlightRequest>,
+    pub(super) latency_models: LatencyModels,
+    pub(super) typical_prompts: TypicalPrompts,
+    pub(super) baseline_paces: HashMap<Arc<str>, BaselinePace>, // by service
     pub(super) refreshed: Moment, // the last refresh of the estimates
-    pub(super) pause_aims: TargetPauses,
-    pub(super) run_lengths: StreamDurations,
-    pub(super) next_work: InFlightId,
-    pub(super) notes: Vec<PartPlacement>, // sent by this router, to be announced in its zone
-    pub(super) zone_notes: Vec<PartPlacement>, // shared parts sent by the zone, for other zones
-    pub(super) kept_news: Vec<(u32, CacheEventBatch)>, // to be forwarded, by replica start
-    pub(super) zone_kept_news: Vec<(u32, CacheEventBatch)>, // evicted shared parts, for other zones
+    pub(super) target_pauses: TargetPauses,
+    pub(super) stream_durations: StreamDurations,
+    pub(super) next_id: InFlightId,
+    pub(super) placements: Vec<PartPlacement>, // sent by this router, to be announced in its zone
+    pub(super) zone_placements: Vec<PartPlacement>, // shared parts sent by the zone, for other zones
+    pub(super) cache_events: Vec<(u32, CacheEventBatch)>, // to be forwarded, by replica start
+    pub(super) zone_evictions: Vec<(u32, CacheEventBatch)>, // evicted shared parts, for other zones
     pub(super) shared_parts: SharedParts,
     pub(super) report_interval: Duration, // between two load reports of a router
-    pub(super) fleet: FleetSize,
+    pub(super) fleet_size: FleetSize,
     cordoned: BTreeSet<String>,        // zones that get no new requests
     regions: BTreeMap<String, String>, // by zone
     pub(super) start_limits: HashMap<Arc<str>, StartLimit>, // slow-start limits by service
@@ -57,21 +57,21 @@
             settings,
             replicas: BTreeMap::new(),
             ids_by_start: HashMap::new(),
-            works: HashMap::new(),
-            engines: LatencyModels::default(),
-            usual: TypicalPrompts::default(),
-            usual_paces: HashMap::new(),
+            in_flight: HashMap::new(),
+            latency_models: LatencyModels::default(),
+            typical_prompts: TypicalPrompts::default(),
+            baseline_paces: HashMap::new(),
             refreshed: Moment::ZERO,
-            pause_aims: TargetPauses::default(),
-            run_lengths: StreamDurations::default(),
-            next_work: 1,
-            notes: Vec::new(),
-            zone_notes: Vec::new(),
-            kept_news: Vec::new(),
-            zone_kept_news: Vec::new(),
+            target_pauses: TargetPauses::default(),
+            stream_durations: StreamDurations::default(),
+            next_id: 1,
+            placements: Vec::new(),
+            zone_placements: Vec::new(),
+            cache_events: Vec::new(),
+            zone_evictions: Vec::new(),
             shared_parts: SharedParts::default(),
             report_interval: Duration::ZERO,
-            fleet: FleetSize::default(),
+            fleet_size: FleetSize::default(),
             cordoned: BTreeSet::new(),
             regions: BTreeMap::new(),
             start_limits: HashMap::new(),
@@ -92,10 +92,10 @@
     pub fn set_reporting(
         &mut self,
         interval: Duration,
-        fleet: FleetSize,
+        fleet_size: FleetSize,
     ) {
         self.report_interval = interval;
-        self.fleet = fleet;
+        self.fleet_size = fleet_size;
     }
 
     /// Age beyond which a peer's load report is ignored. In large fleets, where reports are
@@ -122,14 +122,14 @@
             match self.replicas.get_mut(&entry.id) {
                 Some(view) if view.entry.is_same_start(entry) => {
                     if !Arc::ptr_eq(&view.entry, entry) {
-                        view.start_pace.told(now, entry.slow_for);
+                        view.slow_start.told(now, entry.slow_for);
                     }
                     view.entry = entry.clone();
                 }
                 known => {
                     restarted.extend(known.map(|_| entry.id.clone()));
                     let mut view = ReplicaView::new(entry.clone());
-                    view.start_pace.told(now, entry.slow_for);
+                    view.slow_start.told(now, entry.slow_for);
                     self.replicas.insert(entry.id.clone(), view);
                 }
             }
@@ -208,6 +208,6 @@
         &self,
         service: &str,
     ) -> EngineLatency {
-        self.engines.times(service)
+        self.latency_models.times(service)
     }
 }
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -27,12 +27,12 @@
     pub placed_by_zone: u64,     // tokens that all routers of the zone have sent there
     pub heard: Moment,           // of the last answer to this router
     pub plain: PlainTimes,       // of requests without a prompt
-    pub seen: ReplicaObservations,          // observed pace and pauses
+    pub observations: ReplicaObservations,          // observed pace and pauses
     pub pace: ReplicaPace,       // as of the last refresh of the estimates
     pub logged_pace: f64,        // lasting pace as of the last log line
     pub pauses: PauseRecord,     // observed by this router
-    pub pause_sight: PauseEstimate, // as of the last refresh of the estimates
-    pub start_pace: StartPace,   // slow-start limit on requests of this router
+    pub pause_estimate: PauseEstimate, // as of the last refresh of the estimates
+    pub slow_start: StartPace,   // slow-start limit on requests of this router
     routers: PeerLoads,          // of the other routers of the zone
     zones: PeerLoads,            // of the other zones, one report for each
 }
@@ -51,12 +51,12 @@
             placed_by_zone: 0,
             heard: Moment::ZERO,
             plain: PlainTimes::default(),
-            seen: ReplicaObservations::default(),
+            observations: ReplicaObservations::default(),
             pace: ReplicaPace::default(),
             logged_pace: 1.0,
             pauses: PauseRecord::default(),
-            pause_sight: PauseEstimate::default(),
-            start_pace: StartPace::default(),
+            pause_estimate: PauseEstimate::default(),
+            slow_start: StartPace::default(),
             routers: PeerLoads::default(),
             zones: PeerLoads::default(),
         }
