--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -57,7 +57,7 @@
             }
             Choice::Send {
                 replica,
-                reading,
+                prefill_tokens: reading,
                 fetch_from,
                 front_ms,
                 pauses_ms,
@@ -69,7 +69,7 @@
                     engine,
                     aim: call.route.aim,
                     pause_aim: call.route.pause_aim,
-                    reading,
+                    prefill_tokens: reading,
                     front_ms,
                 });
                 let number = board.start(now, &replica, sent);
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -74,7 +74,7 @@
     ) -> bool {
         let memory = f64::from(load.memory) + f64::from(tokens);
         let fits = memory <= self.max_memory || load.running == 0;
-        let is_idle = load.reading == 0 && self.may_use_idle;
+        let is_idle = load.prefill_tokens == 0 && self.may_use_idle;
         let in_time = excess_ms <= 0.0 || (is_idle && self.keeps_streams_in_time(candidate));
         load.running < candidate.plan.view.entry.slots && fits && in_time
     }
--- a/src/policy/direct/placement/choosing/candidate.rs
+++ b/src/policy/direct/placement/choosing/candidate.rs
@@ -30,7 +30,7 @@
         let times = plan.view.pace.of(service_times);
         Self {
             front_ms: times.prefill_ms(front),
-            own_ms: times.prefill_ms(plan.reading) + plan.fetch_ms,
+            own_ms: times.prefill_ms(plan.prefill_tokens) + plan.fetch_ms,
             times,
             pauses_ms: 0.0,
             others_late: 0.0,
--- a/src/policy/direct/placement/choosing/prefill_plan.rs
+++ b/src/policy/direct/placement/choosing/prefill_plan.rs
@@ -19,7 +19,7 @@
 pub struct PrefillPlan<'v> {
     pub view: &'v ReplicaView,
     pub source: Option<&'v ReplicaView>, // replica to fetch cached tokens from
-    pub reading: u32,                    // tokens to prefill
+    pub prefill_tokens: u32,                    // tokens to prefill
     pub duplicate_tokens: u32,                      // of these, cached at other replicas
     pub fetched_tokens: u32,                    // tokens to fetch
     pub fetch_ms: f64,
@@ -32,7 +32,7 @@
         prompt: &PromptShape,
     ) -> bool {
         let unshared = prompt.parts.last().map_or(0, |part| part.tokens);
-        prompt.parts.len() > 1 && self.source.is_none() && self.reading <= unshared
+        prompt.parts.len() > 1 && self.source.is_none() && self.prefill_tokens <= unshared
     }
 }
 
@@ -102,7 +102,7 @@
     let without_fetch = PrefillPlan {
         view: usable[index],
         source: None,
-        reading: uncached,
+        prefill_tokens: uncached,
         duplicate_tokens: fetchable,
         fetched_tokens: 0,
         fetch_ms: 0.0,
@@ -111,7 +111,7 @@
         None => without_fetch,
         Some(fetch_ms) => PrefillPlan {
             source: source.map(|other| usable[other]),
-            reading: sources.least,
+            prefill_tokens: sources.least,
             duplicate_tokens: 0,
             fetched_tokens: fetchable,
             fetch_ms,
--- a/src/policy/direct/placement/loads/in_flight_request.rs
+++ b/src/policy/direct/placement/loads/in_flight_request.rs
@@ -15,7 +15,7 @@
     pub sent: Moment,
     pub is_counted: bool, // against the slow-start limit of the replica
     pub load: Load,       // its current part of the router's load there
-    pub reading: u32,     // uncached prompt tokens as of its sending
+    pub prefill_tokens: u32,     // uncached prompt tokens as of its sending
     pub expected: Option<ExpectedTimes>, // of a prompt, until its first token arrives
     pub overdue: Option<(Moment, Duration)>, // last check that found it late, and its wait then
 }
--- a/src/policy/direct/placement/loads/load.rs
+++ b/src/policy/direct/placement/loads/load.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     pub running: u32, // requests that are not answered completely
-    pub reading: u32, // uncached prompt tokens of requests without a first token
+    pub prefill_tokens: u32, // uncached prompt tokens of requests without a first token
     pub memory: u32,  // tokens that running requests occupy or may still generate
 }
 
@@ -17,7 +17,7 @@
         other: Self,
     ) {
         self.running += other.running;
-        self.reading += other.reading;
+        self.prefill_tokens += other.prefill_tokens;
         self.memory += other.memory;
     }
 }
@@ -28,7 +28,7 @@
         other: Self,
     ) {
         self.running = self.running.saturating_sub(other.running);
-        self.reading = self.reading.saturating_sub(other.reading);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
         self.memory = self.memory.saturating_sub(other.memory);
     }
 }
--- a/src/policy/direct/placement/prompts/sent_prompt.rs
+++ b/src/policy/direct/placement/prompts/sent_prompt.rs
@@ -7,6 +7,6 @@
     pub engine: EngineFacts,
     pub aim: Duration,               // latency target of its route
     pub pause_aim: Option<Duration>, // longest allowed pause between its events
-    pub reading: u32,                // uncached prompt tokens
+    pub prefill_tokens: u32,                // uncached prompt tokens
     pub front_ms: f64,               // expected wait for queued prefill and for fetching
 }
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -114,9 +114,9 @@
         for (index, view) in usable.iter().enumerate() {
             let load = view.load(now, age);
             let plan = prefill_plan(index, engine, usable, &sources);
-            let tokens = plan.reading + prompt.output_tokens;
+            let tokens = plan.prefill_tokens + prompt.output_tokens;
             let rank = preferred.iter().position(|other| *other == index);
-            let mut candidate = Candidate::new(plan, prompt, load.reading, times, rank);
+            let mut candidate = Candidate::new(plan, prompt, load.prefill_tokens, times, rank);
             if let Some(risk) = &risk {
                 Self::set_pause_costs(risk, load.running, &mut candidate);
             }
@@ -174,7 +174,7 @@
         let age = self.max_report_age();
         let idle = usable
             .iter()
-            .filter(|view| view.load(now, age).reading == 0);
+            .filter(|view| view.load(now, age).prefill_tokens == 0);
         idle.count() * 2 > usable.len()
     }
 
@@ -228,7 +228,7 @@
     let plan = &candidate.plan;
     Choice::Send {
         replica: plan.view.entry.id.clone(),
-        reading: plan.reading,
+        prefill_tokens: plan.prefill_tokens,
         fetch_from: plan.source.map(|view| view.entry.id.clone()),
         front_ms: candidate.front_ms + plan.fetch_ms,
         pauses_ms: candidate.pauses_ms,
--- a/src/policy/direct/placement/replica_table/in_flight.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -28,12 +28,12 @@
         };
         if let Some(prompt) = prompt {
             let service = &view.entry.service;
-            self.typical_prompts.record(now, service, prompt.aim, prompt.reading);
+            self.typical_prompts.record(now, service, prompt.aim, prompt.prefill_tokens);
             if let Some(aim) = prompt.pause_aim {
                 self.target_pauses.record(now, service, aim);
             }
-            load.reading = prompt.reading;
-            load.memory = prompt.reading + prompt.shape.output_tokens;
+            load.prefill_tokens = prompt.prefill_tokens;
+            load.memory = prompt.prefill_tokens + prompt.shape.output_tokens;
             let memory = prompt.engine.memory_tokens;
             let reserved = load_before.memory + load.memory;
             view.cache.set_room(memory.saturating_sub(u64::from(reserved)));
@@ -60,7 +60,7 @@
             let front_ms = prompt.front_ms / view.pace.now;
             ExpectedTimes {
                 front_ms,
-                first_ms: times.fixed_ms + times.prefill_ms(prompt.reading) + front_ms,
+                first_ms: times.fixed_ms + times.prefill_ms(prompt.prefill_tokens) + front_ms,
             }
         });
         view.own += load;
@@ -75,7 +75,7 @@
             start: view.start,
             sent: now,
             load,
-            reading: load.reading,
+            prefill_tokens: load.prefill_tokens,
             expected,
             overdue: None,
         };
@@ -94,13 +94,13 @@
         id: InFlightId,
     ) -> Option<EngineLatency> {
         let request = self.in_flight.get_mut(&id)?;
-        let unread = std::mem::take(&mut request.load.reading);
+        let unread = std::mem::take(&mut request.load.prefill_tokens);
         let expected = request.expected.take();
         request.overdue = None;
         let request = request.clone();
         let view = self.replicas.get_mut(&request.replica);
         let view = view.filter(|view| view.start == request.start)?;
-        view.own.reading = view.own.reading.saturating_sub(unread);
+        view.own.prefill_tokens = view.own.prefill_tokens.saturating_sub(unread);
         self.record_pace(now, &request, expected?)
     }
 
@@ -117,7 +117,7 @@
                 view.observations.pace.record(seen_at, sample);
             }
             view.own.running = view.own.running.saturating_sub(request.load.running);
-            view.own.reading = view.own.reading.saturating_sub(request.load.reading);
+            view.own.prefill_tokens = view.own.prefill_tokens.saturating_sub(request.load.prefill_tokens);
             view.own.memory = view.own.memory.saturating_sub(request.load.memory);
         }
         Some(request)
--- a/src/policy/direct/placement/replica_table/paces.rs
+++ b/src/policy/direct/placement/replica_table/paces.rs
@@ -34,7 +34,7 @@
         let took = now.saturating_sub(request.sent);
         let view = self.replicas.get_mut(&request.replica)?;
         let first_token = FirstToken {
-            tokens: request.reading,
+            tokens: request.prefill_tokens,
             front_ms: expected.front_ms,
             took: took.div_f64(view.pace.lasting),
         };
--- a/src/policy/direct/placement/replica_table/pauses.rs
+++ b/src/policy/direct/placement/replica_table/pauses.rs
@@ -31,7 +31,7 @@
         let view = self.same_start(replica)?;
         view.observations.record_pauses(now, evidence);
         if let Some(target) = target {
-            let front_ms = view.pace.of(times).prefill_ms(view.load(now, age).reading);
+            let front_ms = view.pace.of(times).prefill_ms(view.load(now, age).prefill_tokens);
             let target_s = target.as_secs_f64();
             let pauses = (f64::from(evidence.watched_s) / target_s).min(1.0);
             let expected = pauses * late_fraction(front_ms, target_s * 1000.0);
@@ -86,7 +86,7 @@
         candidate: &mut Candidate,
     ) {
         let estimate = candidate.plan.view.pause_estimate;
-        let own_ms = candidate.times.prefill_ms(candidate.plan.reading);
+        let own_ms = candidate.times.prefill_ms(candidate.plan.prefill_tokens);
         candidate.others_late = risk.others_late(estimate, running, candidate.front_ms, own_ms);
         candidate.pauses_ms = risk.own_ms(estimate) + risk.cost_ms(candidate.others_late);
     }
--- a/src/policy/direct/placement/replica_table/plain_choice.rs
+++ b/src/policy/direct/placement/replica_table/plain_choice.rs
@@ -52,7 +52,7 @@
         match best {
             Some((_, queue, view)) => Choice::Send {
                 replica: view.entry.id.clone(),
-                reading: 0,
+                prefill_tokens: 0,
                 fetch_from: None,
                 front_ms: queue.wait_ms,
                 pauses_ms: 0.0,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -178,7 +178,7 @@
 fn load(id: &str) -> ReplicaReport {
     let load = Load {
         running: 1,
-        reading: 60,
+        prefill_tokens: 60,
         memory: 4000,
     };
     ReplicaReport {
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -218,7 +218,7 @@
         let shape = prompt(self.next);
         let Choice::Send {
             replica,
-            reading,
+            prefill_tokens: reading,
             front_ms,
             ..
         } = choose(&self.board, self.now, &shape)
@@ -244,7 +244,7 @@
             shape,
             engine: ENGINE,
             aim: AIM,
-            reading,
+            prefill_tokens: reading,
             front_ms,
         };
         let work = self.board.start(self.now, &replica, Some(sent));
@@ -436,7 +436,7 @@
                 shape: &shape,
                 engine: ENGINE,
                 aim: AIM,
-                reading: TOKENS,
+                prefill_tokens: TOKENS,
                 front_ms: 0.0,
             };
             board.start(BEGIN, &replica.into(), Some(sent));
@@ -566,7 +566,7 @@
             shape: &shape,
             engine: ENGINE,
             aim: AIM,
-            reading: 0,
+            prefill_tokens: 0,
             front_ms: 0.0,
         };
         board.start(BEGIN, &"a".into(), Some(sent));
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -40,7 +40,7 @@
             replica: 0xfeed_beef,
             load: Load {
                 running: 3,
-                reading: 4000,
+                prefill_tokens: 4000,
                 memory: 5000,
             },
             placed: 1 << 40,
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -121,7 +121,7 @@
 fn sent(choice: Choice) -> (Arc<str>, u32) {
     match choice {
         Choice::Send {
-            replica, reading, ..
+            replica, prefill_tokens: reading, ..
         } => (replica, reading),
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
@@ -174,7 +174,7 @@
         engine: ENGINE,
         aim: AIM,
         pause_aim: None,
-        reading,
+        prefill_tokens: reading,
         front_ms: 0.0,
     }
 }
@@ -239,7 +239,7 @@
         replica: short_name(&home),
         load: Load {
             running: 3,
-            reading: 12_000,
+            prefill_tokens: 12_000,
             memory: 12_000,
         },
         placed: 0,
@@ -302,7 +302,7 @@
     prompt: &PromptShape,
 ) {
     if let Choice::Send {
-        replica, reading, ..
+        replica, prefill_tokens: reading, ..
     } = board.choose(NOW, &request(prompt))
     {
         board.start(NOW, &replica, Some(sent_prompt(prompt, reading)));
@@ -496,9 +496,9 @@
         .start(NOW, &"a".into(), Some(sent_prompt(&prompt, 5000)))
         .expect("listed");
     let own = |board: &ReplicaTable| board.replica("a").expect("listed").own;
-    assert_eq!(own(&board).reading, 5000);
+    assert_eq!(own(&board).prefill_tokens, 5000);
     board.first_token(NOW + Duration::from_millis(200), number);
-    assert_eq!((own(&board).reading, own(&board).running), (0, 1));
+    assert_eq!((own(&board).prefill_tokens, own(&board).running), (0, 1));
     board.finish(number);
     board.finish(number);
     assert_eq!(own(&board), Load::default());
@@ -584,7 +584,7 @@
     board.hear(NOW, PEER, &[busy]);
     let Choice::Send {
         replica,
-        reading,
+        prefill_tokens: reading,
         fetch_from,
         ..
     } = board.choose(NOW, &spilled)
@@ -649,7 +649,7 @@
                 replica: short_name(id),
                 load: Load {
                     running: 2,
-                    reading: 5000,
+                    prefill_tokens: 5000,
                     memory: 5000,
                 },
                 placed: 0,
@@ -690,7 +690,7 @@
             replica: short_name(&home),
             load: Load {
                 running: 1,
-                reading: in_front,
+                prefill_tokens: in_front,
                 memory: in_front,
             },
             placed: 0,
@@ -899,7 +899,7 @@
         replica: 1,
         load: Load {
             running: 1,
-            reading: tokens,
+            prefill_tokens: tokens,
             memory: tokens,
         },
         placed,
@@ -916,16 +916,16 @@
     assert_eq!(peers.hear(at(0), age, 1, 7, &reading(100, 100, false)), 0);
     assert_eq!(peers.hear(at(500), age, 2, 7, &reading(20, 20, true)), 0);
     assert_eq!(peers.hear(at(600), age, 2, 7, &reading(30, 50, true)), 30);
-    assert_eq!(peers.load(at(700), age).reading, 130);
+    assert_eq!(peers.load(at(700), age).prefill_tokens, 130);
     assert!(peers.is_avoided(at(700), age));
     // The first peer is silent: nothing is heard, or only the others are.
-    assert_eq!(peers.load(at(1200), age).reading, 30);
+    assert_eq!(peers.load(at(1200), age).prefill_tokens, 30);
     peers.hear(at(1300), age, 3, 7, &reading(5, 5, false));
-    assert_eq!(peers.load(at(1300), age).reading, 35);
+    assert_eq!(peers.load(at(1300), age).prefill_tokens, 35);
     assert_eq!(peers.load(at(1300), age).running, 2);
     // It comes back: what it had placed before is no news.
     assert_eq!(peers.hear(at(1400), age, 1, 7, &reading(1, 101, false)), 1);
-    assert_eq!(peers.load(at(1400), age).reading, 36);
+    assert_eq!(peers.load(at(1400), age).prefill_tokens, 36);
     // Another process speaks for it, which counts from another beginning.
     assert_eq!(peers.hear(at(1500), age, 1, 8, &reading(2, 9000, false)), 0);
     assert_eq!(
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -78,7 +78,7 @@
         regions: None,
     };
     match board.choose(NOW, &request) {
-        Choice::Send { reading, .. } => reading,
+        Choice::Send { prefill_tokens: reading, .. } => reading,
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
 }
@@ -89,7 +89,7 @@
         engine: ENGINE,
         aim: Duration::from_secs(10),
         pause_aim: None,
-        reading: 5000,
+        prefill_tokens: 5000,
         front_ms: 0.0,
     };
     let sent = board.start(NOW, &"i-a".into(), Some(sent));
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -205,7 +205,7 @@
         let request = request(&shape, self.pause_aim);
         let Choice::Send {
             replica,
-            reading,
+            prefill_tokens: reading,
             front_ms,
             ..
         } = self.board.choose(self.now, &request)
@@ -217,7 +217,7 @@
             engine: ENGINE,
             aim,
             pause_aim: self.pause_aim,
-            reading,
+            prefill_tokens: reading,
             front_ms,
         };
         let number = self.board.start(self.now, &replica, Some(sent));
