--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -59,7 +59,7 @@
                 replica,
                 prefill_tokens: reading,
                 fetch_from,
-                front_ms,
+                queue_ms: front_ms,
                 pauses_ms,
                 expected,
             } => {
@@ -70,7 +70,7 @@
                     aim: call.route.aim,
                     pause_aim: call.route.pause_aim,
                     prefill_tokens: reading,
-                    front_ms,
+                    queue_ms: front_ms,
                 });
                 let number = board.start(now, &replica, sent);
                 let entry = board.replica(&replica).map(|view| view.entry.clone());
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -58,9 +58,9 @@
         budget_ms: f64,
     ) -> f64 {
         if !self.keeps_streams_in_time(candidate) {
-            return candidate.front_ms + candidate.own_ms;
+            return candidate.queue_ms + candidate.own_ms;
         }
-        let prefill_ms = candidate.front_ms + candidate.own_ms * self.own_weight;
+        let prefill_ms = candidate.queue_ms + candidate.own_ms * self.own_weight;
         (prefill_ms - budget_ms * self.budget_share).max(0.0)
     }
 
--- a/src/policy/direct/placement/choosing/candidate.rs
+++ b/src/policy/direct/placement/choosing/candidate.rs
@@ -8,7 +8,7 @@
     pub plan: PrefillPlan<'v>,
     pub times: EngineLatency,  // of the service's engines, scaled by the replica's pace
     pub service_times: EngineLatency,  // average of the service's engines
-    pub front_ms: f64,       // prefill queued ahead of the prompt
+    pub queue_ms: f64,       // prefill queued ahead of the prompt
     pub own_ms: f64,         // prefill and fetching of the prompt itself
     pub pauses_ms: f64,      // expected cost of late stream events
     pub others_late: f64,    // running streams that it is expected to make late
@@ -18,18 +18,18 @@
 }
 
 impl<'v> Candidate<'v> {
-    /// A replica with `front` uncached prompt tokens in its queue, of a service whose engines
+    /// A replica with `queued_tokens` uncached prompt tokens in its queue, of a service whose engines
     /// take the times `service_times` on average.
     pub fn new(
         plan: PrefillPlan<'v>,
         prompt: &PromptShape,
-        front: u32,
+        queued_tokens: u32,
         service_times: EngineLatency,
         rank: Option<usize>,
     ) -> Self {
         let times = plan.view.pace.of(service_times);
         Self {
-            front_ms: times.prefill_ms(front),
+            queue_ms: times.prefill_ms(queued_tokens),
             own_ms: times.prefill_ms(plan.prefill_tokens) + plan.fetch_ms,
             times,
             pauses_ms: 0.0,
@@ -44,7 +44,7 @@
 
     /// Expected time to the first token, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.times.fixed_ms + self.front_ms + self.own_ms
+        self.times.fixed_ms + self.queue_ms + self.own_ms
     }
 
     /// Prefill time of some tokens at an average engine of the service, in milliseconds.
--- a/src/policy/direct/placement/choosing/choice.rs
+++ b/src/policy/direct/placement/choosing/choice.rs
@@ -7,7 +7,7 @@
         replica: Arc<str>,
         prefill_tokens: u32,                 // uncached prompt tokens
         fetch_from: Option<Arc<str>>, // replica to fetch cached tokens from
-        front_ms: f64,                // expected wait for queued work and for fetching
+        queue_ms: f64,                // expected wait for queued work and for fetching
         pauses_ms: f64,               // weighted cost of late stream events
         expected: Duration,           // time to the first token, or to a plain answer
     },
--- a/src/policy/direct/placement/engines/first_token.rs
+++ b/src/policy/direct/placement/engines/first_token.rs
@@ -4,6 +4,6 @@
 #[derive(Debug, Clone, Copy)]
 pub struct FirstToken {
     pub tokens: u32,    // uncached tokens of the prompt
-    pub front_ms: f64,  // expected wait for queued prefill and for fetching
+    pub queue_ms: f64,  // expected wait for queued prefill and for fetching
     pub took: Duration, // from sending to the first token
 }
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -104,13 +104,13 @@
         let tokens = f64::from(sample.tokens) / THOUSAND;
         let times = self.times();
         let expected = times.fixed_ms + times.prefill_ms(sample.tokens);
-        let residual = sample.took.as_secs_f64() * 1000.0 - sample.front_ms - expected;
+        let residual = sample.took.as_secs_f64() * 1000.0 - sample.queue_ms - expected;
         let clipped = self.clip(residual);
         // The wider clip of the first samples is for the fitted times, not the mean residual.
         let absolute = clipped.abs().min(self.max_residual());
         self.residual += RESIDUAL_WEIGHT * (absolute - self.residual);
         self.decay();
-        let weight = HALF_WEIGHT_QUEUE_MS / (HALF_WEIGHT_QUEUE_MS + sample.front_ms.max(0.0));
+        let weight = HALF_WEIGHT_QUEUE_MS / (HALF_WEIGHT_QUEUE_MS + sample.queue_ms.max(0.0));
         self.add(weight, tokens, expected + clipped);
         self.samples += 1;
     }
--- a/src/policy/direct/placement/pauses/pause_risk.rs
+++ b/src/policy/direct/placement/pauses/pause_risk.rs
@@ -71,16 +71,16 @@
     }
 
     /// Expected number of streams running at a replica that become late because of the
-    /// request's prefill of `own_ms`, after `front_ms` of queued prefill.
+    /// request's prefill of `own_ms`, after `queue_ms` of queued prefill.
     pub fn others_late(
         &self,
         estimate: PauseEstimate,
         running: u32,
-        front_ms: f64,
+        queue_ms: f64,
         own_ms: f64,
     ) -> f64 {
         let share = |block_ms| late_fraction(block_ms, self.target_ms);
-        let added = share(front_ms + own_ms) - share(front_ms);
+        let added = share(queue_ms + own_ms) - share(queue_ms);
         let expected = estimate.expected + PRIOR_EXPECTED;
         let susceptible = (estimate.came + self.susceptible * PRIOR_EXPECTED) / expected;
         f64::from(running) * added * susceptible.min(1.0)
--- a/src/policy/direct/placement/prompts/sent_prompt.rs
+++ b/src/policy/direct/placement/prompts/sent_prompt.rs
@@ -8,5 +8,5 @@
     pub aim: Duration,               // latency target of its route
     pub pause_aim: Option<Duration>, // longest allowed pause between its events
     pub prefill_tokens: u32,                // uncached prompt tokens
-    pub front_ms: f64,               // expected wait for queued prefill and for fetching
+    pub queue_ms: f64,               // expected wait for queued prefill and for fetching
 }
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -230,7 +230,7 @@
         replica: plan.view.entry.id.clone(),
         prefill_tokens: plan.prefill_tokens,
         fetch_from: plan.source.map(|view| view.entry.id.clone()),
-        front_ms: candidate.front_ms + plan.fetch_ms,
+        queue_ms: candidate.queue_ms + plan.fetch_ms,
         pauses_ms: candidate.pauses_ms,
         expected: Duration::from_secs_f64(candidate.expected_ms() / 1000.0),
     }
--- a/src/policy/direct/placement/replica_table/in_flight.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -57,10 +57,10 @@
         }
         let times = self.latency_models.times(&view.entry.service);
         let expected = prompt.map(|prompt| {
-            let front_ms = prompt.front_ms / view.pace.now;
+            let queue_ms = prompt.queue_ms / view.pace.now;
             ExpectedTimes {
-                front_ms,
-                first_ms: times.fixed_ms + times.prefill_ms(prompt.prefill_tokens) + front_ms,
+                queue_ms,
+                first_ms: times.fixed_ms + times.prefill_ms(prompt.prefill_tokens) + queue_ms,
             }
         });
         view.own += load;
--- a/src/policy/direct/placement/replica_table/paces.rs
+++ b/src/policy/direct/placement/replica_table/paces.rs
@@ -35,7 +35,7 @@
         let view = self.replicas.get_mut(&request.replica)?;
         let first_token = FirstToken {
             tokens: request.prefill_tokens,
-            front_ms: expected.front_ms,
+            queue_ms: expected.queue_ms,
             took: took.div_f64(view.pace.lasting),
         };
         let sample = PaceEvidence::sample(took, expected.first_ms);
--- a/src/policy/direct/placement/replica_table/pauses.rs
+++ b/src/policy/direct/placement/replica_table/pauses.rs
@@ -31,10 +31,10 @@
         let view = self.same_start(replica)?;
         view.observations.record_pauses(now, evidence);
         if let Some(target) = target {
-            let front_ms = view.pace.of(times).prefill_ms(view.load(now, age).prefill_tokens);
+            let queue_ms = view.pace.of(times).prefill_ms(view.load(now, age).prefill_tokens);
             let target_s = target.as_secs_f64();
             let pauses = (f64::from(evidence.watched_s) / target_s).min(1.0);
-            let expected = pauses * late_fraction(front_ms, target_s * 1000.0);
+            let expected = pauses * late_fraction(queue_ms, target_s * 1000.0);
             view.pauses
                 .record_late(now, expected, evidence.broken.into());
         }
@@ -87,7 +87,7 @@
     ) {
         let estimate = candidate.plan.view.pause_estimate;
         let own_ms = candidate.times.prefill_ms(candidate.plan.prefill_tokens);
-        candidate.others_late = risk.others_late(estimate, running, candidate.front_ms, own_ms);
+        candidate.others_late = risk.others_late(estimate, running, candidate.queue_ms, own_ms);
         candidate.pauses_ms = risk.own_ms(estimate) + risk.cost_ms(candidate.others_late);
     }
 }
--- a/src/policy/direct/placement/replica_table/plain_choice.rs
+++ b/src/policy/direct/placement/replica_table/plain_choice.rs
@@ -54,7 +54,7 @@
                 replica: view.entry.id.clone(),
                 prefill_tokens: 0,
                 fetch_from: None,
-                front_ms: queue.wait_ms,
+                queue_ms: queue.wait_ms,
                 pauses_ms: 0.0,
                 expected: Duration::from_secs_f64(queue.expected_ms() / 1000.0),
             },
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -24,7 +24,7 @@
         let ms = self.fixed_ms + f64::from(tokens) / self.tokens_per_ms + noise_ms;
         FirstToken {
             tokens,
-            front_ms: 0.0,
+            queue_ms: 0.0,
             took: Duration::from_secs_f64(ms.max(0.1) / 1000.0),
         }
     }
@@ -119,7 +119,7 @@
         let front_ms = f64::from(sample % 4) * 60.0;
         let tokens = 200 + (sample * 2953) % 9000;
         model.learn(FirstToken {
-            front_ms,
+            queue_ms: front_ms,
             ..engine.first_token(tokens, front_ms)
         });
     }
@@ -199,7 +199,7 @@
     for _ in 0..10 {
         model.learn(FirstToken {
             tokens: 4000,
-            front_ms: 100.0,
+            queue_ms: 100.0,
             took: Duration::from_millis(600),
         });
     }
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -219,7 +219,7 @@
         let Choice::Send {
             replica,
             prefill_tokens: reading,
-            front_ms,
+            queue_ms: front_ms,
             ..
         } = choose(&self.board, self.now, &shape)
         else {
@@ -245,7 +245,7 @@
             engine: ENGINE,
             aim: AIM,
             prefill_tokens: reading,
-            front_ms,
+            queue_ms: front_ms,
         };
         let work = self.board.start(self.now, &replica, Some(sent));
         let engine = self.engines.get_mut(&*replica).expect("an engine");
@@ -437,7 +437,7 @@
                 engine: ENGINE,
                 aim: AIM,
                 prefill_tokens: TOKENS,
-                front_ms: 0.0,
+                queue_ms: 0.0,
             };
             board.start(BEGIN, &replica.into(), Some(sent));
         }
@@ -567,7 +567,7 @@
             engine: ENGINE,
             aim: AIM,
             prefill_tokens: 0,
-            front_ms: 0.0,
+            queue_ms: 0.0,
         };
         board.start(BEGIN, &"a".into(), Some(sent));
     }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -175,7 +175,7 @@
         aim: AIM,
         pause_aim: None,
         prefill_tokens: reading,
-        front_ms: 0.0,
+        queue_ms: 0.0,
     }
 }
 
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -90,7 +90,7 @@
         aim: Duration::from_secs(10),
         pause_aim: None,
         prefill_tokens: 5000,
-        front_ms: 0.0,
+        queue_ms: 0.0,
     };
     let sent = board.start(NOW, &"i-a".into(), Some(sent));
     sent.expect("a replica that is there")
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -206,7 +206,7 @@
         let Choice::Send {
             replica,
             prefill_tokens: reading,
-            front_ms,
+            queue_ms: front_ms,
             ..
         } = self.board.choose(self.now, &request)
         else {
@@ -218,7 +218,7 @@
             aim,
             pause_aim: self.pause_aim,
             prefill_tokens: reading,
-            front_ms,
+            queue_ms: front_ms,
         };
         let number = self.board.start(self.now, &replica, Some(sent));
         let index: usize = replica.parse().expect("an index");
