--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -80,7 +80,7 @@
         let forget = self.gateway.settings().peer_forget;
         let fleet = FleetSize {
             in_zone: self.gateway.peers.alive(now, forget) + 1,
-            in_all: self.gateway.router_count(),
+            total: self.gateway.router_count(),
         };
         let routers = self.zone_routers(now);
         let mut board = self.gateway.board();
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -72,7 +72,7 @@
         tokens: u32,
         excess_ms: f64,
     ) -> bool {
-        let memory = f64::from(load.memory) + f64::from(tokens);
+        let memory = f64::from(load.kv_tokens) + f64::from(tokens);
         let fits = memory <= self.max_memory || load.running == 0;
         let is_idle = load.prefill_tokens == 0 && self.may_use_idle;
         let in_time = excess_ms <= 0.0 || (is_idle && self.keeps_streams_in_time(candidate));
--- a/src/policy/direct/placement/choosing/preferred_replicas.rs
+++ b/src/policy/direct/placement/choosing/preferred_replicas.rs
@@ -15,7 +15,7 @@
     view: &ReplicaView,
 ) -> f64 {
     let last_part = prompt.parts.last().map_or(0, |part| part.id);
-    mix(last_part, view.hash) as f64 / u64::MAX as f64
+    mix(last_part, view.id_hash) as f64 / u64::MAX as f64
 }
 
 /// Indices of the preferred replicas of a prompt, best first. Adding or removing a replica
@@ -27,7 +27,7 @@
     let key = prompt.affinity_part().unwrap_or(0);
     let mut best: Vec<(u64, usize)> = Vec::with_capacity(MAX_PREFERRED + 1);
     for (index, view) in usable.iter().enumerate() {
-        let weight = mix(key, view.hash);
+        let weight = mix(key, view.id_hash);
         let position = best.partition_point(|(other, _)| *other > weight);
         if position < MAX_PREFERRED {
             best.insert(position, (weight, index));
--- a/src/policy/direct/placement/loads/fleet_size.rs
+++ b/src/policy/direct/placement/loads/fleet_size.rs
@@ -2,14 +2,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
     pub in_zone: usize, // in this router's availability zone
-    pub in_all: usize,  // in all zones
+    pub total: usize,  // in all zones
 }
 
 impl Default for FleetSize {
     fn default() -> Self {
         Self {
             in_zone: 1,
-            in_all: 1,
+            total: 1,
         }
     }
 }
--- a/src/policy/direct/placement/loads/load.rs
+++ b/src/policy/direct/placement/loads/load.rs
@@ -8,7 +8,7 @@
 pub struct Load {
     pub running: u32, // requests that are not answered completely
     pub prefill_tokens: u32, // uncached prompt tokens of requests without a first token
-    pub memory: u32,  // tokens that running requests occupy or may still generate
+    pub kv_tokens: u32,  // tokens that running requests occupy or may still generate
 }
 
 impl AddAssign for Load {
@@ -18,7 +18,7 @@
     ) {
         self.running += other.running;
         self.prefill_tokens += other.prefill_tokens;
-        self.memory += other.memory;
+        self.kv_tokens += other.kv_tokens;
     }
 }
 
@@ -29,6 +29,6 @@
     ) {
         self.running = self.running.saturating_sub(other.running);
         self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
-        self.memory = self.memory.saturating_sub(other.memory);
+        self.kv_tokens = self.kv_tokens.saturating_sub(other.kv_tokens);
     }
 }
--- a/src/policy/direct/placement/loads/peer_loads.rs
+++ b/src/policy/direct/placement/loads/peer_loads.rs
@@ -17,8 +17,8 @@
 #[derive(Debug, Clone, Copy)]
 struct PeerReport {
     load: Load,
-    placed: u64,
-    source: u64, // the process whose counter `placed` is
+    placed_tokens: u64,
+    source: u64, // the process whose counter `placed_tokens` is
     is_ejected: bool,
     received: Moment,
     is_counted: bool, // in `PeerLoads::sum`
@@ -54,7 +54,7 @@
     ///
     /// Returns the tokens that it sent there since its previous report; 0 for the first
     /// report of a process, since it does not tell when these tokens were sent.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         now: Moment,
         age: Duration,
@@ -67,9 +67,9 @@
         }
         let latest = PeerReport {
             load: report.load,
-            placed: report.placed,
+            placed_tokens: report.placed_tokens,
             source,
-            is_ejected: report.rests,
+            is_ejected: report.is_ejected,
             received: now,
             is_counted: true,
         };
@@ -81,7 +81,7 @@
             self.ejecting -= u32::from(previous.is_ejected);
         }
         let same_source = previous.filter(|previous| previous.source == source);
-        same_source.map_or(0, |previous| report.placed.saturating_sub(previous.placed))
+        same_source.map_or(0, |previous| report.placed_tokens.saturating_sub(previous.placed_tokens))
     }
 
     fn fresh(
--- a/src/policy/direct/placement/loads/replica_report.rs
+++ b/src/policy/direct/placement/loads/replica_report.rs
@@ -8,13 +8,13 @@
 pub struct ReplicaReport {
     pub replica: u32, // hash of its start
     pub load: Load,
-    pub placed: u64, // tokens sent there so far: uncached prompt and possible output
-    pub rests: bool, // it gets no requests for now, because of failures or overload
+    pub placed_tokens: u64, // tokens sent there so far: uncached prompt and possible output
+    pub is_ejected: bool, // it gets no requests for now, because of failures or overload
 }
 
 impl ReplicaReport {
     /// Whether the report differs from that of an unused, healthy replica.
     pub fn has_content(&self) -> bool {
-        self.rests || self.placed > 0 || self.load != Load::default()
+        self.is_ejected || self.placed_tokens > 0 || self.load != Load::default()
     }
 }
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -25,9 +25,9 @@
 /// late and some are lost.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCache {
-    last_used: HashMap<u64, u64>, // value of `placed` at the last use of a part
-    placed: u64,                  // tokens sent to the replica so far
-    room: u64,                    // tokens that fit beside running requests
+    last_used: HashMap<u64, u64>, // value of `placed_tokens` at the last use of a part
+    placed_tokens: u64,                  // tokens sent to the replica so far
+    capacity: u64,                    // tokens that fit beside running requests
     events: CacheEventTracker,             // events that the replica reports
 }
 
@@ -47,34 +47,34 @@
         part: u64,
     ) -> bool {
         let last_used = self.last_used.get(&part);
-        last_used.is_some_and(|at| self.placed.saturating_sub(*at) < self.room)
+        last_used.is_some_and(|at| self.placed_tokens.saturating_sub(*at) < self.capacity)
     }
 
     /// Adds tokens that were sent to the replica by any router.
-    pub fn place(
+    pub fn add_placed(
         &mut self,
         tokens: u64,
     ) {
-        self.placed += tokens;
+        self.placed_tokens += tokens;
     }
 
     /// Sets how many tokens fit beside the running requests.
-    pub fn set_room(
+    pub fn set_capacity(
         &mut self,
         tokens: u64,
     ) {
-        self.room = tokens;
+        self.capacity = tokens;
     }
 
     /// Adds the parts that the replica lists as cached in its memory of `memory` tokens. Parts
     /// that are known already stay as they are, since their last use is more recent.
-    pub fn learn(
+    pub fn apply_cached_parts(
         &mut self,
         parts: &[CachedPart],
         memory: u64,
     ) {
-        if self.room == 0 {
-            self.room = memory;
+        if self.capacity == 0 {
+            self.capacity = memory;
         }
         for cached in parts.iter().filter(|cached| cached.tokens > 0) {
             if !self.last_used.contains_key(&cached.part) {
@@ -84,7 +84,7 @@
     }
 
     /// Records the use of a part by a request that was sent to the replica.
-    pub fn note(
+    pub fn record_use(
         &mut self,
         now: Moment,
         part: u64,
@@ -141,7 +141,7 @@
     }
 
     /// Applies a batch of cache events, of the replica itself or forwarded by a peer.
-    pub fn hear(
+    pub fn apply_events(
         &mut self,
         now: Moment,
         batch: &CacheEventBatch,
@@ -150,8 +150,8 @@
         if unseen.is_anew {
             self.last_used.clear();
         }
-        if self.room == 0 {
-            self.room = UNKNOWN_CAPACITY;
+        if self.capacity == 0 {
+            self.capacity = UNKNOWN_CAPACITY;
         }
         for part in self.events.take_due_evictions(now) {
             self.last_used.remove(&part);
@@ -199,7 +199,7 @@
         &mut self,
         part: u64,
     ) {
-        self.last_used.insert(part, self.placed);
+        self.last_used.insert(part, self.placed_tokens);
         if self.last_used.len() > MAX_PARTS {
             self.remove_oldest();
         }
--- a/src/policy/direct/placement/replica_table/cache_events.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -32,7 +32,7 @@
             && !view.health.is_ejected(now)
             && !self.is_cordoned(&view.entry)
             && self.accepts_requests(now, &view.entry)
-            && self.zone_routers.draws(now, view.hash)
+            && self.zone_routers.draws(now, view.id_hash)
     }
 
     /// Whether cache events of a replica arrive, read by this or another router.
@@ -61,7 +61,7 @@
         let views = views.filter(|view| self.follows(now, &view.entry));
         let snapshots = views.filter_map(|view| {
             let snapshot = view.cache.snapshot(is_shared)?;
-            Some((view.start, snapshot))
+            Some((view.start_hash, snapshot))
         });
         let snapshots: Vec<_> = snapshots.collect();
         self.cache_events.extend(snapshots);
@@ -87,7 +87,7 @@
     ) -> Option<CacheChange> {
         let start = entry.start_name();
         let cache = &mut self.same_start(entry)?.cache;
-        let change = cache.hear(now, batch);
+        let change = cache.apply_events(now, batch);
         let forwarded = cache.batch_to_forward(now, &change.news);
         let shared_evictions = change
             .news
@@ -121,7 +121,7 @@
         batch: &CacheEventBatch,
     ) {
         if let Some(view) = self.by_key(start) {
-            view.cache.hear(now, batch);
+            view.cache.apply_events(now, batch);
         }
     }
 }
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -185,13 +185,13 @@
         request: &PlacementRequest,
         usable: &[&ReplicaView],
     ) -> CandidateSampling {
-        if self.fleet_size.in_all <= MAX_ROUTERS_WITHOUT_SAMPLING {
+        if self.fleet_size.total <= MAX_ROUTERS_WITHOUT_SAMPLING {
             return CandidateSampling::All;
         }
         let near = usable.iter().filter(|view| is_near(request, view)).count();
         CandidateSampling::Fractions {
             near: sampled_fraction(self.fleet_size.in_zone, near),
-            far: sampled_fraction(self.fleet_size.in_all, usable.len() - near),
+            far: sampled_fraction(self.fleet_size.total, usable.len() - near),
         }
     }
 
--- a/src/policy/direct/placement/replica_table/in_flight.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -33,18 +33,18 @@
                 self.target_pauses.record(now, service, aim);
             }
             load.prefill_tokens = prompt.prefill_tokens;
-            load.memory = prompt.prefill_tokens + prompt.shape.output_tokens;
+            load.kv_tokens = prompt.prefill_tokens + prompt.shape.output_tokens;
             let memory = prompt.engine.memory_tokens;
-            let reserved = load_before.memory + load.memory;
-            view.cache.set_room(memory.saturating_sub(u64::from(reserved)));
-            view.placed += u64::from(load.memory);
-            view.placed_by_zone += u64::from(load.memory);
-            view.cache.place(u64::from(load.memory));
+            let reserved = load_before.kv_tokens + load.kv_tokens;
+            view.cache.set_capacity(memory.saturating_sub(u64::from(reserved)));
+            view.placed_tokens += u64::from(load.kv_tokens);
+            view.zone_placed_tokens += u64::from(load.kv_tokens);
+            view.cache.add_placed(u64::from(load.kv_tokens));
             let parts = &prompt.shape.parts;
             for (index, part) in parts.iter().enumerate() {
-                view.cache.note(now, part.id);
+                view.cache.record_use(now, part.id);
                 let placement = PartPlacement {
-                    replica: view.start,
+                    replica: view.start_hash,
                     part: part.id,
                     shared: index + 1 < parts.len(),
                 };
@@ -63,7 +63,7 @@
                 first_ms: times.fixed_ms + times.prefill_ms(prompt.prefill_tokens) + queue_ms,
             }
         });
-        view.own += load;
+        view.own_load += load;
         let is_slow =
             view.slow_start.is_slow(now) && self.start_limits.contains_key(&view.entry.service);
         if is_slow {
@@ -72,7 +72,7 @@
         let request = InFlightRequest {
             is_counted: is_slow,
             replica: replica.clone(),
-            start: view.start,
+            start_hash: view.start_hash,
             sent: now,
             load,
             prefill_tokens: load.prefill_tokens,
@@ -99,8 +99,8 @@
         request.overdue = None;
         let request = request.clone();
         let view = self.replicas.get_mut(&request.replica);
-        let view = view.filter(|view| view.start == request.start)?;
-        view.own.prefill_tokens = view.own.prefill_tokens.saturating_sub(unread);
+        let view = view.filter(|view| view.start_hash == request.start_hash)?;
+        view.own_load.prefill_tokens = view.own_load.prefill_tokens.saturating_sub(unread);
         self.record_pace(now, &request, expected?)
     }
 
@@ -111,14 +111,14 @@
     ) -> Option<InFlightRequest> {
         let request = self.in_flight.remove(&id)?;
         let view = self.replicas.get_mut(&request.replica);
-        if let Some(view) = view.filter(|view| view.start == request.start) {
+        if let Some(view) = view.filter(|view| view.start_hash == request.start_hash) {
             if let (Some(expected), Some((seen_at, waited))) = (request.expected, request.overdue) {
                 let sample = PaceEvidence::sample(waited, expected.first_ms);
                 view.observations.pace.record(seen_at, sample);
             }
-            view.own.running = view.own.running.saturating_sub(request.load.running);
-            view.own.prefill_tokens = view.own.prefill_tokens.saturating_sub(request.load.prefill_tokens);
-            view.own.memory = view.own.memory.saturating_sub(request.load.memory);
+            view.own_load.running = view.own_load.running.saturating_sub(request.load.running);
+            view.own_load.prefill_tokens = view.own_load.prefill_tokens.saturating_sub(request.load.prefill_tokens);
+            view.own_load.kv_tokens = view.own_load.kv_tokens.saturating_sub(request.load.kv_tokens);
         }
         Some(request)
     }
--- a/src/policy/direct/placement/replica_table/notices.rs
+++ b/src/policy/direct/placement/replica_table/notices.rs
@@ -26,7 +26,7 @@
     pub fn leaving_starts(&self) -> Vec<u32> {
         let views = self.replicas.values();
         let leaving = views.filter(|view| self.notices.heard_leaving_here(&view.entry));
-        leaving.map(|view| view.start).collect()
+        leaving.map(|view| view.start_hash).collect()
     }
 
     /// Applies announcements that another router received from these replica starts that they
--- a/src/policy/direct/placement/replica_table/outcomes.rs
+++ b/src/policy/direct/placement/replica_table/outcomes.rs
@@ -27,7 +27,7 @@
         replica: &str,
     ) {
         if let Some(view) = self.replicas.get_mut(replica) {
-            view.heard = now;
+            view.last_answer = now;
         }
     }
 
@@ -39,7 +39,7 @@
         age: Duration,
     ) -> bool {
         let view = self.replicas.get(replica);
-        view.is_some_and(|view| now.saturating_sub(view.heard) <= age)
+        view.is_some_and(|view| now.saturating_sub(view.last_answer) <= age)
     }
 
     /// Whether a replica is about to stop: it is not listed as ready any more, or announced its
@@ -133,7 +133,7 @@
         memory: u64,
     ) {
         if let Some(view) = self.same_start(replica) {
-            view.cache.learn(parts, memory);
+            view.cache.apply_cached_parts(parts, memory);
         }
     }
 
--- a/src/policy/direct/placement/replica_table/paces.rs
+++ b/src/policy/direct/placement/replica_table/paces.rs
@@ -102,7 +102,7 @@
                 continue;
             };
             let view = self.replicas.get(&request.replica);
-            let Some(view) = view.filter(|view| view.start == request.start) else {
+            let Some(view) = view.filter(|view| view.start_hash == request.start_hash) else {
                 continue;
             };
             let max_ms =
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -24,7 +24,7 @@
         let age = self.max_report_age();
         for report in reports {
             if let Some(view) = self.by_key(report.replica) {
-                view.hear(now, age, teller, report);
+                view.apply_peer_load(now, age, teller, report);
             }
         }
     }
@@ -35,10 +35,10 @@
         now: Moment,
     ) -> Vec<ReplicaReport> {
         let views = self.replicas.values().map(|view| ReplicaReport {
-            replica: view.start,
-            load: view.own,
-            placed: view.placed,
-            rests: view.health.is_ejected(now),
+            replica: view.start_hash,
+            load: view.own_load,
+            placed_tokens: view.placed_tokens,
+            is_ejected: view.health.is_ejected(now),
         });
         views.filter(ReplicaReport::has_content).collect()
     }
@@ -50,10 +50,10 @@
     ) -> Vec<ReplicaReport> {
         let age = self.max_report_age();
         let views = self.replicas.values().map(|view| ReplicaReport {
-            replica: view.start,
+            replica: view.start_hash,
             load: view.zone_load(now, age),
-            placed: view.placed_by_zone,
-            rests: view.health.is_ejected(now) || view.is_avoided_in_zone(now, age),
+            placed_tokens: view.zone_placed_tokens,
+            is_ejected: view.health.is_ejected(now) || view.is_avoided_in_zone(now, age),
         });
         views.filter(ReplicaReport::has_content).collect()
     }
@@ -78,7 +78,7 @@
     ) {
         for placement in placements {
             if let Some(view) = self.by_key(placement.replica) {
-                view.cache.note(now, placement.part);
+                view.cache.record_use(now, placement.part);
             }
             if placement.shared {
                 self.shared_parts.insert(placement.part);
@@ -96,7 +96,7 @@
     ) -> Vec<ReplicaEvidence> {
         let views = self.replicas.values();
         let evidence = views.map(|view| {
-            let own = view.observations.own(now, view.start);
+            let own = view.observations.own(now, view.start_hash);
             ReplicaEvidence {
                 pace: own.pace.beside(self.baseline_pace(&view.entry.service)),
                 ..own
--- a/src/policy/direct/placement/replica_table/plain_choice.rs
+++ b/src/policy/direct/placement/replica_table/plain_choice.rs
@@ -76,7 +76,7 @@
             cost += self.settings.plain_zone_penalty.as_secs_f64() * 1000.0;
         }
         let step_ms = queue.work_ms / f64::from(view.entry.slots.max(1));
-        let draw = (mix(view.hash, self.next_id) >> 40) as f64 / f64::from(1 << 24);
+        let draw = (mix(view.id_hash, self.next_id) >> 40) as f64 / f64::from(1 << 24);
         cost + step_ms * IN_FLIGHT_COST * (f64::from(in_flight) + draw)
     }
 }
--- a/src/policy/direct/placement/replica_table/slow_start.rs
+++ b/src/policy/direct/placement/replica_table/slow_start.rs
@@ -40,7 +40,7 @@
         };
         &*view.entry.zone == request.zone
             && view.slow_start.has_room(now, limit.per_second)
-            && self.zone_routers.owns(now, view.hash)
+            && self.zone_routers.owns(now, view.id_hash)
     }
 
     /// Whether slow start still permits a request that was counted at its replica. It does not
@@ -57,7 +57,7 @@
         let Some(view) = view.filter(|view| self.slow_limit(now, view).is_some()) else {
             return true;
         };
-        let is_same = view.start == request.start;
+        let is_same = view.start_hash == request.start_hash;
         is_same && request.is_counted && now.saturating_sub(request.sent) <= StartPace::LATEST
     }
 
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -135,7 +135,7 @@
             }
         }
         let views = self.replicas.iter();
-        self.ids_by_start = views.map(|(id, view)| (view.start, id.clone())).collect();
+        self.ids_by_start = views.map(|(id, view)| (view.start_hash, id.clone())).collect();
         restarted
     }
 
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -18,14 +18,14 @@
 #[derive(Debug)]
 pub struct ReplicaView {
     pub entry: Arc<UpstreamEntry>,
-    pub hash: u64,  // of its id, equal at every router
-    pub start: u32, // hash of its current start
-    pub own: Load,  // in-flight load of this router
+    pub id_hash: u64,  // of its id, equal at every router
+    pub start_hash: u32, // hash of its current start
+    pub own_load: Load,  // in-flight load of this router
     pub health: ReplicaHealth,
     pub cache: PrefixCache,
-    pub placed: u64,             // tokens that this router has sent there
-    pub placed_by_zone: u64,     // tokens that all routers of the zone have sent there
-    pub heard: Moment,           // of the last answer to this router
+    pub placed_tokens: u64,             // tokens that this router has sent there
+    pub zone_placed_tokens: u64,     // tokens that all routers of the zone have sent there
+    pub last_answer: Moment,           // of the last answer to this router
     pub plain: PlainTimes,       // of requests without a prompt
     pub observations: ReplicaObservations,          // observed pace and pauses
     pub pace: ReplicaPace,       // as of the last refresh of the estimates
@@ -41,15 +41,15 @@
     /// A replica without observations.
     pub fn new(entry: Arc<UpstreamEntry>) -> Self {
         Self {
-            hash: stable_hash(&&*entry.id),
-            start: entry.start_name(),
+            id_hash: stable_hash(&&*entry.id),
+            start_hash: entry.start_name(),
             entry,
-            own: Load::default(),
+            own_load: Load::default(),
             health: ReplicaHealth::default(),
             cache: PrefixCache::default(),
-            placed: 0,
-            placed_by_zone: 0,
-            heard: Moment::ZERO,
+            placed_tokens: 0,
+            zone_placed_tokens: 0,
+            last_answer: Moment::ZERO,
             plain: PlainTimes::default(),
             observations: ReplicaObservations::default(),
             pace: ReplicaPace::default(),
@@ -79,7 +79,7 @@
         now: Moment,
         age: Duration,
     ) -> Load {
-        let mut sum = self.own;
+        let mut sum = self.own_load;
         sum += self.routers.load(now, age);
         sum
     }
@@ -104,7 +104,7 @@
 
     /// Records a load report of another router or zone. Reports older than `age` are ignored
     /// from now on.
-    pub fn hear(
+    pub fn apply_peer_load(
         &mut self,
         now: Moment,
         age: Duration,
@@ -115,10 +115,10 @@
             TellerScope::Router => &mut self.routers,
             TellerScope::Zone => &mut self.zones,
         };
-        let placed = loads.hear(now, age, teller.name, teller.source, report);
+        let placed_tokens = loads.apply_report(now, age, teller.name, teller.source, report);
         if teller.scope == TellerScope::Router {
-            self.placed_by_zone += placed;
+            self.zone_placed_tokens += placed_tokens;
         }
-        self.cache.place(placed);
+        self.cache.add_placed(placed_tokens);
     }
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -154,7 +154,7 @@
     board.set_entries(Duration::ZERO, entries.collect());
     let fleet = FleetSize {
         in_zone: scale.routers / ZONES,
-        in_all: scale.routers,
+        total: scale.routers,
     };
     board.set_reporting(Duration::from_millis(100), fleet);
     let loads: Vec<ReplicaReport> = ids.iter().map(|id| load(id)).collect();
@@ -179,13 +179,13 @@
     let load = Load {
         running: 1,
         prefill_tokens: 60,
-        memory: 4000,
+        kv_tokens: 4000,
     };
     ReplicaReport {
         replica: short_name(id),
         load,
-        placed: 5_000_000,
-        rests: false,
+        placed_tokens: 5_000_000,
+        is_ejected: false,
     }
 }
 
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -56,7 +56,7 @@
     let mut cache = PrefixCache::default();
     cache.set_room(MEMORY);
     for part in parts {
-        cache.note(ms(0), *part);
+        cache.record_use(ms(0), *part);
     }
     cache
 }
@@ -64,21 +64,21 @@
 #[test]
 fn a_part_given_up_sooner_than_believed_is_gone_until_it_is_placed_again() {
     let mut cache = placed(&[1, 2]);
-    let change = cache.hear(LATER, &news(&[event(1, 1, false), event(2, 9, false)]));
+    let change = cache.apply_events(LATER, &news(&[event(1, 1, false), event(2, 9, false)]));
     assert_eq!((cache.holds(1), cache.holds(2)), (false, true));
     assert_eq!((change.heard, change.given_up, change.taken), (2, 1, 0));
     // Fellows need not hear of what nobody believed.
     assert_eq!(change.news.events, [event(1, 1, false)]);
-    cache.note(LATER, 1);
+    cache.record_use(LATER, 1);
     assert!(cache.holds(1));
 }
 
 #[test]
 fn a_part_kept_longer_than_believed_or_placed_by_nobody_known_is_used() {
     let mut cache = placed(&[1]);
-    cache.place(MEMORY);
+    cache.add_placed(MEMORY);
     assert!(!cache.holds(1));
-    let change = cache.hear(LATER, &news(&[event(1, 1, true), event(2, 7, true)]));
+    let change = cache.apply_events(LATER, &news(&[event(1, 1, true), event(2, 7, true)]));
     assert_eq!(
         (cache.holds(1), cache.holds(7), change.taken),
         (true, true, 2)
@@ -88,7 +88,7 @@
 #[test]
 fn where_nothing_was_placed_yet_the_replicas_own_word_is_enough() {
     let mut cache = PrefixCache::default();
-    cache.hear(LATER, &news(&[event(1, 7, true)]));
+    cache.apply_events(LATER, &news(&[event(1, 7, true)]));
     assert!(cache.holds(7));
 }
 
@@ -97,20 +97,20 @@
     // Given up, and placed again before that was heard: the request will read it, and the
     // replica says so.
     let mut cache = placed(&[1]);
-    cache.note(LATER, 1);
-    cache.hear(LATER + ms(100), &news(&[event(1, 1, false)]));
+    cache.record_use(LATER, 1);
+    cache.apply_events(LATER + ms(100), &news(&[event(1, 1, false)]));
     assert!(cache.holds(1));
-    cache.hear(LATER + ms(300), &news(&[event(2, 1, true)]));
-    cache.hear(LATER * 2, &news(&[event(3, 2, true)]));
+    cache.apply_events(LATER + ms(300), &news(&[event(2, 1, true)]));
+    cache.apply_events(LATER * 2, &news(&[event(3, 2, true)]));
     assert!(cache.holds(1));
 }
 
 #[test]
 fn a_part_given_up_right_after_it_was_placed_is_gone_once_that_is_certain() {
     let mut cache = placed(&[1]);
-    cache.hear(ms(100), &news(&[event(1, 1, false)]));
+    cache.apply_events(ms(100), &news(&[event(1, 1, false)]));
     assert!(cache.holds(1));
-    cache.hear(LATER, &news(&[event(2, 2, true)]));
+    cache.apply_events(LATER, &news(&[event(2, 2, true)]));
     assert!(!cache.holds(1));
 }
 
@@ -118,10 +118,10 @@
 fn what_two_followers_tell_at_once_counts_once() {
     let mut cache = placed(&[1]);
     let first = news(&[event(1, 1, true), event(2, 1, false)]);
-    cache.hear(LATER, &first);
+    cache.apply_events(LATER, &first);
     // The other follower's answer ended sooner, and comes later.
     let other = news(&[event(1, 1, true)]);
-    let change = cache.hear(LATER, &other);
+    let change = cache.apply_events(LATER, &other);
     assert!(!cache.holds(1));
     assert_eq!((change.heard, change.news.has_gap), (0, false));
     assert_eq!(cache.follow().next, 3);
@@ -130,22 +130,22 @@
 #[test]
 fn after_a_gap_what_was_placed_is_guessed_as_before() {
     let mut cache = placed(&[1, 2]);
-    let change = cache.hear(LATER, &news(&[event(50, 2, false)]));
+    let change = cache.apply_events(LATER, &news(&[event(50, 2, false)]));
     assert!(change.news.has_gap);
     assert_eq!((cache.holds(1), cache.holds(2)), (true, false));
-    cache.place(MEMORY);
+    cache.add_placed(MEMORY);
     assert!(!cache.holds(1), "no event said so");
 }
 
 #[test]
 fn another_memory_has_nothing_of_the_one_before() {
     let mut cache = placed(&[1]);
-    cache.hear(LATER, &news(&[event(900, 2, true)]));
+    cache.apply_events(LATER, &news(&[event(900, 2, true)]));
     let anew = CacheEventBatch {
         epoch: 2,
         ..news(&[event(1, 3, true)])
     };
-    assert!(cache.hear(LATER, &anew).is_anew);
+    assert!(cache.apply_events(LATER, &anew).is_anew);
     assert_eq!(
         [1, 2, 3].map(|part| cache.holds(part)),
         [false, false, true]
@@ -172,13 +172,13 @@
         has_gap: next > from,
         ..news(&[])
     };
-    cache.hear(LATER, &nothing(1, 1_000_000));
-    let change = cache.hear(LATER, &nothing(1_000_000, 3));
+    cache.apply_events(LATER, &nothing(1, 1_000_000));
+    let change = cache.apply_events(LATER, &nothing(1_000_000, 3));
     assert!(change.news.has_gap);
-    let change = cache.hear(LATER, &news(&[event(3, 1, false)]));
+    let change = cache.apply_events(LATER, &news(&[event(3, 1, false)]));
     assert_eq!((change.heard, cache.holds(1)), (1, false));
     // News of a second follower that are older by some numbers take nothing back.
-    cache.hear(LATER, &news(&[event(2, 2, false)]));
+    cache.apply_events(LATER, &news(&[event(2, 2, false)]));
     assert!(cache.holds(2));
 }
 
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -41,10 +41,10 @@
             load: Load {
                 running: 3,
                 prefill_tokens: 4000,
-                memory: 5000,
+                kv_tokens: 5000,
             },
-            placed: 1 << 40,
-            rests: true,
+            placed_tokens: 1 << 40,
+            is_ejected: true,
         }],
         accounts: vec![(
             9,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -31,8 +31,8 @@
     ReplicaReport {
         replica,
         load,
-        placed: 0,
-        rests: false,
+        placed_tokens: 0,
+        is_ejected: false,
     }
 }
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -140,7 +140,7 @@
 fn in_one_zone(routers: usize) -> FleetSize {
     FleetSize {
         in_zone: routers,
-        in_all: routers,
+        total: routers,
     }
 }
 
@@ -160,8 +160,8 @@
             running: 8,
             ..Load::default()
         },
-        placed: 0,
-        rests: false,
+        placed_tokens: 0,
+        is_ejected: false,
     }
 }
 
@@ -240,10 +240,10 @@
         load: Load {
             running: 3,
             prefill_tokens: 12_000,
-            memory: 12_000,
+            kv_tokens: 12_000,
         },
-        placed: 0,
-        rests: false,
+        placed_tokens: 0,
+        is_ejected: false,
     };
     board.hear(NOW, PEER, &[busy]);
     let (replica, _) = sent(board.choose(NOW, &request(&prompt(1, 101))));
@@ -495,7 +495,7 @@
     let number = board
         .start(NOW, &"a".into(), Some(sent_prompt(&prompt, 5000)))
         .expect("listed");
-    let own = |board: &ReplicaTable| board.replica("a").expect("listed").own;
+    let own = |board: &ReplicaTable| board.replica("a").expect("listed").own_load;
     assert_eq!(own(&board).prefill_tokens, 5000);
     board.first_token(NOW + Duration::from_millis(200), number);
     assert_eq!((own(&board).prefill_tokens, own(&board).running), (0, 1));
@@ -650,10 +650,10 @@
                 load: Load {
                     running: 2,
                     prefill_tokens: 5000,
-                    memory: 5000,
+                    kv_tokens: 5000,
                 },
-                placed: 0,
-                rests: false,
+                placed_tokens: 0,
+                is_ejected: false,
             };
             board.hear(NOW, PEER, &[busy]);
         }
@@ -691,10 +691,10 @@
             load: Load {
                 running: 1,
                 prefill_tokens: in_front,
-                memory: in_front,
+                kv_tokens: in_front,
             },
-            placed: 0,
-            rests: false,
+            placed_tokens: 0,
+            is_ejected: false,
         };
         board.hear(NOW, PEER, &[busy]);
         sent(board.choose(NOW, &able(&prompt(1, 101)))).0 == home
@@ -710,8 +710,8 @@
         .map(|part| CachedPart { part, tokens: 4000 })
         .collect();
     let view = board.replica_mut("b").expect("listed");
-    view.cache.learn(&parts, ENGINE.memory_tokens);
-    view.cache.learn(
+    view.cache.apply_cached_parts(&parts, ENGINE.memory_tokens);
+    view.cache.apply_cached_parts(
         &[CachedPart {
             part: 30,
             tokens: 0,
@@ -724,7 +724,7 @@
     }
     let view = board.replica_mut("b").expect("listed");
     assert!(!view.cache.holds(30), "given up by its own word");
-    view.cache.place(ENGINE.memory_tokens);
+    view.cache.add_placed(ENGINE.memory_tokens);
     assert!(!view.cache.holds(1));
 }
 
@@ -735,8 +735,8 @@
     let report = |placed| ReplicaReport {
         replica: short_name("a"),
         load: Load::default(),
-        placed,
-        rests: false,
+        placed_tokens: placed,
+        is_ejected: false,
     };
     let uncached = |board: &ReplicaTable| {
         let view = board.replica("a").expect("listed");
@@ -816,7 +816,7 @@
             };
             board.start(NOW, &replica, None);
         }
-        let running = board.replicas().map(|view| view.own.running);
+        let running = board.replicas().map(|view| view.own_load.running);
         assert_eq!(running.collect::<Vec<_>>(), [round; 4]);
     }
 }
@@ -900,10 +900,10 @@
         load: Load {
             running: 1,
             prefill_tokens: tokens,
-            memory: tokens,
+            kv_tokens: tokens,
         },
-        placed,
-        rests,
+        placed_tokens: placed,
+        is_ejected: rests,
     }
 }
 
@@ -913,23 +913,23 @@
     let at = |ms: u64| NOW + Duration::from_millis(ms);
     let mut peers = PeerLoads::default();
     // When the tokens of a first report were placed is unknown: counting begins.
-    assert_eq!(peers.hear(at(0), age, 1, 7, &reading(100, 100, false)), 0);
-    assert_eq!(peers.hear(at(500), age, 2, 7, &reading(20, 20, true)), 0);
-    assert_eq!(peers.hear(at(600), age, 2, 7, &reading(30, 50, true)), 30);
+    assert_eq!(peers.apply_report(at(0), age, 1, 7, &reading(100, 100, false)), 0);
+    assert_eq!(peers.apply_report(at(500), age, 2, 7, &reading(20, 20, true)), 0);
+    assert_eq!(peers.apply_report(at(600), age, 2, 7, &reading(30, 50, true)), 30);
     assert_eq!(peers.load(at(700), age).prefill_tokens, 130);
     assert!(peers.is_avoided(at(700), age));
     // The first peer is silent: nothing is heard, or only the others are.
     assert_eq!(peers.load(at(1200), age).prefill_tokens, 30);
-    peers.hear(at(1300), age, 3, 7, &reading(5, 5, false));
+    peers.apply_report(at(1300), age, 3, 7, &reading(5, 5, false));
     assert_eq!(peers.load(at(1300), age).prefill_tokens, 35);
     assert_eq!(peers.load(at(1300), age).running, 2);
     // It comes back: what it had placed before is no news.
-    assert_eq!(peers.hear(at(1400), age, 1, 7, &reading(1, 101, false)), 1);
+    assert_eq!(peers.apply_report(at(1400), age, 1, 7, &reading(1, 101, false)), 1);
     assert_eq!(peers.load(at(1400), age).prefill_tokens, 36);
     // Another process speaks for it, which counts from another beginning.
-    assert_eq!(peers.hear(at(1500), age, 1, 8, &reading(2, 9000, false)), 0);
+    assert_eq!(peers.apply_report(at(1500), age, 1, 8, &reading(2, 9000, false)), 0);
     assert_eq!(
-        peers.hear(at(1600), age, 1, 8, &reading(2, 9010, false)),
+        peers.apply_report(at(1600), age, 1, 8, &reading(2, 9010, false)),
         10
     );
     assert_eq!(peers.load(at(9000), age), Load::default());
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -112,7 +112,7 @@
     let mut board = board();
     let earlier = send(&mut board);
     board.set_entries(NOW, vec![start("i-a", 2000)]);
-    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").own;
+    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").own_load;
     assert_eq!(load(&board), Load::default());
     send(&mut board);
     let there = load(&board);
@@ -153,8 +153,8 @@
             running: 3,
             ..Load::default()
         },
-        placed: 700,
-        rests: true,
+        placed_tokens: 700,
+        is_ejected: true,
     };
     let note = |start: &UpstreamEntry, part| PartPlacement {
         replica: start.start_name(),
