--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -175,7 +175,7 @@
     pub fn note_replica_success(&mut self) {
         if let Some(run) = &mut self.run {
             run.is_over();
-            self.gateway.board().succeeded(&run.entry);
+            self.gateway.board().record_success(&run.entry);
         }
     }
 
@@ -186,7 +186,7 @@
         if let Some(run) = &mut self.run {
             run.is_over();
             let mut board = self.gateway.board();
-            board.succeeded(&run.entry);
+            board.record_success(&run.entry);
             board.record_plain_request(&run.entry, run.plain(now));
         }
     }
--- a/src/direct/exchange_end.rs
+++ b/src/direct/exchange_end.rs
@@ -149,10 +149,10 @@
         match end {
             AttemptEnd::Withheld => {}
             AttemptEnd::NotSent { .. } | AttemptEnd::Refused { status: 421, .. } => {
-                board.unreachable(now, replica);
+                board.record_unreachable(now, replica);
             }
-            AttemptEnd::Refused { .. } => board.full(now, replica),
-            AttemptEnd::Failed { .. } | AttemptEnd::Unknown { .. } => board.failed(now, replica),
+            AttemptEnd::Refused { .. } => board.record_overload(now, replica),
+            AttemptEnd::Failed { .. } | AttemptEnd::Unknown { .. } => board.record_failure(now, replica),
         }
         drop(board);
         if end.code() == ResultCode::UpstreamTimeout {
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -106,7 +106,7 @@
         let now = self.now();
         let was_to_end = {
             let mut board = self.board();
-            board.ended(now, &run.entry);
+            board.record_exit(now, &run.entry);
             // A planned end speaks against no request, also while the list does not know yet.
             board.is_leaving(now, &run.entry)
         };
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -114,7 +114,7 @@
 
     /// One line for each replica that is lastingly quicker or slower than was logged.
     fn log_paces(&self) {
-        let news = self.board().pace_news(self.now(), PACE_LINES);
+        let news = self.board().take_pace_changes(self.now(), PACE_LINES);
         for news in news {
             log::info!(
                 replica = &*news.replica,
--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -66,7 +66,7 @@
     settings.follow_kept
         && *entry.zone == *settings.process.zone
         && !gateway.is_stopping()
-        && gateway.board().follows(gateway.now(), entry)
+        && gateway.board().should_follow_cache(gateway.now(), entry)
 }
 
 /// Follows one start of a replica until another router is drawn for it, or it is to be left
--- a/src/direct/live_answer.rs
+++ b/src/direct/live_answer.rs
@@ -46,7 +46,7 @@
                     if let Ok(data) = frame.into_data() {
                         self.gateway
                             .board()
-                            .heard(self.gateway.now(), self.work.replica());
+                            .record_answer(self.gateway.now(), self.work.replica());
                         return Ok(Some(data));
                     }
                 }
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -36,7 +36,7 @@
     let is_news =
         gateway
             .board()
-            .hear_notice(gateway.now(), Uptime::unix_millis(), replica, notice);
+            .apply_notice(gateway.now(), Uptime::unix_millis(), replica, notice);
     if !is_news {
         return;
     }
--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -152,7 +152,7 @@
         figures: &Figures,
     ) {
         let mut board = self.gateway.board();
-        board.hear(now, teller, &figures.replicas);
+        board.apply_reports(now, teller, &figures.replicas);
         board.apply_placements(now, teller.scope, &figures.notes);
         board.apply_latency_reports(&figures.engines);
         drop(board);
--- a/src/peers/tell_evidence.rs
+++ b/src/peers/tell_evidence.rs
@@ -53,6 +53,6 @@
         }
         let now = gateway.now();
         let teller = router_name(&told.teller);
-        gateway.board().hear_evidence(now, teller, &told.replicas);
+        gateway.board().apply_evidence(now, teller, &told.replicas);
     }
 }
--- a/src/peers/tell_leaving.rs
+++ b/src/peers/tell_leaving.rs
@@ -57,7 +57,7 @@
             return;
         }
         let unix_ms = Uptime::unix_millis();
-        let news = gateway.board().hear_of_leaving(unix_ms, &told.starts);
+        let news = gateway.board().apply_peer_leaving(unix_ms, &told.starts);
         for replica in news {
             log::info!(
                 replica = &*replica.id,
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -97,7 +97,7 @@
     }
 
     /// Adds the sample of a first token.
-    pub fn learn(
+    pub fn record(
         &mut self,
         sample: FirstToken,
     ) {
--- a/src/policy/direct/placement/engines/latency_models.rs
+++ b/src/policy/direct/placement/engines/latency_models.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 struct ServiceModel {
     model: LatencyModel,
-    last_returned: Option<EngineLatency>, // by `LatencyModels::learn`
+    last_returned: Option<EngineLatency>, // by `LatencyModels::record`
 }
 
 impl LatencyModels {
@@ -37,13 +37,13 @@
 
     /// Adds the sample of a first token. Returns the times if they have changed markedly
     /// since they were last returned.
-    pub fn learn(
+    pub fn record(
         &mut self,
         service: &Arc<str>,
         sample: FirstToken,
     ) -> Option<EngineLatency> {
         let known = self.by_service.entry(service.clone()).or_default();
-        known.model.learn(sample);
+        known.model.record(sample);
         let times = known.model.times();
         let has_changed = known
             .last_returned
@@ -65,7 +65,7 @@
     }
 
     /// Takes over a peer's model of a service if this router has few samples of its own.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         service: &Arc<str>,
         report: &LatencyReport,
--- a/src/policy/direct/placement/replica_table/cache_events.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -19,7 +19,7 @@
     /// Whether this router is to read the cache events of a replica of its zone. One live router
     /// of the zone is selected by hash. Replicas that are leaving, in backoff, ejected or in a
     /// cordoned zone are not read.
-    pub fn follows(
+    pub fn should_follow_cache(
         &self,
         now: Moment,
         entry: &UpstreamEntry,
@@ -36,7 +36,7 @@
     }
 
     /// Whether cache events of a replica arrive, read by this or another router.
-    pub fn is_followed(
+    pub fn is_cache_followed(
         &self,
         now: Moment,
         entry: &UpstreamEntry,
@@ -58,7 +58,7 @@
             .replicas
             .values()
             .filter(|view| &*view.entry.zone == zone);
-        let views = views.filter(|view| self.follows(now, &view.entry));
+        let views = views.filter(|view| self.should_follow_cache(now, &view.entry));
         let snapshots = views.filter_map(|view| {
             let snapshot = view.cache.snapshot(is_shared)?;
             Some((view.start_hash, snapshot))
@@ -120,7 +120,7 @@
         start: u32,
         batch: &CacheEventBatch,
     ) {
-        if let Some(view) = self.by_key(start) {
+        if let Some(view) = self.by_start_hash(start) {
             view.cache.apply_events(now, batch);
         }
     }
--- a/src/policy/direct/placement/replica_table/notices.rs
+++ b/src/policy/direct/placement/replica_table/notices.rs
@@ -12,7 +12,7 @@
 impl ReplicaTable {
     /// Applies a notice that a replica sent in an answer, received at `unix_ms` by this host's
     /// clock. Returns whether it was not known before.
-    pub fn hear_notice(
+    pub fn apply_notice(
         &mut self,
         now: Moment,
         unix_ms: u64,
@@ -31,14 +31,14 @@
 
     /// Applies announcements that another router received from these replica starts that they
     /// leave. Returns the replicas of which this was not known before.
-    pub fn hear_of_leaving(
+    pub fn apply_peer_leaving(
         &mut self,
         unix_ms: u64,
         starts: &[u32],
     ) -> Vec<Arc<UpstreamEntry>> {
         let mut newly_leaving = Vec::new();
         for start in starts {
-            let entry = self.by_key(*start).map(|view| view.entry.clone());
+            let entry = self.by_start_hash(*start).map(|view| view.entry.clone());
             newly_leaving.extend(entry.filter(|entry| self.notices.hear_of_leaving(unix_ms, entry)));
         }
         newly_leaving
--- a/src/policy/direct/placement/replica_table/outcomes.rs
+++ b/src/policy/direct/placement/replica_table/outcomes.rs
@@ -21,7 +21,7 @@
 
 impl ReplicaTable {
     /// Records that a replica answered anything.
-    pub fn heard(
+    pub fn record_answer(
         &mut self,
         now: Moment,
         replica: &str,
@@ -55,7 +55,7 @@
     }
 
     /// Records that a request succeeded at a replica.
-    pub fn succeeded(
+    pub fn record_success(
         &mut self,
         replica: &UpstreamEntry,
     ) {
@@ -71,12 +71,12 @@
         run: PlainRun,
     ) {
         if let Some(view) = self.same_start(replica) {
-            view.plain.learn(run);
+            view.plain.record(run);
         }
     }
 
     /// Records that a request failed at a replica.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         now: Moment,
         replica: &UpstreamEntry,
@@ -88,7 +88,7 @@
     }
 
     /// Records that a replica could not be connected to, or was another one than expected.
-    pub fn unreachable(
+    pub fn record_unreachable(
         &mut self,
         now: Moment,
         replica: &UpstreamEntry,
@@ -99,7 +99,7 @@
     }
 
     /// Records that a replica reported that it has no free capacity.
-    pub fn full(
+    pub fn record_overload(
         &mut self,
         now: Moment,
         replica: &UpstreamEntry,
@@ -111,7 +111,7 @@
 
     /// Records that the process at a replica's address ended. Its cache is lost, and it may be
     /// restarted before the list shows it, so slow start applies.
-    pub fn ended(
+    pub fn record_exit(
         &mut self,
         now: Moment,
         replica: &UpstreamEntry,
--- a/src/policy/direct/placement/replica_table/paces.rs
+++ b/src/policy/direct/placement/replica_table/paces.rs
@@ -40,7 +40,7 @@
         };
         let sample = PaceEvidence::sample(took, expected.first_ms);
         view.observations.pace.record(now, sample);
-        let changed_times = self.latency_models.learn(&view.entry.service, first_token);
+        let changed_times = self.latency_models.record(&view.entry.service, first_token);
         let evidence = zone_evidence(view, now, &self.baseline_paces);
         view.pace = ReplicaPace::new(evidence);
         self.refresh_estimates(now);
@@ -57,7 +57,7 @@
 
     /// Replicas whose lasting pace has changed since it was last returned, at most `max` of
     /// them.
-    pub fn pace_news(
+    pub fn take_pace_changes(
         &mut self,
         now: Moment,
         max: usize,
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -15,7 +15,7 @@
 impl ReplicaTable {
     /// Applies load reports of another router or zone. Its earlier reports on other replicas
     /// stay in force until they are too old.
-    pub fn hear(
+    pub fn apply_reports(
         &mut self,
         now: Moment,
         teller: Teller,
@@ -23,7 +23,7 @@
     ) {
         let age = self.max_report_age();
         for report in reports {
-            if let Some(view) = self.by_key(report.replica) {
+            if let Some(view) = self.by_start_hash(report.replica) {
                 view.apply_peer_load(now, age, teller, report);
             }
         }
@@ -77,7 +77,7 @@
         placements: &[PartPlacement],
     ) {
         for placement in placements {
-            if let Some(view) = self.by_key(placement.replica) {
+            if let Some(view) = self.by_start_hash(placement.replica) {
                 view.cache.record_use(now, placement.part);
             }
             if placement.shared {
@@ -107,14 +107,14 @@
 
     /// Applies another router's evidence on the performance of replicas. Impossible figures are
     /// ignored.
-    pub fn hear_evidence(
+    pub fn apply_evidence(
         &mut self,
         now: Moment,
         peer: u32,
         evidence: &[ReplicaEvidence],
     ) {
         for evidence in evidence.iter().filter(|evidence| evidence.is_possible()) {
-            if let Some(view) = self.by_key(evidence.start) {
+            if let Some(view) = self.by_start_hash(evidence.start) {
                 view.observations.apply_peer_evidence(now, peer, *evidence);
             }
         }
@@ -135,7 +135,7 @@
             let mut services = self.replicas.values().map(|view| &view.entry.service);
             let service = services.find(|name| short_name(name) == report.service);
             if let Some(service) = service {
-                self.latency_models.hear(service, report);
+                self.latency_models.apply_report(service, report);
             }
         }
     }
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -190,7 +190,7 @@
     }
 
     /// Looks up a replica by the hash of its start, for modification.
-    pub fn by_key(
+    pub fn by_start_hash(
         &mut self,
         start: u32,
     ) -> Option<&mut ReplicaView> {
--- a/src/policy/direct/placement/replicas/plain_times.rs
+++ b/src/policy/direct/placement/replicas/plain_times.rs
@@ -14,7 +14,7 @@
 
 impl PlainTimes {
     /// Adds an answered request.
-    pub fn learn(
+    pub fn record(
         &mut self,
         run: PlainRun,
     ) {
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -88,7 +88,7 @@
         for datagram in &datagrams {
             let message = decode_payload(datagram).expect("just encoded");
             if let PeerMessage::Report(report) = message {
-                board.hear(NOW, router(step), &report.figures.replicas);
+                board.apply_reports(NOW, router(step), &report.figures.replicas);
             }
         }
     });
@@ -159,10 +159,10 @@
     board.set_reporting(Duration::from_millis(100), fleet);
     let loads: Vec<ReplicaReport> = ids.iter().map(|id| load(id)).collect();
     for number in 1..fleet.in_zone as u32 {
-        board.hear(NOW, router(number), &loads);
+        board.apply_reports(NOW, router(number), &loads);
     }
     for zone in 1..ZONES as u32 {
-        board.hear(NOW, other_zone(zone), &loads);
+        board.apply_reports(NOW, other_zone(zone), &loads);
     }
     for part in 0..KEPT {
         let note = PartPlacement {
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -40,7 +40,7 @@
     for sample in 0..samples {
         let tokens = 200 + (sample * 2953) % 9000;
         let sign = f64::from(sample % 3) - 1.0;
-        model.learn(engine.first_token(tokens, sign * noise_ms));
+        model.record(engine.first_token(tokens, sign * noise_ms));
     }
     model
 }
@@ -74,7 +74,7 @@
         let engine = |tokens_per_ms| Engine { fixed_ms: 50.0, tokens_per_ms };
         let mut model = learnt(engine(before), 1000, 5.0);
         for sample in 0..3000 {
-            model.learn(engine(after).first_token(200 + (sample * 2953) % 9000, 0.0));
+            model.record(engine(after).first_token(200 + (sample * 2953) % 9000, 0.0));
         }
         let times = model.times();
         let whole = times.fixed_ms + times.prefill_ms(8000);
@@ -103,7 +103,7 @@
     };
     let mut model = learnt(engine, 300, 2.0);
     let before = model.times();
-    model.learn(engine.first_token(5000, 20_000.0));
+    model.record(engine.first_token(5000, 20_000.0));
     let after = model.times();
     assert!(!after.differs(&before, 0.05), "{before:?} {after:?}");
 }
@@ -118,7 +118,7 @@
     for sample in 0..300 {
         let front_ms = f64::from(sample % 4) * 60.0;
         let tokens = 200 + (sample * 2953) % 9000;
-        model.learn(FirstToken {
+        model.record(FirstToken {
             queue_ms: front_ms,
             ..engine.first_token(tokens, front_ms)
         });
@@ -134,7 +134,7 @@
     };
     let mut model = LatencyModel::default();
     for _ in 0..5000 {
-        model.learn(engine.first_token(1000, 0.0));
+        model.record(engine.first_token(1000, 0.0));
     }
     let times = model.times();
     let whole = times.fixed_ms + times.prefill_ms(1000);
@@ -155,7 +155,7 @@
         samples: 5000,
     };
     assert!(fresh.reports().is_empty(), "nothing learnt is told");
-    fresh.hear(&service, &told);
+    fresh.apply_report(&service, &told);
     assert!(!fresh.times("model").differs(&told.times, 0.01));
     // What it sees itself moves it, as if it had learnt all that.
     let engine = Engine {
@@ -163,14 +163,14 @@
         tokens_per_ms: 50.0,
     };
     for sample in 0..400 {
-        fresh.learn(
+        fresh.record(
             &service,
             engine.first_token(200 + (sample * 2953) % 9000, 0.0),
         );
     }
     assert!(is_near(1.0 / fresh.times("model").token_ms, 50.0));
     // A router that knows the engines itself keeps to what it knows.
-    fresh.hear(&service, &told);
+    fresh.apply_report(&service, &told);
     assert!(fresh.times("model").token_ms > 0.015);
 }
 
@@ -184,7 +184,7 @@
     let mut models = LatencyModels::default();
     let news = (0..2000).filter(|sample| {
         let seen = engine.first_token(200 + (sample * 2953) % 9000, 0.0);
-        models.learn(&service, seen).is_some()
+        models.record(&service, seen).is_some()
     });
     assert!((1..=12).contains(&news.count()));
 }
@@ -197,7 +197,7 @@
     let usual = LatencyModel::default().times().residual_ms;
     let mut model = LatencyModel::default();
     for _ in 0..10 {
-        model.learn(FirstToken {
+        model.record(FirstToken {
             tokens: 4000,
             queue_ms: 100.0,
             took: Duration::from_millis(600),
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -382,12 +382,12 @@
     // What one process of a replica showed says nothing of the next: the machine may be
     // another one.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
     assert!(lasting(&board, "a") > 3.0);
     board.set_entries(BEGIN, vec![entry("a", 2), entry("b", 1)]);
     assert_eq!(lasting(&board, "a"), 1.0);
     // A fellow that has not heard of it yet speaks of the start before.
-    board.hear_evidence(BEGIN + secs(1.0), 1, &[told("a", 4.0, 50.0)]);
+    board.apply_evidence(BEGIN + secs(1.0), 1, &[told("a", 4.0, 50.0)]);
     assert_eq!(lasting(&board, "a"), 1.0);
 }
 
@@ -398,7 +398,7 @@
     let without = board(&ids);
     let mut with = board(&ids);
     let alike: Vec<ReplicaEvidence> = ids.iter().map(|id| told(id, 1.0, 80.0)).collect();
-    with.hear_evidence(BEGIN, 1, &alike);
+    with.apply_evidence(BEGIN, 1, &alike);
     for number in 0..100 {
         let shape = prompt(number);
         let now = BEGIN + secs(1.0);
@@ -411,7 +411,7 @@
     // A router that has just started has seen no first token; its first prompts go by what
     // its fellows have seen.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 3.0, 60.0), told("b", 0.7, 60.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 3.0, 60.0), told("b", 0.7, 60.0)]);
     for number in 0..50 {
         let Choice::Send { replica, .. } = choose(&board, BEGIN, &prompt(number)) else {
             panic!("refused");
@@ -425,7 +425,7 @@
     // Load: two prompts in front at both, 300 ms at the usual pace. An aim of 800 ms leaves
     // that, but not three times that.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 3.0, 500.0), told("b", 3.0, 500.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 3.0, 500.0), told("b", 3.0, 500.0)]);
     let slow = board;
     let usual = self::board(&["a", "b"]);
     let with_front = |mut board: ReplicaTable| {
@@ -452,17 +452,17 @@
     // It said that a replica is slow, and nothing came of it since: it died, or its
     // datagrams are lost. Its word fades, and is gone after some seconds.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
     let at_once = lasting(&board, "a");
     assert!(at_once > 3.0);
-    board.hear_evidence(BEGIN + secs(5.0), 2, &[]);
+    board.apply_evidence(BEGIN + secs(5.0), 2, &[]);
     assert!(lasting(&board, "a") < at_once);
-    board.hear_evidence(BEGIN + secs(10.0), 2, &[]);
+    board.apply_evidence(BEGIN + secs(10.0), 2, &[]);
     assert_eq!(lasting(&board, "a"), 1.0);
     // What one says takes the place of what it said before, and does not add up.
     for step in 0..100 {
         let now = BEGIN + secs(20.0 + f64::from(step) * 0.25);
-        board.hear_evidence(now, 1, &[told("a", 2.0, 4.0)]);
+        board.apply_evidence(now, 1, &[told("a", 2.0, 4.0)]);
     }
     assert!(
         (1.35..1.45).contains(&lasting(&board, "a")),
@@ -546,7 +546,7 @@
                 broken: log_ratio,
             },
         };
-        board.hear_evidence(secs(200.0), 1, &[told]);
+        board.apply_evidence(secs(200.0), 1, &[told]);
         let view = board.replica("a").expect("listed");
         assert_eq!(view.pace, ReplicaPace::default());
         assert_eq!(view.seen.pauses(secs(200.0)), PauseEvidence::default());
@@ -558,7 +558,7 @@
 fn pauses_at(ratio: f32) -> f64 {
     let pause_aim = Some(Duration::from_millis(300));
     let mut board = board(&["a"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", ratio, 500.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", ratio, 500.0)]);
     for number in [900, 901] {
         let shape = prompt(number);
         let sent = SentPrompt {
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -225,7 +225,7 @@
     let followers = |there: &[u64]| -> Vec<u64> {
         let follows = |own: &&u64| {
             let fellows: Vec<u64> = there.iter().filter(|it| it != own).copied().collect();
-            board(**own, &fellows).follows(LATER, &replica())
+            board(**own, &fellows).should_follow_cache(LATER, &replica())
         };
         there.iter().filter(follows).copied().collect()
     };
@@ -240,16 +240,16 @@
 #[test]
 fn a_replica_that_leaves_or_stands_in_an_emptied_zone_is_left_alone() {
     let mut board = board(1, &[]);
-    assert!(board.follows(LATER, &replica()));
+    assert!(board.should_follow_cache(LATER, &replica()));
     board.set_cordoned(BTreeSet::from(["z".to_owned()]));
-    assert!(!board.follows(LATER, &replica()));
+    assert!(!board.should_follow_cache(LATER, &replica()));
     board.set_cordoned(BTreeSet::new());
     let leaving = UpstreamEntry {
         state: UpstreamState::Draining,
         ..(*replica()).clone()
     };
     board.set_entries(LATER, vec![Arc::new(leaving)]);
-    assert!(!board.follows(LATER, &replica()));
+    assert!(!board.should_follow_cache(LATER, &replica()));
 }
 
 #[test]
@@ -313,7 +313,7 @@
         tell(ms(1500), &news(&[event(5, 9, false)])),
         Some((4, 6, false))
     );
-    assert!(fellow.is_followed(LATER + ms(1500), &replica()));
+    assert!(fellow.is_cache_followed(LATER + ms(1500), &replica()));
     assert_eq!(fellow.cache_cursor(&replica()).next, 6);
 }
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -245,7 +245,7 @@
         placed_tokens: 0,
         is_ejected: false,
     };
-    board.hear(NOW, PEER, &[busy]);
+    board.apply_reports(NOW, PEER, &[busy]);
     let (replica, _) = sent(board.choose(NOW, &request(&prompt(1, 101))));
     assert_ne!(replica, home);
     // A report that is old counts for nothing.
@@ -281,9 +281,9 @@
         },
         ..KNOWN
     }]);
-    board.hear(NOW, PEER, &[being_read("a", 100)]);
+    board.apply_reports(NOW, PEER, &[being_read("a", 100)]);
     sent(board.choose(NOW, &request(&prompt(1, 2))));
-    board.hear(NOW, PEER, &[being_read("a", 12_000)]);
+    board.apply_reports(NOW, PEER, &[being_read("a", 12_000)]);
     refused(board.choose(NOW, &request(&prompt(1, 2))));
 }
 
@@ -431,7 +431,7 @@
     let prompt = prompt(1, 2);
     let (home, _) = sent(board.choose(NOW, &request(&prompt)));
     for _ in 0..3 {
-        board.failed(NOW, &entry(&home, "z", UpstreamState::Ready));
+        board.record_failure(NOW, &entry(&home, "z", UpstreamState::Ready));
     }
     assert_ne!(sent(board.choose(NOW, &request(&prompt))).0, home);
     let later = NOW + Duration::from_secs(10);
@@ -442,7 +442,7 @@
 fn a_repeat_goes_to_a_resting_replica_rather_than_nowhere() {
     let mut board = board(&["a", "b"]);
     let prompt = prompt(1, 2);
-    board.unreachable(NOW, &entry("b", "z", UpstreamState::Ready));
+    board.record_unreachable(NOW, &entry("b", "z", UpstreamState::Ready));
     let tried = ["a".into()];
     let again = PlacementRequest {
         tried: &tried,
@@ -455,7 +455,7 @@
 fn when_most_replicas_fail_none_is_left_out_for_it() {
     let mut board = board(&["a", "b", "c"]);
     for id in ["a", "b", "c"] {
-        board.unreachable(NOW, &entry(id, "z", UpstreamState::Ready));
+        board.record_unreachable(NOW, &entry(id, "z", UpstreamState::Ready));
     }
     sent(board.choose(NOW, &request(&prompt(1, 2))));
 }
@@ -465,8 +465,8 @@
     let mut board = board(&["a", "b", "c"]);
     for _ in 0..40 {
         for id in ["a", "b", "c"] {
-            board.failed(NOW, &entry(id, "z", UpstreamState::Ready));
-            board.succeeded(&entry(id, "z", UpstreamState::Ready));
+            board.record_failure(NOW, &entry(id, "z", UpstreamState::Ready));
+            board.record_success(&entry(id, "z", UpstreamState::Ready));
         }
     }
     let awake = board.replicas().filter(|view| !view.health.is_ejected(NOW));
@@ -478,10 +478,10 @@
     let mut board = board(&["a", "b", "c"]);
     for turn in 0..40 {
         for id in ["a", "b", "c"] {
-            board.succeeded(&entry(id, "z", UpstreamState::Ready));
+            board.record_success(&entry(id, "z", UpstreamState::Ready));
         }
         if turn % 2 == 0 {
-            board.failed(NOW, &entry("a", "z", UpstreamState::Ready));
+            board.record_failure(NOW, &entry("a", "z", UpstreamState::Ready));
         }
     }
     let rests = |id| board.replica(id).expect("listed").health.is_ejected(NOW);
@@ -556,7 +556,7 @@
         matches!(&chosen, Choice::Send { replica, fetch_from: None, .. } if &**replica == "near")
     );
     assert_ne!(&*sent(board.choose(NOW, &able(&prompt))).0, "near");
-    board.hear(NOW, PEER, &[full_of_requests("near")]);
+    board.apply_reports(NOW, PEER, &[full_of_requests("near")]);
     let (reason, _) = refused(board.choose(NOW, &bounded));
     assert_eq!(reason, RefusalReason::NoRoom);
     let west: AllowedRegions = ["west".to_owned()].into_iter().collect();
@@ -581,7 +581,7 @@
         ..request(&prompt)
     };
     let busy = full_of_requests(&home);
-    board.hear(NOW, PEER, &[busy]);
+    board.apply_reports(NOW, PEER, &[busy]);
     let Choice::Send {
         replica,
         prefill_tokens: reading,
@@ -615,7 +615,7 @@
     let full: Vec<Arc<str>> = ids[..3].iter().map(|id| (*id).into()).collect();
     for id in &full {
         let busy = full_of_requests(id);
-        board.hear(NOW, PEER, &[busy]);
+        board.apply_reports(NOW, PEER, &[busy]);
     }
     let mut sources = HashMap::new();
     for own in 0..60 {
@@ -655,7 +655,7 @@
                 placed_tokens: 0,
                 is_ejected: false,
             };
-            board.hear(NOW, PEER, &[busy]);
+            board.apply_reports(NOW, PEER, &[busy]);
         }
         let prompts = (0..100).map(|own| prompt(own, 1000 + own));
         prompts
@@ -696,7 +696,7 @@
             placed_tokens: 0,
             is_ejected: false,
         };
-        board.hear(NOW, PEER, &[busy]);
+        board.apply_reports(NOW, PEER, &[busy]);
         sent(board.choose(NOW, &able(&prompt(1, 101)))).0 == home
     };
     assert!(stays_at_home(1000));
@@ -743,11 +743,11 @@
         view.cache.uncached(&prompt(1, 101))
     };
     // When the first report's tokens were placed is unknown: counting begins there.
-    board.hear(NOW, PEER, &[report(2_000_000)]);
+    board.apply_reports(NOW, PEER, &[report(2_000_000)]);
     assert_eq!(uncached(&board), 1000);
-    board.hear(NOW, PEER, &[report(2_050_000)]);
+    board.apply_reports(NOW, PEER, &[report(2_050_000)]);
     assert_eq!(uncached(&board), 1000);
-    board.hear(NOW, PEER, &[report(2_099_000)]);
+    board.apply_reports(NOW, PEER, &[report(2_099_000)]);
     assert_eq!(uncached(&board), 5000);
 }
 
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -128,15 +128,15 @@
     let mut board = board();
     let earlier = start("i-a", 1000);
     for _ in 0..8 {
-        board.failed(NOW, &earlier);
+        board.record_failure(NOW, &earlier);
     }
     let rests = |board: &ReplicaTable| board.replica("i-a").expect("listed").health.is_ejected(NOW);
     assert!(rests(&board));
     board.set_entries(NOW, vec![start("i-a", 2000)]);
     assert!(!rests(&board));
     for _ in 0..8 {
-        board.failed(NOW, &earlier);
-        board.unreachable(NOW, &earlier);
+        board.record_failure(NOW, &earlier);
+        board.record_unreachable(NOW, &earlier);
     }
     assert!(
         !rests(&board),
@@ -163,12 +163,12 @@
     };
     let (earlier, later) = (start("i-a", 1000), start("i-a", 2000));
     let mut board = board();
-    board.hear(NOW, PEER, &[report(&earlier)]);
+    board.apply_reports(NOW, PEER, &[report(&earlier)]);
     let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").load(NOW, age);
     assert_eq!(load(&board).running, 3);
     board.set_entries(NOW, vec![later.clone()]);
     assert_eq!(load(&board).running, 0);
-    board.hear(NOW, PEER, &[report(&earlier)]);
+    board.apply_reports(NOW, PEER, &[report(&earlier)]);
     assert_eq!(load(&board).running, 0);
     assert!(!board.replica("i-a").expect("listed").is_avoided(NOW, age));
     board.apply_placements(
@@ -177,7 +177,7 @@
         &[note(&earlier, 1), note(&earlier, 2)],
     );
     assert_eq!(reading(&mut board), 5000);
-    board.hear(NOW, PEER, &[report(&later)]);
+    board.apply_reports(NOW, PEER, &[report(&later)]);
     assert_eq!(load(&board).running, 3);
     assert!(
         board
@@ -202,7 +202,7 @@
 fn a_replica_that_was_seen_to_end_keeps_nothing_whatever_the_list_says_yet() {
     let mut board = board();
     send(&mut board);
-    board.ended(NOW, &start("i-a", 1000));
+    board.record_exit(NOW, &start("i-a", 1000));
     assert_eq!(reading(&mut board), 5000);
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -332,7 +332,7 @@
     let entry = entry("i-0", "z", Duration::ZERO);
     let board = &mut fleet.routers[0].board;
     board.set_entries(START, vec![entry.clone()]);
-    board.ended(START, &entry);
+    board.record_exit(START, &entry);
     fleet.play(START, SLOW_FOR, |_, _| true);
     assert!(fleet.most() as f64 <= PER_SECOND, "{}", fleet.most());
     assert!(fleet.all() > 0);
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -496,17 +496,17 @@
         pace: PaceEvidence::default(),
         pauses: pauses(20.0, 15.0),
     };
-    board.hear_evidence(START, 1, &[told]);
+    board.apply_evidence(START, 1, &[told]);
     let soon = START + Duration::from_millis(100);
     assert_ne!(chosen(&mut board, soon, &shape), home);
     let later = START + Duration::from_secs(4);
     assert_eq!(chosen(&mut board, later, &shape), home);
 
-    board.hear_evidence(later, 1, &[told]);
+    board.apply_evidence(later, 1, &[told]);
     board.record_pauses(later, &entry(home, None), pauses(20.0, 15.0));
     let other = 1 - home;
     board.set_entries(later, vec![entry(home, Some(2)), entry(other, None)]);
-    board.hear_evidence(later, 1, &[told]);
+    board.apply_evidence(later, 1, &[told]);
     assert_eq!(chosen(&mut board, later, &shape), home);
 }
 
