--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -37,8 +37,8 @@
             zone: &zone,
             engine: call.engine,
             prompt: call.prompt.as_ref(),
-            aim: call.service_aim,
-            pause_aim: call.route.pause_aim,
+            target_latency: call.service_aim,
+            target_pause: call.route.pause_aim,
             standing,
             tried: &self.tried,
             regions: call.regions.as_ref(),
@@ -67,8 +67,8 @@
                 let sent = sent.map(|(shape, engine)| SentPrompt {
                     shape,
                     engine,
-                    aim: call.route.aim,
-                    pause_aim: call.route.pause_aim,
+                    target_latency: call.route.aim,
+                    target_pause: call.route.pause_aim,
                     prefill_tokens: reading,
                     queue_ms: front_ms,
                 });
@@ -113,7 +113,7 @@
         }
         match choice {
             Choice::Send { .. } => self.gateway.shares().count_room(now, true),
-            Choice::Refuse { reason, .. } if *reason == RefusalReason::NoRoom => {
+            Choice::Refuse { reason, .. } if *reason == RefusalReason::NoCapacity => {
                 self.gateway.shares().count_room(now, false);
             }
             Choice::Refuse { .. } => {}
@@ -183,7 +183,7 @@
             RefusalReason::NoRegion => ResultCode::NoRegion,
             RefusalReason::Cordoned => ResultCode::Cordoned,
             RefusalReason::Resting => ResultCode::Resting,
-            RefusalReason::NoRoom => ResultCode::NoRoom,
+            RefusalReason::NoCapacity => ResultCode::NoRoom,
             RefusalReason::OverShare => ResultCode::OverShare,
         };
         ErrorAnswer::new(code).retry_after(retry_after)
--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -108,25 +108,25 @@
     change: &CacheChange,
 ) {
     let kinds = [
-        ("heard", change.heard),
-        ("taken", change.taken),
-        ("given_up", change.given_up),
+        ("heard", change.unseen),
+        ("taken", change.added),
+        ("given_up", change.evicted),
     ];
     for (kind, count) in kinds {
         metrics::counter!(KEPT_EVENTS, "kind" => kind).increment(count as u64);
     }
-    let news = &change.news;
-    if news.has_gap || change.is_anew || change.taken + change.given_up > 0 {
+    let news = &change.batch;
+    if news.has_gap || change.was_reset || change.added + change.evicted > 0 {
         log::debug!(
             replica = &*entry.id,
             epoch = news.epoch,
             from = news.from,
             next = news.next,
             has_gap = news.has_gap,
-            is_anew = change.is_anew,
-            heard = change.heard,
-            taken = change.taken,
-            given_up = change.given_up;
+            is_anew = change.was_reset,
+            heard = change.unseen,
+            taken = change.added,
+            given_up = change.evicted;
             "replica said what it keeps"
         );
     }
--- a/src/direct/stream_watch.rs
+++ b/src/direct/stream_watch.rs
@@ -43,7 +43,7 @@
 
     /// The longest pause that is in time, while none came over it.
     pub fn aim(&self) -> Option<Duration> {
-        self.watch.aim()
+        self.watch.target_pause()
     }
 
     /// An event came that was waited for since then.
@@ -52,13 +52,13 @@
         since: Moment,
     ) {
         let now = self.gateway.now();
-        let seen = self.watch.event(now, now.saturating_sub(since));
+        let seen = self.watch.record_event(now, now.saturating_sub(since));
         self.hand_in(seen);
     }
 
     /// The pause that is waited through came over the aim.
     pub fn breaks(&mut self) {
-        let seen = self.watch.breaks(self.gateway.now());
+        let seen = self.watch.record_overrun(self.gateway.now());
         self.hand_in(Some(seen));
     }
 
@@ -74,7 +74,7 @@
             return;
         }
         let entry = &self.entry;
-        if seen.broken > 0.0 {
+        if seen.late > 0.0 {
             metrics::counter!(BROKEN_PAUSES, "service" => entry.service.to_string()).increment(1);
         }
         let news = self
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -217,7 +217,7 @@
         let mut board = gateway.board();
         let notes = board.take_placements();
         let replicas = board.reports(now);
-        let engines = board.engine_reports();
+        let engines = board.latency_reports();
         drop(board);
         let usage = gateway.shares().own(now).clone();
         let mut told = self.told.lock().expect("told lock");
@@ -239,7 +239,7 @@
         let gateway = &self.gateway;
         let board = gateway.board();
         let replicas = board.zone_reports(now);
-        let engines = board.engine_reports();
+        let engines = board.latency_reports();
         drop(board);
         let usage = gateway.shares().zone_usage(now);
         Figures {
--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -123,7 +123,7 @@
             from,
             next,
             has_gap: std::mem::take(&mut has_gap),
-            is_again: news.is_again,
+            is_snapshot: news.is_snapshot,
             events: events.to_vec(),
         });
         from = next;
--- a/src/peers/told_reports.rs
+++ b/src/peers/told_reports.rs
@@ -39,7 +39,7 @@
         let known: HashMap<u32, (Moment, ReplicaReport)> = std::mem::take(&mut self.replicas);
         let mut due = Vec::new();
         for report in reports {
-            let told = known.get(&report.replica).copied();
+            let told = known.get(&report.start_hash).copied();
             let is_due = told.is_none_or(|(at, told)| told != report || is_old(now, at, refresh));
             let kept = if is_due {
                 due.push(report);
@@ -47,7 +47,7 @@
             } else {
                 told.unwrap_or((now, report))
             };
-            self.replicas.insert(report.replica, kept);
+            self.replicas.insert(report.start_hash, kept);
         }
         due
     }
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -84,14 +84,14 @@
     let events = events.map(|(number, sign, _, id, tokens, _)| CacheEvent {
         number,
         part: part_id(&id),
-        is_kept: sign == "+" && tokens > 0,
+        is_cached: sign == "+" && tokens > 0,
     });
     let mut news = CacheEventBatch {
         epoch: short_name(&json.epoch.to_string()),
         from: from.max(1),
         next: json.next_token.saturating_add(1),
         has_gap: false,
-        is_again: false,
+        is_snapshot: false,
         events: events.collect(),
     };
     news.events.sort_by_key(|event| event.number);
--- a/src/policy/direct/placement/kept/cache_event.rs
+++ b/src/policy/direct/placement/cache_events/cache_event.rs
@@ -5,5 +5,5 @@
 pub struct CacheEvent {
     pub number: u64, // sequence number, counted by the replica
     pub part: u64,
-    pub is_kept: bool, // cached if true, evicted if false
+    pub is_cached: bool, // cached if true, evicted if false
 }
--- a/src/policy/direct/placement/kept/cache_event_batch.rs
+++ b/src/policy/direct/placement/cache_events/cache_event_batch.rs
@@ -10,7 +10,7 @@
     pub from: u64,      // first event number that the batch covers
     pub next: u64,      // first event number after the batch
     pub has_gap: bool,  // some events in between are missing
-    pub is_again: bool, // a snapshot of cached parts, for routers that have just started
+    pub is_snapshot: bool, // a snapshot of cached parts, for routers that have just started
     pub events: Vec<CacheEvent>,
 }
 
@@ -22,12 +22,12 @@
     }
 
     /// The batch, reduced to evictions of the selected parts.
-    pub fn given_up(
+    pub fn evictions(
         &self,
         is_selected: impl Fn(u64) -> bool,
     ) -> Self {
         let events = self.events.iter();
-        let events = events.filter(|event| !event.is_kept && is_selected(event.part));
+        let events = events.filter(|event| !event.is_cached && is_selected(event.part));
         Self {
             events: events.copied().collect(),
             ..*self
--- a/src/policy/direct/placement/kept/cache_event_tracker.rs
+++ b/src/policy/direct/placement/cache_events/cache_event_tracker.rs
@@ -96,12 +96,12 @@
         let events = batch
             .events
             .iter()
-            .filter(|event| batch.is_again || event.number >= next);
+            .filter(|event| batch.is_snapshot || event.number >= next);
         // The replica was asked for events beyond its last number, because an earlier answer
         // named too high a number. Without going back, its events would be skipped as known.
         let is_beyond_end = batch.next < batch.from;
         let unseen = UnseenEvents {
-            is_anew: known.epoch.is_some() && !is_same_epoch,
+            was_reset: known.epoch.is_some() && !is_same_epoch,
             has_gap: batch.has_gap || batch.from > next || is_beyond_end,
             events: events.copied().collect(),
         };
--- a/src/policy/direct/placement/choosing/choice.rs
+++ b/src/policy/direct/placement/choosing/choice.rs
@@ -29,7 +29,7 @@
     /// All usable replicas of the service asked for backoff.
     Resting,
     /// No replica can answer within the latency target.
-    NoRoom,
+    NoCapacity,
     /// The account is over its fair share, and the free capacity is reserved for others.
     OverShare,
 }
--- a/src/policy/direct/placement/choosing/queue_budget.rs
+++ b/src/policy/direct/placement/choosing/queue_budget.rs
@@ -27,7 +27,7 @@
         typical: &TypicalPrompts,
     ) -> Self {
         Self {
-            target_ms: request.aim.as_secs_f64() * 1000.0,
+            target_ms: request.target_latency.as_secs_f64() * 1000.0,
             typical: typical.recent(now, request.service).collect(),
         }
     }
--- a/src/policy/direct/placement/engines/baseline_pace.rs
+++ b/src/policy/direct/placement/engines/baseline_pace.rs
@@ -19,7 +19,7 @@
             true => evidence.lasting.mean(0.0),
             false => 0.0,
         };
-        let recent = lasting + evidence.recent.beside(lasting).mean(RECENT_PRIOR);
+        let recent = lasting + evidence.recent.relative_to(lasting).mean(RECENT_PRIOR);
         Self { lasting, recent }
     }
 }
--- a/src/policy/direct/placement/engines/latency_models.rs
+++ b/src/policy/direct/placement/engines/latency_models.rs
@@ -57,7 +57,7 @@
         known
             .filter(|(_, known)| known.model.samples() >= MIN_REPORT_SAMPLES)
             .map(|(service, known)| LatencyReport {
-                service: short_name(service),
+                service_hash: short_name(service),
                 times: known.model.times(),
                 samples: known.model.samples(),
             })
--- a/src/policy/direct/placement/engines/pace_evidence.rs
+++ b/src/policy/direct/placement/engines/pace_evidence.rs
@@ -64,13 +64,13 @@
     }
 
     /// The same relative to the mean pace that a router observes of the service.
-    pub fn beside(
+    pub fn relative_to(
         self,
         usual: BaselinePace,
     ) -> Self {
         Self {
-            lasting: self.lasting.beside(usual.lasting),
-            recent: self.recent.beside(usual.recent),
+            lasting: self.lasting.relative_to(usual.lasting),
+            recent: self.recent.relative_to(usual.recent),
         }
     }
 }
--- a/src/policy/direct/placement/engines/pace_sum.rs
+++ b/src/policy/direct/placement/engines/pace_sum.rs
@@ -66,7 +66,7 @@
     }
 
     /// The same relative to a baseline ratio, given by its logarithm.
-    pub fn beside(
+    pub fn relative_to(
         self,
         log_baseline: f32,
     ) -> Self {
--- a/src/policy/direct/placement/engines/pause_evidence.rs
+++ b/src/policy/direct/placement/engines/pause_evidence.rs
@@ -12,14 +12,14 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PauseEvidence {
     pub watched_s: f32, // observed seconds of streams in time, decayed by age
-    pub broken: f32,    // streams whose pause first exceeded the target, decayed by age
+    pub late: f32,    // streams whose pause first exceeded the target, decayed by age
 }
 
 impl PauseEvidence {
     /// Whether the figures lie within bounds that real observations cannot exceed.
     pub fn is_possible(self) -> bool {
         let possible = 0.0..=MAX_FIGURE;
-        possible.contains(&self.watched_s) && possible.contains(&self.broken)
+        possible.contains(&self.watched_s) && possible.contains(&self.late)
     }
 
     /// The figures after exponential decay over `age` with this time constant.
@@ -31,7 +31,7 @@
         let factor = (-age.as_secs_f32() / time_constant.as_secs_f32()).exp();
         Self {
             watched_s: self.watched_s * factor,
-            broken: self.broken * factor,
+            late: self.late * factor,
         }
     }
 }
@@ -42,6 +42,6 @@
         other: Self,
     ) {
         self.watched_s += other.watched_s;
-        self.broken += other.broken;
+        self.late += other.late;
     }
 }
--- a/src/policy/direct/placement/engines/replica_evidence.rs
+++ b/src/policy/direct/placement/engines/replica_evidence.rs
@@ -7,7 +7,7 @@
 /// routers of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaEvidence {
-    pub start: u32, // hash of the start
+    pub start_hash: u32, // hash of the start
     pub pace: PaceEvidence,
     pub pauses: PauseEvidence,
 }
@@ -18,9 +18,9 @@
 impl ReplicaEvidence {
     /// Priority for sending, which rises with the number of samples and their deviation from
     /// the service's mean.
-    pub fn says(&self) -> f32 {
+    pub fn priority(&self) -> f32 {
         let pace = self.pace.lasting.log_ratio.abs() + self.pace.recent.log_ratio.abs();
-        pace + self.pauses.broken
+        pace + self.pauses.late
     }
 
     /// Whether the figures can come from real observations. Those of other processes are not
--- a/src/policy/direct/placement/engines/replica_pace.rs
+++ b/src/policy/direct/placement/engines/replica_pace.rs
@@ -38,7 +38,7 @@
             .lasting
             .mean(LASTING_PRIOR)
             .clamp(log_bounds.0, log_bounds.1);
-        let recent = evidence.recent.beside(lasting).mean(RECENT_PRIOR);
+        let recent = evidence.recent.relative_to(lasting).mean(RECENT_PRIOR);
         let is_slowdown = recent > MIN_SLOWDOWN.ln();
         let slowdown = if is_slowdown { recent } else { 0.0 };
         Self {
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -4,7 +4,7 @@
 mod replica_table;
 mod choosing;
 mod engines;
-mod kept;
+mod cache_events;
 mod loads;
 mod pauses;
 mod placement_settings;
@@ -18,7 +18,7 @@
         LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken, PaceEvidence, PaceChange,
         PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, BaselinePace, TypicalPrompts,
     },
-    kept::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
+    cache_events::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
     loads::{ExpectedTimes, FleetSize, Load, PeerLoads, ReplicaReport, InFlightRequest, InFlightId},
     pauses::{TargetPauses, PauseRecord, PauseRisk, PauseEstimate, PauseWatch, StreamDurations, late_fraction},
     placement_settings::PlacementSettings,
--- a/src/policy/direct/placement/pauses/pause_record.rs
+++ b/src/policy/direct/placement/pauses/pause_record.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PauseRecord {
     expected: f64,  // late streams expected from the queue, decayed by age
-    broken: f64,    // late streams, decayed by age
+    late: f64,    // late streams, decayed by age
     runs: f64,      // streams that ended regularly, decayed by age
     log_ratio: f64, // of these, the sum of ln(time taken / time expected of the service)
     updated: Moment,
@@ -43,11 +43,11 @@
         &mut self,
         now: Moment,
         expected: f64,
-        broken: f64,
+        late: f64,
     ) {
         self.decay(now);
         self.expected += expected;
-        self.broken += broken;
+        self.late += late;
     }
 
     /// Adds a stream that ended regularly, and ran `ratio` times as long as expected of the
@@ -77,7 +77,7 @@
         now: Moment,
     ) -> (f64, f64) {
         let factor = self.decay_factor(now);
-        (self.expected * factor, self.broken * factor)
+        (self.expected * factor, self.late * factor)
     }
 
     /// The rate of late streams per second watched, if it differs markedly from the last
@@ -91,7 +91,7 @@
         if evidence.watched_s < MIN_REPORT_WATCHED_S || is_early {
             return None;
         }
-        let rate = evidence.broken / evidence.watched_s;
+        let rate = evidence.late / evidence.watched_s;
         let (current, reported) = (rate.max(MIN_RATE), self.reported_rate.max(MIN_RATE));
         let has_changed =
             current > reported * REPORTED_CHANGE || reported > current * REPORTED_CHANGE;
@@ -108,7 +108,7 @@
     ) {
         let factor = self.decay_factor(now);
         self.expected *= factor;
-        self.broken *= factor;
+        self.late *= factor;
         self.runs *= factor;
         self.log_ratio *= factor;
         self.updated = now;
--- a/src/policy/direct/placement/pauses/pause_risk.rs
+++ b/src/policy/direct/placement/pauses/pause_risk.rs
@@ -34,8 +34,8 @@
     /// Combines the estimates of all replicas of a service, whose streams run for `mean_run_s`
     /// on average. Returns none if hardly any stream is late.
     pub fn new(
-        latency_target: Duration,
-        pause_target: Duration,
+        target_latency: Duration,
+        target_pause: Duration,
         run_s: f64,
         mean_run_s: f64,
         estimates: impl Iterator<Item = PauseEstimate>,
@@ -43,16 +43,16 @@
         let mut all = PauseEstimate::default();
         for estimate in estimates {
             all.watched_s += estimate.watched_s;
-            all.broken += estimate.broken;
+            all.late += estimate.late;
             all.expected += estimate.expected;
-            all.came += estimate.came;
+            all.observed += estimate.observed;
         }
-        let rate = all.broken / (all.watched_s + PRIOR_WATCHED_S);
+        let rate = all.late / (all.watched_s + PRIOR_WATCHED_S);
         let late_fraction = 1.0 - (-rate * mean_run_s).exp();
-        let susceptible = all.came / (all.expected + PRIOR_EXPECTED);
+        let susceptible = all.observed / (all.expected + PRIOR_EXPECTED);
         (late_fraction > NEGLIGIBLE || susceptible > NEGLIGIBLE).then_some(Self {
-            late_ms: latency_target.as_secs_f64() * 1000.0,
-            target_ms: pause_target.as_secs_f64() * 1000.0,
+            late_ms: target_latency.as_secs_f64() * 1000.0,
+            target_ms: target_pause.as_secs_f64() * 1000.0,
             run_s,
             rate,
             susceptible,
@@ -65,7 +65,7 @@
         estimate: PauseEstimate,
     ) -> f64 {
         let watched_s = estimate.watched_s + PRIOR_WATCHED_S;
-        let rate = (estimate.broken + self.rate * PRIOR_WATCHED_S) / watched_s;
+        let rate = (estimate.late + self.rate * PRIOR_WATCHED_S) / watched_s;
         let run_s = self.run_s * estimate.run_ratio;
         (1.0 - (-rate * run_s).exp()) * self.late_ms * OWN_WEIGHT
     }
@@ -82,7 +82,7 @@
         let share = |block_ms| late_fraction(block_ms, self.target_ms);
         let added = share(queue_ms + own_ms) - share(queue_ms);
         let expected = estimate.expected + PRIOR_EXPECTED;
-        let susceptible = (estimate.came + self.susceptible * PRIOR_EXPECTED) / expected;
+        let susceptible = (estimate.observed + self.susceptible * PRIOR_EXPECTED) / expected;
         f64::from(running) * added * susceptible.min(1.0)
     }
 
--- a/src/policy/direct/placement/pauses/pause_watch.rs
+++ b/src/policy/direct/placement/pauses/pause_watch.rs
@@ -10,7 +10,7 @@
 /// then, and its later pauses are ignored.
 #[derive(Debug)]
 pub struct PauseWatch {
-    target: Duration,
+    target_pause: Duration,
     reported_at: Moment,
     watched: Duration, // since the last report
     is_late: bool,
@@ -20,10 +20,10 @@
     /// Starts at the first event of a stream with this pause target.
     pub fn new(
         now: Moment,
-        target: Duration,
+        target_pause: Duration,
     ) -> Self {
         Self {
-            target,
+            target_pause,
             reported_at: now,
             watched: Duration::ZERO,
             is_late: false,
@@ -31,13 +31,13 @@
     }
 
     /// The pause target; none once the stream is late.
-    pub fn aim(&self) -> Option<Duration> {
-        (!self.is_late).then_some(self.target)
+    pub fn target_pause(&self) -> Option<Duration> {
+        (!self.is_late).then_some(self.target_pause)
     }
 
     /// Records an event that arrived after waiting for the replica this long. Returns the
     /// observations when a report is due.
-    pub fn event(
+    pub fn record_event(
         &mut self,
         now: Moment,
         waited: Duration,
@@ -46,17 +46,17 @@
             return None;
         }
         self.watched += waited;
-        self.is_late = waited > self.target;
+        self.is_late = waited > self.target_pause;
         let is_due = now.saturating_sub(self.reported_at) >= REPORT_INTERVAL;
         (self.is_late || is_due).then(|| self.take(now))
     }
 
     /// Records that the current pause exceeds the target.
-    pub fn breaks(
+    pub fn record_overrun(
         &mut self,
         now: Moment,
     ) -> PauseEvidence {
-        self.watched += self.target;
+        self.watched += self.target_pause;
         self.is_late = true;
         self.take(now)
     }
@@ -77,7 +77,7 @@
         self.reported_at = now;
         PauseEvidence {
             watched_s: std::mem::take(&mut self.watched).as_secs_f32(),
-            broken: f32::from(u8::from(self.is_late)),
+            late: f32::from(u8::from(self.is_late)),
         }
     }
 }
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -128,14 +128,14 @@
         let events = parts.take(MAX_SNAPSHOT_PARTS).map(|part| CacheEvent {
             number: follow.next.saturating_sub(1),
             part,
-            is_kept: true,
+            is_cached: true,
         });
         Some(CacheEventBatch {
             epoch: follow.epoch?,
             from: follow.next,
             next: follow.next,
             has_gap: false,
-            is_again: true,
+            is_snapshot: true,
             events: events.collect(),
         })
     }
@@ -147,7 +147,7 @@
         batch: &CacheEventBatch,
     ) -> CacheChange {
         let unseen = self.events.advance(now, batch);
-        if unseen.is_anew {
+        if unseen.was_reset {
             self.last_used.clear();
         }
         if self.capacity == 0 {
@@ -161,11 +161,11 @@
         let events = events.filter(|event| self.apply_event(now, event));
         let events: Vec<CacheEvent> = events.collect();
         CacheChange {
-            heard: unseen_count,
-            taken: events.iter().filter(|event| event.is_kept).count(),
-            given_up: events.iter().filter(|event| !event.is_kept).count(),
-            is_anew: unseen.is_anew,
-            news: CacheEventBatch {
+            unseen: unseen_count,
+            added: events.iter().filter(|event| event.is_cached).count(),
+            evicted: events.iter().filter(|event| !event.is_cached).count(),
+            was_reset: unseen.was_reset,
+            batch: CacheEventBatch {
                 has_gap: unseen.has_gap,
                 events,
                 ..batch.clone()
@@ -180,7 +180,7 @@
         event: &CacheEvent,
     ) -> bool {
         let was_known = self.last_used.contains_key(&event.part);
-        if !event.is_kept {
+        if !event.is_cached {
             if was_known && self.events.record_eviction(now, event.part) {
                 self.last_used.remove(&event.part);
             }
--- a/src/policy/direct/placement/replica_table/cache_events.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -88,10 +88,10 @@
         let start = entry.start_name();
         let cache = &mut self.same_start(entry)?.cache;
         let change = cache.apply_events(now, batch);
-        let forwarded = cache.batch_to_forward(now, &change.news);
+        let forwarded = cache.batch_to_forward(now, &change.batch);
         let shared_evictions = change
-            .news
-            .given_up(|part| self.shared_parts.contains(part));
+            .batch
+            .evictions(|part| self.shared_parts.contains(part));
         if !shared_evictions.events.is_empty() && self.zone_evictions.len() < MAX_QUEUED_BATCHES {
             self.zone_evictions.push((start, shared_evictions));
         }
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -101,7 +101,7 @@
     ) -> Choice {
         let settings = &self.settings;
         let age = self.max_report_age();
-        let times = self.engine_times(request.service);
+        let times = self.engine_latency(request.service);
         let most_are_idle = is_over_share(request.standing) && self.most_are_idle(now, usable);
         let admission = Admission::new(settings, request, engine, most_are_idle);
         let budget = QueueBudget::new(now, request, &self.typical_prompts);
--- a/src/policy/direct/placement/replica_table/in_flight.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -28,9 +28,9 @@
         };
         if let Some(prompt) = prompt {
             let service = &view.entry.service;
-            self.typical_prompts.record(now, service, prompt.aim, prompt.prefill_tokens);
-            if let Some(aim) = prompt.pause_aim {
-                self.target_pauses.record(now, service, aim);
+            self.typical_prompts.record(now, service, prompt.target_latency, prompt.prefill_tokens);
+            if let Some(target_pause) = prompt.target_pause {
+                self.target_pauses.record(now, service, target_pause);
             }
             load.prefill_tokens = prompt.prefill_tokens;
             load.kv_tokens = prompt.prefill_tokens + prompt.shape.output_tokens;
@@ -44,7 +44,7 @@
             for (index, part) in parts.iter().enumerate() {
                 view.cache.record_use(now, part.id);
                 let placement = PartPlacement {
-                    replica: view.start_hash,
+                    start_hash: view.start_hash,
                     part: part.id,
                     shared: index + 1 < parts.len(),
                 };
--- a/src/policy/direct/placement/replica_table/pauses.rs
+++ b/src/policy/direct/placement/replica_table/pauses.rs
@@ -25,18 +25,18 @@
         replica: &UpstreamEntry,
         evidence: PauseEvidence,
     ) -> Option<f32> {
-        let target = self.target_pauses.shortest(now, &replica.service);
-        let times = self.engine_times(&replica.service);
+        let target_pause = self.target_pauses.shortest(now, &replica.service);
+        let times = self.engine_latency(&replica.service);
         let age = self.max_report_age();
         let view = self.same_start(replica)?;
         view.observations.record_pauses(now, evidence);
-        if let Some(target) = target {
+        if let Some(target_pause) = target_pause {
             let queue_ms = view.pace.of(times).prefill_ms(view.load(now, age).prefill_tokens);
-            let target_s = target.as_secs_f64();
+            let target_s = target_pause.as_secs_f64();
             let pauses = (f64::from(evidence.watched_s) / target_s).min(1.0);
             let expected = pauses * late_fraction(queue_ms, target_s * 1000.0);
             view.pauses
-                .record_late(now, expected, evidence.broken.into());
+                .record_late(now, expected, evidence.late.into());
         }
         let all = view.observations.pauses(now);
         view.pause_estimate = PauseEstimate::new(now, all, &view.pauses);
@@ -71,12 +71,12 @@
         usable: &[&ReplicaView],
     ) -> Option<PauseRisk> {
         let shortest = self.target_pauses.shortest(now, request.service);
-        let pause_target = shortest.into_iter().chain(request.pause_aim).min()?;
-        let tokens = request.pause_aim.map_or(0, |_| prompt.output_tokens);
+        let target_pause = shortest.into_iter().chain(request.target_pause).min()?;
+        let tokens = request.target_pause.map_or(0, |_| prompt.output_tokens);
         let run_s = self.stream_durations.expected_s(request.service, tokens)?;
         let mean_run_s = self.stream_durations.mean_s(request.service)?;
         let estimates = usable.iter().map(|view| view.pause_estimate);
-        PauseRisk::new(request.aim, pause_target, run_s, mean_run_s, estimates)
+        PauseRisk::new(request.target_latency, target_pause, run_s, mean_run_s, estimates)
     }
 
     /// Sets the expected cost of late streams at a candidate, where `running` requests run.
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -23,7 +23,7 @@
     ) {
         let age = self.max_report_age();
         for report in reports {
-            if let Some(view) = self.by_start_hash(report.replica) {
+            if let Some(view) = self.by_start_hash(report.start_hash) {
                 view.apply_peer_load(now, age, teller, report);
             }
         }
@@ -35,7 +35,7 @@
         now: Moment,
     ) -> Vec<ReplicaReport> {
         let views = self.replicas.values().map(|view| ReplicaReport {
-            replica: view.start_hash,
+            start_hash: view.start_hash,
             load: view.own_load,
             placed_tokens: view.placed_tokens,
             is_ejected: view.health.is_ejected(now),
@@ -50,7 +50,7 @@
     ) -> Vec<ReplicaReport> {
         let age = self.max_report_age();
         let views = self.replicas.values().map(|view| ReplicaReport {
-            replica: view.start_hash,
+            start_hash: view.start_hash,
             load: view.zone_load(now, age),
             placed_tokens: view.zone_placed_tokens,
             is_ejected: view.health.is_ejected(now) || view.is_avoided_in_zone(now, age),
@@ -77,7 +77,7 @@
         placements: &[PartPlacement],
     ) {
         for placement in placements {
-            if let Some(view) = self.by_start_hash(placement.replica) {
+            if let Some(view) = self.by_start_hash(placement.start_hash) {
                 view.cache.record_use(now, placement.part);
             }
             if placement.shared {
@@ -98,7 +98,7 @@
         let evidence = views.map(|view| {
             let own = view.observations.own(now, view.start_hash);
             ReplicaEvidence {
-                pace: own.pace.beside(self.baseline_pace(&view.entry.service)),
+                pace: own.pace.relative_to(self.baseline_pace(&view.entry.service)),
                 ..own
             }
         });
@@ -114,7 +114,7 @@
         evidence: &[ReplicaEvidence],
     ) {
         for evidence in evidence.iter().filter(|evidence| evidence.is_possible()) {
-            if let Some(view) = self.by_start_hash(evidence.start) {
+            if let Some(view) = self.by_start_hash(evidence.start_hash) {
                 view.observations.apply_peer_evidence(now, peer, *evidence);
             }
         }
@@ -122,7 +122,7 @@
     }
 
     /// Latency models of this router, for its peers.
-    pub fn engine_reports(&self) -> Vec<LatencyReport> {
+    pub fn latency_reports(&self) -> Vec<LatencyReport> {
         self.latency_models.reports()
     }
 
@@ -133,7 +133,7 @@
     ) {
         for report in reports {
             let mut services = self.replicas.values().map(|view| &view.entry.service);
-            let service = services.find(|name| short_name(name) == report.service);
+            let service = services.find(|name| short_name(name) == report.service_hash);
             if let Some(service) = service {
                 self.latency_models.apply_report(service, report);
             }
--- a/src/policy/direct/placement/replica_table/plain_choice.rs
+++ b/src/policy/direct/placement/replica_table/plain_choice.rs
@@ -32,7 +32,7 @@
         request: &PlacementRequest,
         usable: &[&ReplicaView],
     ) -> Choice {
-        let target_ms = request.aim.as_secs_f64() * 1000.0 * self.settings.aim_share;
+        let target_ms = request.target_latency.as_secs_f64() * 1000.0 * self.settings.aim_share;
         let mean_ms = mean_work_ms(usable);
         let mut best: Option<(f64, PlainQueue, &ReplicaView)> = None;
         let mut min_late_ms = f64::MAX;
--- a/src/policy/direct/placement/replica_table/refusals.rs
+++ b/src/policy/direct/placement/replica_table/refusals.rs
@@ -86,7 +86,7 @@
         let until_free = Duration::from_secs_f64(wait_ms / 1000.0);
         let (reason, wait) = match request.standing {
             Standing::Over { wait, .. } => (RefusalReason::OverShare, wait.max(until_free)),
-            Standing::Within | Standing::Behind => (RefusalReason::NoRoom, until_free),
+            Standing::Within | Standing::Behind => (RefusalReason::NoCapacity, until_free),
         };
         Choice::Refuse {
             reason,
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -204,7 +204,7 @@
     }
 
     /// Modelled times of the engines of a service.
-    pub fn engine_times(
+    pub fn engine_latency(
         &self,
         service: &str,
     ) -> EngineLatency {
--- a/src/policy/direct/placement/replicas/pace_observations.rs
+++ b/src/policy/direct/placement/replicas/pace_observations.rs
@@ -98,7 +98,7 @@
         now: Moment,
         baseline: BaselinePace,
     ) -> PaceEvidence {
-        let mut sum = self.own(now).beside(baseline);
+        let mut sum = self.own(now).relative_to(baseline);
         sum += self
             .peer_sum
             .faded(now.saturating_sub(self.peer_sum_updated));
--- a/src/policy/direct/placement/replicas/replica_observations.rs
+++ b/src/policy/direct/placement/replicas/replica_observations.rs
@@ -38,10 +38,10 @@
     pub fn own(
         &self,
         now: Moment,
-        start: u32,
+        start_hash: u32,
     ) -> ReplicaEvidence {
         ReplicaEvidence {
-            start,
+            start_hash,
             pace: self.pace.own(now),
             pauses: self.own_pauses(now),
         }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -125,8 +125,8 @@
         zone: "zone-0",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: AIM,
-        pause_aim: None,
+        target_latency: AIM,
+        target_pause: None,
         standing: Standing::Within,
         tried: &[],
         regions: None,
@@ -166,7 +166,7 @@
     }
     for part in 0..KEPT {
         let note = PartPlacement {
-            replica: short_name(&ids[part as usize % ids.len()]),
+            start_hash: short_name(&ids[part as usize % ids.len()]),
             part: 10 + part,
             shared: true,
         };
@@ -182,7 +182,7 @@
         kv_tokens: 4000,
     };
     ReplicaReport {
-        replica: short_name(id),
+        start_hash: short_name(id),
         load,
         placed_tokens: 5_000_000,
         is_ejected: false,
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -146,7 +146,7 @@
     let service: Arc<str> = "model".into();
     let mut fresh = LatencyModels::default();
     let told = LatencyReport {
-        service: 1,
+        service_hash: 1,
         times: EngineLatency {
             fixed_ms: 60.0,
             token_ms: 0.01,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -69,7 +69,7 @@
     let mut board = ReplicaTable::new(PlacementSettings::default());
     board.set_entries(BEGIN, ids.iter().map(|id| entry(id, 1)).collect());
     board.apply_latency_reports(&[LatencyReport {
-        service: short_name("model"),
+        service_hash: short_name("model"),
         times: USUAL,
         samples: 5000,
     }]);
@@ -88,12 +88,12 @@
 fn request(prompt: &PromptShape) -> PlacementRequest<'_> {
     PlacementRequest {
         regions: None,
-        pause_aim: None,
+        target_pause: None,
         service: "model",
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: AIM,
+        target_latency: AIM,
         standing: Standing::Within,
         tried: &[],
     }
@@ -240,10 +240,10 @@
     ) {
         self.next += 1;
         let sent = SentPrompt {
-            pause_aim: None,
+            target_pause: None,
             shape,
             engine: ENGINE,
-            aim: AIM,
+            target_latency: AIM,
             prefill_tokens: reading,
             queue_ms: front_ms,
         };
@@ -273,7 +273,7 @@
         log_ratio: samples * ratio.ln(),
     };
     ReplicaEvidence {
-        start: entry(replica, 1).start_name(),
+        start_hash: entry(replica, 1).start_name(),
         pace: PaceEvidence {
             lasting: sum,
             recent: PaceSum::default(),
@@ -311,7 +311,7 @@
     let mut play = Play::new(&[("a", 0.6), ("b", 0.6), ("c", 1.2)]);
     for _ in 0..10 {
         play.play_in_turn(60.0);
-        let times = play.board.engine_times("model");
+        let times = play.board.engine_latency("model");
         for (id, pace) in [("a", 0.6), ("b", 0.6), ("c", 1.2)] {
             let (believed, _) = play.pace(id);
             let ms = (times.fixed_ms + times.prefill_ms(TOKENS)) * believed;
@@ -432,10 +432,10 @@
         for (number, replica) in [(900, "a"), (901, "a"), (902, "b"), (903, "b")] {
             let shape = prompt(number);
             let sent = SentPrompt {
-                pause_aim: None,
+                target_pause: None,
                 shape: &shape,
                 engine: ENGINE,
-                aim: AIM,
+                target_latency: AIM,
                 prefill_tokens: TOKENS,
                 queue_ms: 0.0,
             };
@@ -489,7 +489,7 @@
     // and each of the others within as many as their number takes.
     let all: Vec<ReplicaEvidence> = (0..1000)
         .map(|number| ReplicaEvidence {
-            start: u32::MAX - number,
+            start_hash: u32::MAX - number,
             ..told("a", if number == 700 { 5.0 } else { 1.01 }, 5.0)
         })
         .collect();
@@ -503,7 +503,7 @@
         }
         let replicas = turn.take(now, all.clone());
         for evidence in &replicas {
-            *named.entry(evidence.start).or_default() += 1;
+            *named.entry(evidence.start_hash).or_default() += 1;
         }
         datagrams += if rounds == 0 { 0 } else { 99 };
         rounds += 1;
@@ -536,14 +536,14 @@
         let mut board = board(&["a", "b"]);
         let sum = PaceSum { weight, log_ratio };
         let told = ReplicaEvidence {
-            start: entry("a", 1).start_name(),
+            start_hash: entry("a", 1).start_name(),
             pace: PaceEvidence {
                 lasting: sum,
                 recent: sum,
             },
             pauses: PauseEvidence {
                 watched_s: weight,
-                broken: log_ratio,
+                late: log_ratio,
             },
         };
         board.apply_evidence(secs(200.0), 1, &[told]);
@@ -562,10 +562,10 @@
     for number in [900, 901] {
         let shape = prompt(number);
         let sent = SentPrompt {
-            pause_aim,
+            target_pause: pause_aim,
             shape: &shape,
             engine: ENGINE,
-            aim: AIM,
+            target_latency: AIM,
             prefill_tokens: 0,
             queue_ms: 0.0,
         };
@@ -574,12 +574,12 @@
     board.record_stream(BEGIN, &entry("a", 1), 50, Duration::from_secs(2));
     let seen = PauseEvidence {
         watched_s: 20.0,
-        broken: 1.0,
+        late: 1.0,
     };
     board.record_pauses(BEGIN, &entry("a", 1), seen);
     let shape = prompt(1);
     let request = PlacementRequest {
-        pause_aim,
+        target_pause: pause_aim,
         ..request(&shape)
     };
     match board.choose(BEGIN, &request) {
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -35,7 +35,7 @@
     CacheEvent {
         number,
         part,
-        is_kept,
+        is_cached: is_kept,
     }
 }
 
@@ -46,7 +46,7 @@
         from: events.first().map_or(1, |event| event.number),
         next: events.last().map_or(1, |event| event.number + 1),
         has_gap: false,
-        is_again: false,
+        is_snapshot: false,
         events: events.to_vec(),
     }
 }
@@ -66,9 +66,9 @@
     let mut cache = placed(&[1, 2]);
     let change = cache.apply_events(LATER, &news(&[event(1, 1, false), event(2, 9, false)]));
     assert_eq!((cache.holds(1), cache.holds(2)), (false, true));
-    assert_eq!((change.heard, change.given_up, change.taken), (2, 1, 0));
+    assert_eq!((change.unseen, change.evicted, change.added), (2, 1, 0));
     // Fellows need not hear of what nobody believed.
-    assert_eq!(change.news.events, [event(1, 1, false)]);
+    assert_eq!(change.batch.events, [event(1, 1, false)]);
     cache.record_use(LATER, 1);
     assert!(cache.holds(1));
 }
@@ -80,7 +80,7 @@
     assert!(!cache.holds(1));
     let change = cache.apply_events(LATER, &news(&[event(1, 1, true), event(2, 7, true)]));
     assert_eq!(
-        (cache.holds(1), cache.holds(7), change.taken),
+        (cache.holds(1), cache.holds(7), change.added),
         (true, true, 2)
     );
 }
@@ -123,7 +123,7 @@
     let other = news(&[event(1, 1, true)]);
     let change = cache.apply_events(LATER, &other);
     assert!(!cache.holds(1));
-    assert_eq!((change.heard, change.news.has_gap), (0, false));
+    assert_eq!((change.unseen, change.batch.has_gap), (0, false));
     assert_eq!(cache.follow().next, 3);
 }
 
@@ -131,7 +131,7 @@
 fn after_a_gap_what_was_placed_is_guessed_as_before() {
     let mut cache = placed(&[1, 2]);
     let change = cache.apply_events(LATER, &news(&[event(50, 2, false)]));
-    assert!(change.news.has_gap);
+    assert!(change.batch.has_gap);
     assert_eq!((cache.holds(1), cache.holds(2)), (true, false));
     cache.add_placed(MEMORY);
     assert!(!cache.holds(1), "no event said so");
@@ -145,7 +145,7 @@
         epoch: 2,
         ..news(&[event(1, 3, true)])
     };
-    assert!(cache.apply_events(LATER, &anew).is_anew);
+    assert!(cache.apply_events(LATER, &anew).was_reset);
     assert_eq!(
         [1, 2, 3].map(|part| cache.holds(part)),
         [false, false, true]
@@ -174,9 +174,9 @@
     };
     cache.apply_events(LATER, &nothing(1, 1_000_000));
     let change = cache.apply_events(LATER, &nothing(1_000_000, 3));
-    assert!(change.news.has_gap);
+    assert!(change.batch.has_gap);
     let change = cache.apply_events(LATER, &news(&[event(3, 1, false)]));
-    assert_eq!((change.heard, cache.holds(1)), (1, false));
+    assert_eq!((change.unseen, cache.holds(1)), (1, false));
     // News of a second follower that are older by some numbers take nothing back.
     cache.apply_events(LATER, &news(&[event(2, 2, false)]));
     assert!(cache.holds(2));
@@ -257,7 +257,7 @@
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
     let start = replica().start_name();
     let note = |part, shared| PartPlacement {
-        replica: start,
+        start_hash: start,
         part,
         shared,
     };
@@ -322,7 +322,7 @@
     let (mut follower, mut fellow) = (board(1, &[]), board(2, &[]));
     let start = replica().start_name();
     let parts = (1..=300).map(|part| PartPlacement {
-        replica: start,
+        start_hash: start,
         part,
         shared: part > 3,
     });
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -37,7 +37,7 @@
 fn figures() -> Figures {
     Figures {
         replicas: vec![ReplicaReport {
-            replica: 0xfeed_beef,
+            start_hash: 0xfeed_beef,
             load: Load {
                 running: 3,
                 prefill_tokens: 4000,
@@ -54,12 +54,12 @@
             },
         )],
         notes: vec![PartPlacement {
-            replica: 2,
+            start_hash: 2,
             part: u64::MAX,
             shared: true,
         }],
         engines: vec![LatencyReport {
-            service: 4,
+            service_hash: 4,
             times: EngineLatency {
                 fixed_ms: 40.0,
                 token_ms: 0.03,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -29,7 +29,7 @@
         ..Load::default()
     };
     ReplicaReport {
-        replica,
+        start_hash: replica,
         load,
         placed_tokens: 0,
         is_ejected: false,
@@ -83,7 +83,7 @@
 fn a_note_is_told_once_in_a_while() {
     let mut told = ToldReports::default();
     let note = PartPlacement {
-        replica: 1,
+        start_hash: 1,
         part: 9,
         shared: true,
     };
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -42,7 +42,7 @@
 
 /// What a peer has learnt of the engines: 33 tokens a millisecond.
 const KNOWN: LatencyReport = LatencyReport {
-    service: 0,
+    service_hash: 0,
     times: EngineLatency {
         fixed_ms: 40.0,
         token_ms: 0.03,
@@ -79,7 +79,7 @@
 fn board(ids: &[&str]) -> ReplicaTable {
     let mut board = fresh_board(ids);
     board.apply_latency_reports(&[LatencyReport {
-        service: short_name("model"),
+        service_hash: short_name("model"),
         ..KNOWN
     }]);
     board
@@ -110,8 +110,8 @@
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: AIM,
-        pause_aim: None,
+        target_latency: AIM,
+        target_pause: None,
         standing: Standing::Within,
         tried: &[],
         regions: None,
@@ -155,7 +155,7 @@
 /// A peer's report that every slot of a replica is taken.
 fn full_of_requests(id: &str) -> ReplicaReport {
     ReplicaReport {
-        replica: short_name(id),
+        start_hash: short_name(id),
         load: Load {
             running: 8,
             ..Load::default()
@@ -172,8 +172,8 @@
     SentPrompt {
         shape,
         engine: ENGINE,
-        aim: AIM,
-        pause_aim: None,
+        target_latency: AIM,
+        target_pause: None,
         prefill_tokens: reading,
         queue_ms: 0.0,
     }
@@ -236,7 +236,7 @@
     let mut board = board(&["a", "b"]);
     let home = place(&mut board, &prompt(1, 100));
     let busy = ReplicaReport {
-        replica: short_name(&home),
+        start_hash: short_name(&home),
         load: Load {
             running: 3,
             prefill_tokens: 12_000,
@@ -263,7 +263,7 @@
         }
     }
     let (reason, wait) = refused(board.choose(NOW, &request(&prompt(99, 99))));
-    assert_eq!(reason, RefusalReason::NoRoom);
+    assert_eq!(reason, RefusalReason::NoCapacity);
     assert!(wait > Duration::ZERO && wait < AIM * 2, "{wait:?}");
 }
 
@@ -274,7 +274,7 @@
 fn a_belief_that_was_far_off_does_not_keep_engines_idle() {
     let mut board = fresh_board(&["a"]);
     board.apply_latency_reports(&[LatencyReport {
-        service: short_name("model"),
+        service_hash: short_name("model"),
         times: EngineLatency {
             residual_ms: 700.0,
             ..KNOWN.times
@@ -292,7 +292,7 @@
     tokens: u32,
 ) -> ReplicaReport {
     ReplicaReport {
-        replica: short_name(id),
+        start_hash: short_name(id),
         ..reading(tokens, 0, false)
     }
 }
@@ -507,7 +507,7 @@
 #[test]
 fn how_long_engines_read_is_learnt_from_first_tokens() {
     let mut board = fresh_board(&["a"]);
-    let guess = board.engine_times("model").token_ms;
+    let guess = board.engine_latency("model").token_ms;
     let mut now = NOW;
     for own in 0..200 {
         let prompt = prompt(own, own + 1000);
@@ -519,7 +519,7 @@
         board.first_token(now, number);
         board.finish(number);
     }
-    let learnt = board.engine_times("model").token_ms;
+    let learnt = board.engine_latency("model").token_ms;
     assert!(learnt > guess * 4.0, "{learnt}");
     assert!((learnt - 0.2).abs() < 0.04, "{learnt}");
 }
@@ -558,7 +558,7 @@
     assert_ne!(&*sent(board.choose(NOW, &able(&prompt))).0, "near");
     board.apply_reports(NOW, PEER, &[full_of_requests("near")]);
     let (reason, _) = refused(board.choose(NOW, &bounded));
-    assert_eq!(reason, RefusalReason::NoRoom);
+    assert_eq!(reason, RefusalReason::NoCapacity);
     let west: AllowedRegions = ["west".to_owned()].into_iter().collect();
     let nowhere = PlacementRequest {
         regions: Some(&west),
@@ -646,7 +646,7 @@
         board.set_reporting(Duration::from_millis(200), in_one_zone(routers));
         for id in &names[1..] {
             let busy = ReplicaReport {
-                replica: short_name(id),
+                start_hash: short_name(id),
                 load: Load {
                     running: 2,
                     prefill_tokens: 5000,
@@ -687,7 +687,7 @@
         let first = prompt(1, 100);
         let home = run_whole(&mut board, &first);
         let busy = ReplicaReport {
-            replica: short_name(&home),
+            start_hash: short_name(&home),
             load: Load {
                 running: 1,
                 prefill_tokens: in_front,
@@ -733,7 +733,7 @@
     let mut board = board(&["a"]);
     place(&mut board, &prompt(1, 100));
     let report = |placed| ReplicaReport {
-        replica: short_name("a"),
+        start_hash: short_name("a"),
         load: Load::default(),
         placed_tokens: placed,
         is_ejected: false,
@@ -758,8 +758,8 @@
         zone,
         engine: None,
         prompt: None,
-        aim: Duration::from_millis(30),
-        pause_aim: None,
+        target_latency: Duration::from_millis(30),
+        target_pause: None,
         standing: Standing::Within,
         tried: &[],
         regions: None,
@@ -791,7 +791,7 @@
                 *counts.entry(replica).or_insert(0) += 1;
             }
             Choice::Refuse { reason, .. } => {
-                assert_eq!(reason, RefusalReason::NoRoom);
+                assert_eq!(reason, RefusalReason::NoCapacity);
                 return counts;
             }
         }
@@ -896,7 +896,7 @@
     rests: bool,
 ) -> ReplicaReport {
     ReplicaReport {
-        replica: 1,
+        start_hash: 1,
         load: Load {
             running: 1,
             prefill_tokens: tokens,
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -151,7 +151,7 @@
     let told: Vec<_> = news
         .events
         .iter()
-        .map(|it| (it.number, it.part, it.is_kept))
+        .map(|it| (it.number, it.part, it.is_cached))
         .collect();
     assert_eq!(
         told,
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -71,8 +71,8 @@
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(&prompt),
-        aim: Duration::from_secs(10),
-        pause_aim: None,
+        target_latency: Duration::from_secs(10),
+        target_pause: None,
         standing: Standing::Within,
         tried: &[],
         regions: None,
@@ -87,8 +87,8 @@
     let sent = SentPrompt {
         shape: &prompt(),
         engine: ENGINE,
-        aim: Duration::from_secs(10),
-        pause_aim: None,
+        target_latency: Duration::from_secs(10),
+        target_pause: None,
         prefill_tokens: 5000,
         queue_ms: 0.0,
     };
@@ -148,7 +148,7 @@
 fn routers_that_hear_late_tell_of_the_earlier_start_only() {
     let age = Duration::from_secs(1);
     let report = |start: &UpstreamEntry| ReplicaReport {
-        replica: start.start_name(),
+        start_hash: start.start_name(),
         load: Load {
             running: 3,
             ..Load::default()
@@ -157,7 +157,7 @@
         is_ejected: true,
     };
     let note = |start: &UpstreamEntry, part| PartPlacement {
-        replica: start.start_name(),
+        start_hash: start.start_name(),
         part,
         shared: true,
     };
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -215,8 +215,8 @@
         let sent = SentPrompt {
             shape: &shape,
             engine: ENGINE,
-            aim,
-            pause_aim: self.pause_aim,
+            target_latency: aim,
+            target_pause: self.pause_aim,
             prefill_tokens: reading,
             queue_ms: front_ms,
         };
@@ -279,9 +279,9 @@
             let waited = self.now - stream.since;
             if stream.part < 1.0 {
                 let watch = stream.watch.as_mut();
-                let open = watch.filter(|watch| watch.aim().is_some_and(|aim| waited > aim));
+                let open = watch.filter(|watch| watch.target_pause().is_some_and(|aim| waited > aim));
                 if let Some(watch) = open {
-                    let seen = watch.breaks(self.now);
+                    let seen = watch.record_overrun(self.now);
                     self.board.record_pauses(self.now, &entry, seen);
                 }
                 continue;
@@ -291,7 +291,7 @@
             stream.since = self.now;
             stream.late |= waited > PAUSE_AIM;
             let watch = stream.watch.as_mut();
-            if let Some(seen) = watch.and_then(|watch| watch.event(self.now, waited)) {
+            if let Some(seen) = watch.and_then(|watch| watch.record_event(self.now, waited)) {
                 self.board.record_pauses(self.now, &entry, seen);
             }
             if stream.left == 0 {
@@ -336,8 +336,8 @@
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: CHAT.aim,
-        pause_aim,
+        target_latency: CHAT.aim,
+        target_pause: pause_aim,
         standing: Standing::Within,
         tried: &[],
     }
@@ -448,7 +448,7 @@
     watched_s: f32,
     broken: f32,
 ) -> PauseEvidence {
-    PauseEvidence { watched_s, broken }
+    PauseEvidence { watched_s, late: broken }
 }
 
 /// Two replicas that have run streams, and the one to which a prompt goes that is alone.
@@ -492,7 +492,7 @@
 fn what_fellows_told_ends_with_them_and_with_the_start() {
     let (mut board, shape, home) = idle_board();
     let told = ReplicaEvidence {
-        start: entry(home, None).start_name(),
+        start_hash: entry(home, None).start_name(),
         pace: PaceEvidence::default(),
         pauses: pauses(20.0, 15.0),
     };
@@ -516,15 +516,15 @@
 fn a_stream_breaks_once_and_at_once() {
     let mut watch = PauseWatch::new(START, PAUSE_AIM);
     let ms = Duration::from_millis;
-    assert_eq!(watch.event(START + ms(100), ms(100)), None);
-    let seen = watch.breaks(START + ms(400));
+    assert_eq!(watch.record_event(START + ms(100), ms(100)), None);
+    let seen = watch.record_overrun(START + ms(400));
     assert_eq!(seen, pauses(0.4, 1.0));
-    assert_eq!(watch.event(START + ms(900), ms(800)), None);
+    assert_eq!(watch.record_event(START + ms(900), ms(800)), None);
     assert_eq!(watch.end(START + ms(950)), None);
     // One that stays in time hands in what was watched now and then.
     let mut watch = PauseWatch::new(START, PAUSE_AIM);
-    assert_eq!(watch.event(START + ms(250), ms(250)), None);
-    let seen = watch.event(START + ms(500), ms(250));
+    assert_eq!(watch.record_event(START + ms(250), ms(250)), None);
+    let seen = watch.record_event(START + ms(500), ms(250));
     assert_eq!(seen, Some(pauses(0.5, 0.0)));
     assert_eq!(watch.end(START + ms(600)), None);
 }
@@ -556,7 +556,7 @@
     };
     let standing = |standing| PlacementRequest {
         standing,
-        aim: Duration::from_secs(20),
+        target_latency: Duration::from_secs(20),
         ..request(&long, Some(PAUSE_AIM))
     };
     let over = Standing::Over {
