--- a/src/policy/direct/placement/engines/latency_models.rs
+++ b/src/policy/direct/placement/engines/latency_models.rs
@@ -29,9 +29,9 @@
         &self,
         service: &str,
     ) -> EngineLatency {
-        let known = self.by_service.get(service);
-        known
-            .map_or_else(LatencyModel::default, |known| known.model)
+        let entry = self.by_service.get(service);
+        entry
+            .map_or_else(LatencyModel::default, |entry| entry.model)
             .times()
     }
 
@@ -42,24 +42,24 @@
         service: &Arc<str>,
         sample: FirstToken,
     ) -> Option<EngineLatency> {
-        let known = self.by_service.entry(service.clone()).or_default();
-        known.model.record(sample);
-        let times = known.model.times();
-        let has_changed = known
+        let entry = self.by_service.entry(service.clone()).or_default();
+        entry.model.record(sample);
+        let times = entry.model.times();
+        let has_changed = entry
             .last_returned
             .is_none_or(|last| times.differs(&last, REPORTED_CHANGE));
-        has_changed.then(|| *known.last_returned.insert(times))
+        has_changed.then(|| *entry.last_returned.insert(times))
     }
 
     /// Reports for peers, of the services with enough samples.
     pub fn reports(&self) -> Vec<LatencyReport> {
-        let known = self.by_service.iter();
-        known
-            .filter(|(_, known)| known.model.samples() >= MIN_REPORT_SAMPLES)
-            .map(|(service, known)| LatencyReport {
+        let entries = self.by_service.iter();
+        entries
+            .filter(|(_, entry)| entry.model.samples() >= MIN_REPORT_SAMPLES)
+            .map(|(service, entry)| LatencyReport {
                 service_hash: short_name(service),
-                times: known.model.times(),
-                samples: known.model.samples(),
+                times: entry.model.times(),
+                samples: entry.model.samples(),
             })
             .collect()
     }
@@ -70,9 +70,9 @@
         service: &Arc<str>,
         report: &LatencyReport,
     ) {
-        let known = self.by_service.entry(service.clone()).or_default();
-        if known.model.samples() < MIN_REPORT_SAMPLES {
-            known.model.restart_from(report);
+        let entry = self.by_service.entry(service.clone()).or_default();
+        if entry.model.samples() < MIN_REPORT_SAMPLES {
+            entry.model.restart_from(report);
         }
     }
 }
--- a/src/policy/direct/placement/engines/pace_evidence.rs
+++ b/src/policy/direct/placement/engines/pace_evidence.rs
@@ -53,24 +53,24 @@
     }
 
     /// The sums after decay over `age`.
-    pub fn faded(
+    pub fn decayed(
         self,
         age: Duration,
     ) -> Self {
         Self {
-            lasting: self.lasting.faded(age, LASTING_DECAY),
-            recent: self.recent.faded(age, RECENT_DECAY),
+            lasting: self.lasting.decayed(age, LASTING_DECAY),
+            recent: self.recent.decayed(age, RECENT_DECAY),
         }
     }
 
     /// The same relative to the mean pace that a router observes of the service.
     pub fn relative_to(
         self,
-        usual: BaselinePace,
+        baseline: BaselinePace,
     ) -> Self {
         Self {
-            lasting: self.lasting.relative_to(usual.lasting),
-            recent: self.recent.relative_to(usual.recent),
+            lasting: self.lasting.relative_to(baseline.lasting),
+            recent: self.recent.relative_to(baseline.recent),
         }
     }
 }
--- a/src/policy/direct/placement/engines/pace_sum.rs
+++ b/src/policy/direct/placement/engines/pace_sum.rs
@@ -53,7 +53,7 @@
     }
 
     /// The sum after exponential decay over `age` with this time constant.
-    pub fn faded(
+    pub fn decayed(
         self,
         age: Duration,
         time_constant: Duration,
--- a/src/policy/direct/placement/engines/pause_evidence.rs
+++ b/src/policy/direct/placement/engines/pause_evidence.rs
@@ -11,7 +11,7 @@
 /// target of their route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PauseEvidence {
-    pub watched_s: f32, // observed seconds of streams in time, decayed by age
+    pub watched_s: f32, // observed stream time in seconds, decayed by age
     pub late: f32,    // streams whose pause first exceeded the target, decayed by age
 }
 
@@ -23,7 +23,7 @@
     }
 
     /// The figures after exponential decay over `age` with this time constant.
-    pub fn faded(
+    pub fn decayed(
         self,
         age: Duration,
         time_constant: Duration,
--- a/src/policy/direct/placement/replica_table/refusals.rs
+++ b/src/policy/direct/placement/replica_table/refusals.rs
@@ -47,11 +47,11 @@
                 retry_after: NO_REGION_RETRY,
             };
         }
-        let rest = self.shortest_backoff(now, request.service);
-        if let Some(rest) = rest.filter(|rest| !rest.is_zero()) {
+        let backoff = self.shortest_backoff(now, request.service);
+        if let Some(backoff) = backoff.filter(|backoff| !backoff.is_zero()) {
             return Choice::Refuse {
                 reason: RefusalReason::Resting,
-                retry_after: rest.clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1),
+                retry_after: backoff.clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1),
             };
         }
         if !request.tried.is_empty() {
--- a/src/policy/direct/placement/replicas/pace_observations.rs
+++ b/src/policy/direct/placement/replicas/pace_observations.rs
@@ -29,7 +29,7 @@
         now: Moment,
         sample: PaceEvidence,
     ) {
-        self.own = self.own.faded(now.saturating_sub(self.own_updated));
+        self.own = self.own.decayed(now.saturating_sub(self.own_updated));
         self.own += sample;
         self.own_updated = self.own_updated.max(now);
     }
@@ -47,7 +47,7 @@
         &self,
         now: Moment,
     ) -> PaceEvidence {
-        let mut sum = self.own.faded(now.saturating_sub(self.own_updated));
+        let mut sum = self.own.decayed(now.saturating_sub(self.own_updated));
         sum += self.overdue;
         sum
     }
@@ -61,14 +61,14 @@
     ) {
         self.peer_sum = self
             .peer_sum
-            .faded(now.saturating_sub(self.peer_sum_updated));
+            .decayed(now.saturating_sub(self.peer_sum_updated));
         self.peer_sum_updated = now;
         if self.peers.is_empty() {
             self.oldest = now;
         }
         self.peer_sum += evidence;
         if let Some((received, previous)) = self.peers.insert(peer, (now, evidence)) {
-            self.peer_sum -= previous.faded(now.saturating_sub(received));
+            self.peer_sum -= previous.decayed(now.saturating_sub(received));
         }
     }
 
@@ -86,7 +86,7 @@
         self.peer_sum_updated = now;
         self.oldest = now;
         for (received, evidence) in self.peers.values() {
-            self.peer_sum += evidence.faded(now.saturating_sub(*received));
+            self.peer_sum += evidence.decayed(now.saturating_sub(*received));
             self.oldest = self.oldest.min(*received);
         }
     }
@@ -101,7 +101,7 @@
         let mut sum = self.own(now).relative_to(baseline);
         sum += self
             .peer_sum
-            .faded(now.saturating_sub(self.peer_sum_updated));
+            .decayed(now.saturating_sub(self.peer_sum_updated));
         sum
     }
 }
--- a/src/policy/direct/placement/replicas/replica_observations.rs
+++ b/src/policy/direct/placement/replicas/replica_observations.rs
@@ -67,7 +67,7 @@
     ) -> PauseEvidence {
         let mut sum = self.own_pauses(now);
         for (age, evidence) in self.recent_peers(now) {
-            sum += evidence.faded(age, PAUSE_DECAY);
+            sum += evidence.decayed(age, PAUSE_DECAY);
         }
         sum
     }
@@ -87,6 +87,6 @@
         now: Moment,
     ) -> PauseEvidence {
         let age = now.saturating_sub(self.pauses_updated);
-        self.pauses.faded(age, PAUSE_DECAY)
+        self.pauses.decayed(age, PAUSE_DECAY)
     }
 }
