--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -72,7 +72,8 @@
     let is_open =
         |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.accepts_requests(now, entry);
     // Of other zones' replicas it is told only what they gave up.
-    let is_told = |entry: &UpstreamEntry| *entry.zone == **zone && board.is_cache_followed(now, entry);
+    let is_told =
+        |entry: &UpstreamEntry| *entry.zone == **zone && board.is_cache_followed(now, entry);
     due.retain(|entry| is_open(entry) && !is_told(entry) && asked.insert(entry.start_name()));
     drop(board);
     due.sort_by_key(|entry| *entry.zone != **zone);
--- a/src/direct/exchange_end.rs
+++ b/src/direct/exchange_end.rs
@@ -152,7 +152,9 @@
                 board.record_unreachable(now, replica);
             }
             AttemptEnd::Refused { .. } => board.record_overload(now, replica),
-            AttemptEnd::Failed { .. } | AttemptEnd::Unknown { .. } => board.record_failure(now, replica),
+            AttemptEnd::Failed { .. } | AttemptEnd::Unknown { .. } => {
+                board.record_failure(now, replica)
+            }
         }
         drop(board);
         if end.code() == ResultCode::UpstreamTimeout {
--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -81,7 +81,9 @@
         let pause = match ask(&gateway, &entry, &mut connection).await {
             Ok(news) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
-                let change = gateway.board().apply_cache_events(gateway.now(), &entry, &news);
+                let change = gateway
+                    .board()
+                    .apply_cache_events(gateway.now(), &entry, &news);
                 if let Some(change) = change {
                     note(&entry, &change);
                 }
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -20,7 +20,11 @@
     fn status(&self) -> ProcessStatus {
         let settings = self.settings();
         let version = self.catalog.version();
-        let running: u32 = self.board().replicas().map(|view| view.own_load.running).sum();
+        let running: u32 = self
+            .board()
+            .replicas()
+            .map(|view| view.own_load.running)
+            .sum();
         metrics::gauge!(RUNNING).set(f64::from(running));
         let now = self.now();
         let resting = self
--- a/src/peers/evidence_turn.rs
+++ b/src/peers/evidence_turn.rs
@@ -46,7 +46,9 @@
         if seen.len() <= REPLICAS {
             return seen;
         }
-        seen.select_nth_unstable_by(FOREMOST, |one, other| other.priority().total_cmp(&one.priority()));
+        seen.select_nth_unstable_by(FOREMOST, |one, other| {
+            other.priority().total_cmp(&one.priority())
+        });
         let mut rest = seen.split_off(FOREMOST);
         rest.sort_unstable_by_key(|evidence| evidence.start_hash);
         let begin = self.next % rest.len();
--- a/src/peers/figures.rs
+++ b/src/peers/figures.rs
@@ -1,6 +1,6 @@
 use {
     crate::policy::{
-        placement::{PartPlacement, LatencyReport, ReplicaReport},
+        placement::{LatencyReport, PartPlacement, ReplicaReport},
         shares::AccountUsage,
     },
     serde::{Deserialize, Serialize},
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -9,7 +9,7 @@
         ops::PEERS,
         policy::{
             Moment,
-            placement::{PartPlacement, FleetSize},
+            placement::{FleetSize, PartPlacement},
             slow_start::ZoneRouters,
             stable_hash,
         },
--- a/src/policy/direct/placement/cache_events/cache_event_batch.rs
+++ b/src/policy/direct/placement/cache_events/cache_event_batch.rs
@@ -6,10 +6,10 @@
 /// Cache events of one start of a replica, in the order of their numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventBatch {
-    pub epoch: u32,     // changes when the replica resets its cache
-    pub from: u64,      // first event number that the batch covers
-    pub next: u64,      // first event number after the batch
-    pub has_gap: bool,  // some events in between are missing
+    pub epoch: u32,        // changes when the replica resets its cache
+    pub from: u64,         // first event number that the batch covers
+    pub next: u64,         // first event number after the batch
+    pub has_gap: bool,     // some events in between are missing
     pub is_snapshot: bool, // a snapshot of cached parts, for routers that have just started
     pub events: Vec<CacheEvent>,
 }
--- a/src/policy/direct/placement/cache_events/cache_event_tracker.rs
+++ b/src/policy/direct/placement/cache_events/cache_event_tracker.rs
@@ -1,5 +1,5 @@
 use {
-    super::{UnseenEvents, CacheCursor, CacheEventBatch},
+    super::{CacheCursor, CacheEventBatch, UnseenEvents},
     crate::policy::Moment,
     std::{collections::VecDeque, time::Duration},
 };
@@ -30,8 +30,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct CacheEventTracker {
     follow: CacheCursor,
-    last_batch: Option<Moment>,           // when it was received
-    sent: VecDeque<SentPart>,             // recently, the oldest first
+    last_batch: Option<Moment>, // when it was received
+    sent: VecDeque<SentPart>,   // recently, the oldest first
     pending_evictions: VecDeque<SentPart>,
     forwarded: Option<Forwarded>, // by this router
 }
--- a/src/policy/direct/placement/choosing/candidate.rs
+++ b/src/policy/direct/placement/choosing/candidate.rs
@@ -6,20 +6,20 @@
 /// A replica that may run a prompt, with the estimates by which candidates are compared.
 pub struct Candidate<'v> {
     pub plan: PrefillPlan<'v>,
-    pub times: EngineLatency,  // of the service's engines, scaled by the replica's pace
-    pub service_times: EngineLatency,  // average of the service's engines
-    pub queue_ms: f64,       // prefill queued ahead of the prompt
-    pub own_ms: f64,         // prefill and fetching of the prompt itself
-    pub pauses_ms: f64,      // expected cost of late stream events
-    pub others_late: f64,    // running streams that it is expected to make late
-    pub rank: Option<usize>, // among the prompt's preferred replicas, 0 is the first
-    pub random_fraction: f64,        // pseudo-random number from 0 to 1 for this request and replica
-    pub caches_shared_parts: bool,       // it caches all parts that the prompt shares with others
+    pub times: EngineLatency, // of the service's engines, scaled by the replica's pace
+    pub service_times: EngineLatency, // average of the service's engines
+    pub queue_ms: f64,        // prefill queued ahead of the prompt
+    pub own_ms: f64,          // prefill and fetching of the prompt itself
+    pub pauses_ms: f64,       // expected cost of late stream events
+    pub others_late: f64,     // running streams that it is expected to make late
+    pub rank: Option<usize>,  // among the prompt's preferred replicas, 0 is the first
+    pub random_fraction: f64, // pseudo-random, 0 to 1, by request and replica
+    pub caches_shared_parts: bool, // it caches all parts that the prompt shares with others
 }
 
 impl<'v> Candidate<'v> {
-    /// A replica with `queued_tokens` uncached prompt tokens in its queue, of a service whose engines
-    /// take the times `service_times` on average.
+    /// A replica with `queued_tokens` uncached prompt tokens in its queue, of a service whose
+    /// engines take `service_times` on average.
     pub fn new(
         plan: PrefillPlan<'v>,
         prompt: &PromptShape,
--- a/src/policy/direct/placement/choosing/candidate_sampling.rs
+++ b/src/policy/direct/placement/choosing/candidate_sampling.rs
@@ -40,7 +40,10 @@
             return CandidateTier::First;
         };
         let is_first_preferred = candidate.rank == Some(0);
-        if candidate.caches_shared_parts || is_first_preferred || (is_near && candidate.random_fraction < near) {
+        if candidate.caches_shared_parts
+            || is_first_preferred
+            || (is_near && candidate.random_fraction < near)
+        {
             CandidateTier::First
         } else if is_near {
             CandidateTier::Near
--- a/src/policy/direct/placement/choosing/choice.rs
+++ b/src/policy/direct/placement/choosing/choice.rs
@@ -5,7 +5,7 @@
 pub enum Choice {
     Send {
         replica: Arc<str>,
-        prefill_tokens: u32,                 // uncached prompt tokens
+        prefill_tokens: u32,          // uncached prompt tokens
         fetch_from: Option<Arc<str>>, // replica to fetch cached tokens from
         queue_ms: f64,                // expected wait for queued work and for fetching
         pauses_ms: f64,               // weighted cost of late stream events
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -3,24 +3,24 @@
 
 mod admission;
 mod candidate;
+mod candidate_sampling;
 mod cheapest;
 mod choice;
-mod candidate_sampling;
-mod preferred_replicas;
-mod prefill_plan;
 mod placement_request;
 mod plain_queue;
+mod preferred_replicas;
+mod prefill_plan;
 mod queue_budget;
 
 pub use {
     admission::{Admission, is_over_share},
     candidate::Candidate,
+    candidate_sampling::{CandidateSampling, CandidateTier},
     cheapest::Cheapest,
     choice::{Choice, RefusalReason},
-    candidate_sampling::{CandidateSampling, CandidateTier},
-    preferred_replicas::preferred_replicas,
-    prefill_plan::{CacheSources, prefill_plan},
     placement_request::PlacementRequest,
     plain_queue::PlainQueue,
+    preferred_replicas::preferred_replicas,
+    prefill_plan::{CacheSources, prefill_plan},
     queue_budget::QueueBudget,
 };
--- a/src/policy/direct/placement/choosing/placement_request.rs
+++ b/src/policy/direct/placement/choosing/placement_request.rs
@@ -13,9 +13,9 @@
     pub zone: &'r str, // of this router
     pub engine: Option<EngineFacts>,
     pub prompt: Option<&'r PromptShape>,
-    pub target_latency: Duration, // latency target: the shortest among the service's routes
+    pub target_latency: Duration, // the shortest among the service's routes
     pub target_pause: Option<Duration>, // of its route: longest allowed pause between events
-    pub standing: Standing, // of its account, relative to its fair share
-    pub tried: &'r [Arc<str>], // replicas that it was sent to before
+    pub standing: Standing,       // of its account, relative to its fair share
+    pub tried: &'r [Arc<str>],    // replicas that it was sent to before
     pub regions: Option<&'r AllowedRegions>, // where it may be served; anywhere if none
 }
--- a/src/policy/direct/placement/choosing/prefill_plan.rs
+++ b/src/policy/direct/placement/choosing/prefill_plan.rs
@@ -19,9 +19,9 @@
 pub struct PrefillPlan<'v> {
     pub view: &'v ReplicaView,
     pub source: Option<&'v ReplicaView>, // replica to fetch cached tokens from
-    pub prefill_tokens: u32,                    // tokens to prefill
-    pub duplicate_tokens: u32,                      // of these, cached at other replicas
-    pub fetched_tokens: u32,                    // tokens to fetch
+    pub prefill_tokens: u32,             // tokens to prefill
+    pub duplicate_tokens: u32,           // of these, cached at other replicas
+    pub fetched_tokens: u32,             // tokens to fetch
     pub fetch_ms: f64,
 }
 
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -1,4 +1,4 @@
-use super::{LatencyReport, EngineLatency, FirstToken};
+use super::{EngineLatency, FirstToken, LatencyReport};
 
 /// The regression counts prompt tokens in thousands.
 const THOUSAND: f64 = 1000.0;
@@ -77,11 +77,7 @@
         let spread = self.weight * self.squares - self.tokens * self.tokens;
         let slope = (self.weight * self.products - self.tokens * self.times) / spread;
         // The slope is not a number if all prompts have the same length.
-        let thousand_ms = if slope.is_finite() {
-            slope
-        } else {
-            PRIOR_MS.1
-        };
+        let thousand_ms = if slope.is_finite() { slope } else { PRIOR_MS.1 };
         let thousand_ms = thousand_ms.clamp(THOUSAND_MS_BOUNDS.0, THOUSAND_MS_BOUNDS.1);
         let fixed = (self.times - thousand_ms * self.tokens) / self.weight;
         EngineLatency {
--- a/src/policy/direct/placement/engines/latency_models.rs
+++ b/src/policy/direct/placement/engines/latency_models.rs
@@ -1,5 +1,5 @@
 use {
-    super::{LatencyModel, LatencyReport, EngineLatency, FirstToken},
+    super::{EngineLatency, FirstToken, LatencyModel, LatencyReport},
     crate::policy::short_name,
     std::{collections::HashMap, sync::Arc},
 };
--- a/src/policy/direct/placement/engines/pace_evidence.rs
+++ b/src/policy/direct/placement/engines/pace_evidence.rs
@@ -1,5 +1,5 @@
 use {
-    super::{PaceSum, BaselinePace},
+    super::{BaselinePace, PaceSum},
     serde::{Deserialize, Serialize},
     std::{
         ops::{AddAssign, SubAssign},
--- a/src/policy/direct/placement/engines/pause_evidence.rs
+++ b/src/policy/direct/placement/engines/pause_evidence.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PauseEvidence {
     pub watched_s: f32, // observed stream time in seconds, decayed by age
-    pub late: f32,    // streams whose pause first exceeded the target, decayed by age
+    pub late: f32,      // streams whose pause first exceeded the target, decayed by age
 }
 
 impl PauseEvidence {
--- a/src/policy/direct/placement/loads/fleet_size.rs
+++ b/src/policy/direct/placement/loads/fleet_size.rs
@@ -2,7 +2,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
     pub in_zone: usize, // in this router's availability zone
-    pub total: usize,  // in all zones
+    pub total: usize,   // in all zones
 }
 
 impl Default for FleetSize {
--- a/src/policy/direct/placement/loads/in_flight_request.rs
+++ b/src/policy/direct/placement/loads/in_flight_request.rs
@@ -13,9 +13,9 @@
     pub replica: Arc<str>,
     pub start_hash: u32, // hash of the replica's start
     pub sent: Moment,
-    pub is_counted: bool, // against the slow-start limit of the replica
-    pub load: Load,       // its current part of the router's load there
-    pub prefill_tokens: u32,     // uncached prompt tokens as of its sending
+    pub is_counted: bool,    // against the slow-start limit of the replica
+    pub load: Load,          // its current part of the router's load there
+    pub prefill_tokens: u32, // uncached prompt tokens as of its sending
     pub expected: Option<ExpectedTimes>, // of a prompt, until its first token arrives
     pub overdue: Option<(Moment, Duration)>, // last check that found it late, and its wait then
 }
--- a/src/policy/direct/placement/loads/load.rs
+++ b/src/policy/direct/placement/loads/load.rs
@@ -6,9 +6,9 @@
 /// In-flight load at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    pub running: u32, // requests that are not answered completely
+    pub running: u32,        // requests that are not answered completely
     pub prefill_tokens: u32, // uncached prompt tokens of requests without a first token
-    pub kv_tokens: u32,  // tokens that running requests occupy or may still generate
+    pub kv_tokens: u32,      // tokens that running requests occupy or may still generate
 }
 
 impl AddAssign for Load {
--- a/src/policy/direct/placement/loads/mod.rs
+++ b/src/policy/direct/placement/loads/mod.rs
@@ -2,16 +2,16 @@
 
 mod expected_times;
 mod fleet_size;
+mod in_flight_request;
 mod load;
 mod peer_loads;
 mod replica_report;
-mod in_flight_request;
 
 pub use {
     expected_times::ExpectedTimes,
     fleet_size::FleetSize,
+    in_flight_request::{InFlightId, InFlightRequest},
     load::Load,
     peer_loads::PeerLoads,
     replica_report::ReplicaReport,
-    in_flight_request::{InFlightRequest, InFlightId},
 };
--- a/src/policy/direct/placement/loads/peer_loads.rs
+++ b/src/policy/direct/placement/loads/peer_loads.rs
@@ -81,7 +81,9 @@
             self.ejecting -= u32::from(previous.is_ejected);
         }
         let same_source = previous.filter(|previous| previous.source == source);
-        same_source.map_or(0, |previous| report.placed_tokens.saturating_sub(previous.placed_tokens))
+        same_source.map_or(0, |previous| {
+            report.placed_tokens.saturating_sub(previous.placed_tokens)
+        })
     }
 
     fn fresh(
--- a/src/policy/direct/placement/loads/replica_report.rs
+++ b/src/policy/direct/placement/loads/replica_report.rs
@@ -9,7 +9,7 @@
     pub start_hash: u32, // hash of its start
     pub load: Load,
     pub placed_tokens: u64, // tokens sent there so far: uncached prompt and possible output
-    pub is_ejected: bool, // it gets no requests for now, because of failures or overload
+    pub is_ejected: bool,   // it gets no requests for now, because of failures or overload
 }
 
 impl ReplicaReport {
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -1,27 +1,38 @@
 //! Choice of the replica that runs a request, by the cost of its prompt there, the
 //! queue, the free memory and the observed health of the replica.
 
-mod replica_table;
+mod cache_events;
 mod choosing;
 mod engines;
-mod cache_events;
 mod loads;
 mod pauses;
 mod placement_settings;
 mod prompts;
+mod replica_table;
 mod replicas;
 
 pub use {
-    replica_table::ReplicaTable,
+    cache_events::{
+        CacheChange, CacheCursor, CacheEvent, CacheEventBatch, CacheEventTracker, SharedParts,
+        UnseenEvents,
+    },
     choosing::{Choice, PlacementRequest, RefusalReason},
     engines::{
-        LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken, PaceEvidence, PaceChange,
-        PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, BaselinePace, TypicalPrompts,
+        BaselinePace, EngineLatency, FirstToken, LatencyModel, LatencyModels, LatencyReport,
+        PaceChange, PaceEvidence, PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace,
+        TypicalPrompts,
+    },
+    loads::{
+        ExpectedTimes, FleetSize, InFlightId, InFlightRequest, Load, PeerLoads, ReplicaReport,
+    },
+    pauses::{
+        PauseEstimate, PauseRecord, PauseRisk, PauseWatch, StreamDurations, TargetPauses,
+        late_fraction,
     },
-    cache_events::{UnseenEvents, CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker, SharedParts},
-    loads::{ExpectedTimes, FleetSize, Load, PeerLoads, ReplicaReport, InFlightRequest, InFlightId},
-    pauses::{TargetPauses, PauseRecord, PauseRisk, PauseEstimate, PauseWatch, StreamDurations, late_fraction},
     placement_settings::PlacementSettings,
-    prompts::{PartPlacement, CachedPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
-    replicas::{PlainRun, PlainTimes, ReplicaHealth, ReplicaView, PaceObservations, ReplicaObservations},
+    prompts::{CachedPart, PartPlacement, PrefixCache, PromptPart, PromptShape, SentPrompt},
+    replica_table::ReplicaTable,
+    replicas::{
+        PaceObservations, PlainRun, PlainTimes, ReplicaHealth, ReplicaObservations, ReplicaView,
+    },
 };
--- a/src/policy/direct/placement/pauses/pause_estimate.rs
+++ b/src/policy/direct/placement/pauses/pause_estimate.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PauseEstimate {
     pub watched_s: f64, // seconds of streams, observed by all routers of the zone
-    pub late: f64,    // late streams in that time
+    pub late: f64,      // late streams in that time
     pub expected: f64,  // late streams expected from the queue, by this router alone
-    pub observed: f64,      // late streams observed by this router alone
+    pub observed: f64,  // late streams observed by this router alone
     pub run_ratio: f64, // mean stream duration relative to the service's average
 }
 
--- a/src/policy/direct/placement/pauses/pause_record.rs
+++ b/src/policy/direct/placement/pauses/pause_record.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PauseRecord {
     expected: f64,  // late streams expected from the queue, decayed by age
-    late: f64,    // late streams, decayed by age
+    late: f64,      // late streams, decayed by age
     runs: f64,      // streams that ended regularly, decayed by age
     log_ratio: f64, // of these, the sum of ln(time taken / time expected of the service)
     updated: Moment,
--- a/src/policy/direct/placement/pauses/target_pauses.rs
+++ b/src/policy/direct/placement/pauses/target_pauses.rs
@@ -22,7 +22,11 @@
     ) {
         match self.services.get_mut(service) {
             Some(targets) => _ = targets.insert(target, now),
-            None => _ = self.services.insert(service.clone(), [(target, now)].into()),
+            None => {
+                _ = self
+                    .services
+                    .insert(service.clone(), [(target, now)].into())
+            }
         }
     }
 
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -2,7 +2,7 @@
     super::{CachedPart, PromptShape},
     crate::policy::{
         Moment,
-        placement::{CacheChange, CacheEvent, CacheCursor, CacheEventBatch, CacheEventTracker},
+        placement::{CacheChange, CacheCursor, CacheEvent, CacheEventBatch, CacheEventTracker},
     },
     std::collections::HashMap,
 };
@@ -26,9 +26,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCache {
     last_used: HashMap<u64, u64>, // value of `placed_tokens` at the last use of a part
-    placed_tokens: u64,                  // tokens sent to the replica so far
-    capacity: u64,                    // tokens that fit beside running requests
-    events: CacheEventTracker,             // events that the replica reports
+    placed_tokens: u64,           // tokens sent to the replica so far
+    capacity: u64,                // tokens that fit beside running requests
+    events: CacheEventTracker,    // events that the replica reports
 }
 
 impl PrefixCache {
--- a/src/policy/direct/placement/prompts/sent_prompt.rs
+++ b/src/policy/direct/placement/prompts/sent_prompt.rs
@@ -5,8 +5,8 @@
 pub struct SentPrompt<'p> {
     pub shape: &'p PromptShape,
     pub engine: EngineFacts,
-    pub target_latency: Duration,               // latency target of its route
+    pub target_latency: Duration, // of its route, to the first event
     pub target_pause: Option<Duration>, // longest allowed pause between its events
-    pub prefill_tokens: u32,                // uncached prompt tokens
-    pub queue_ms: f64,               // expected wait for queued prefill and for fetching
+    pub prefill_tokens: u32,      // uncached prompt tokens
+    pub queue_ms: f64,            // expected wait for queued prefill and for fetching
 }
--- a/src/policy/direct/placement/replica_table/cache_events.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -96,7 +96,8 @@
             self.zone_evictions.push((start, shared_evictions));
         }
         if self.cache_events.len() < MAX_QUEUED_BATCHES {
-            self.cache_events.extend(forwarded.map(|batch| (start, batch)));
+            self.cache_events
+                .extend(forwarded.map(|batch| (start, batch)));
         }
         Some(change)
     }
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -9,8 +9,8 @@
             placement::{
                 Choice, PlacementRequest, PromptShape, ReplicaView,
                 choosing::{
-                    Admission, Candidate, Cheapest, CandidateSampling, CacheSources, QueueBudget, CandidateTier, preferred_replicas,
-                    is_over_share, prefill_plan,
+                    Admission, CacheSources, Candidate, CandidateSampling, CandidateTier, Cheapest,
+                    QueueBudget, is_over_share, preferred_replicas, prefill_plan,
                 },
             },
         },
@@ -160,7 +160,10 @@
             cost += FAILURE_PENALTY_MS;
         }
         if !candidate.caches_shared_parts {
-            cost += self.report_interval.as_secs_f64() * 1000.0 * COST_SPREAD * candidate.random_fraction;
+            cost += self.report_interval.as_secs_f64()
+                * 1000.0
+                * COST_SPREAD
+                * candidate.random_fraction;
         }
         cost
     }
--- a/src/policy/direct/placement/replica_table/estimates.rs
+++ b/src/policy/direct/placement/replica_table/estimates.rs
@@ -5,7 +5,7 @@
     super::{ReplicaTable, paces::zone_evidence},
     crate::policy::{
         Moment,
-        placement::{PaceEvidence, PauseEstimate, ReplicaPace, BaselinePace},
+        placement::{BaselinePace, PaceEvidence, PauseEstimate, ReplicaPace},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
@@ -47,7 +47,8 @@
         for view in self.replicas.values_mut() {
             let evidence = zone_evidence(view, now, &self.baseline_paces);
             view.pace = ReplicaPace::new(evidence);
-            view.pause_estimate = PauseEstimate::new(now, view.observations.pauses(now), &view.pauses);
+            view.pause_estimate =
+                PauseEstimate::new(now, view.observations.pauses(now), &view.pauses);
         }
     }
 }
--- a/src/policy/direct/placement/replica_table/in_flight.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -5,7 +5,8 @@
     crate::policy::{
         Moment,
         placement::{
-            PartPlacement, EngineLatency, ExpectedTimes, Load, PaceEvidence, SentPrompt, InFlightRequest, InFlightId,
+            EngineLatency, ExpectedTimes, InFlightId, InFlightRequest, Load, PaceEvidence,
+            PartPlacement, SentPrompt,
         },
     },
     std::sync::Arc,
@@ -28,7 +29,8 @@
         };
         if let Some(prompt) = prompt {
             let service = &view.entry.service;
-            self.typical_prompts.record(now, service, prompt.target_latency, prompt.prefill_tokens);
+            self.typical_prompts
+                .record(now, service, prompt.target_latency, prompt.prefill_tokens);
             if let Some(target_pause) = prompt.target_pause {
                 self.target_pauses.record(now, service, target_pause);
             }
@@ -36,7 +38,8 @@
             load.kv_tokens = prompt.prefill_tokens + prompt.shape.output_tokens;
             let memory = prompt.engine.memory_tokens;
             let reserved = load_before.kv_tokens + load.kv_tokens;
-            view.cache.set_capacity(memory.saturating_sub(u64::from(reserved)));
+            view.cache
+                .set_capacity(memory.saturating_sub(u64::from(reserved)));
             view.placed_tokens += u64::from(load.kv_tokens);
             view.zone_placed_tokens += u64::from(load.kv_tokens);
             view.cache.add_placed(u64::from(load.kv_tokens));
@@ -117,8 +120,14 @@
                 view.observations.pace.record(seen_at, sample);
             }
             view.own_load.running = view.own_load.running.saturating_sub(request.load.running);
-            view.own_load.prefill_tokens = view.own_load.prefill_tokens.saturating_sub(request.load.prefill_tokens);
-            view.own_load.kv_tokens = view.own_load.kv_tokens.saturating_sub(request.load.kv_tokens);
+            view.own_load.prefill_tokens = view
+                .own_load
+                .prefill_tokens
+                .saturating_sub(request.load.prefill_tokens);
+            view.own_load.kv_tokens = view
+                .own_load
+                .kv_tokens
+                .saturating_sub(request.load.kv_tokens);
         }
         Some(request)
     }
--- a/src/policy/direct/placement/replica_table/mod.rs
+++ b/src/policy/direct/placement/replica_table/mod.rs
@@ -1,17 +1,17 @@
 //! The replicas as seen by one router: their observed state, and the choice among them.
 
-mod estimates;
-mod choice;
-mod outcomes;
 mod cache_events;
+mod choice;
+mod estimates;
+mod in_flight;
 mod notices;
+mod outcomes;
 mod paces;
 mod pauses;
+mod peer_reports;
 mod plain_choice;
 mod refusals;
-mod peer_reports;
 mod slow_start;
-mod in_flight;
 mod table;
 
 pub use table::ReplicaTable;
--- a/src/policy/direct/placement/replica_table/notices.rs
+++ b/src/policy/direct/placement/replica_table/notices.rs
@@ -39,7 +39,8 @@
         let mut newly_leaving = Vec::new();
         for start in starts {
             let entry = self.by_start_hash(*start).map(|view| view.entry.clone());
-            newly_leaving.extend(entry.filter(|entry| self.notices.hear_of_leaving(unix_ms, entry)));
+            newly_leaving
+                .extend(entry.filter(|entry| self.notices.hear_of_leaving(unix_ms, entry)));
         }
         newly_leaving
     }
--- a/src/policy/direct/placement/replica_table/paces.rs
+++ b/src/policy/direct/placement/replica_table/paces.rs
@@ -5,8 +5,8 @@
     crate::policy::{
         Moment,
         placement::{
-            EngineLatency, ExpectedTimes, FirstToken, PaceEvidence, PaceChange, ReplicaPace,
-            ReplicaView, BaselinePace, InFlightRequest,
+            BaselinePace, EngineLatency, ExpectedTimes, FirstToken, InFlightRequest, PaceChange,
+            PaceEvidence, ReplicaPace, ReplicaView,
         },
     },
     std::{collections::HashMap, sync::Arc},
@@ -52,7 +52,10 @@
         &self,
         service: &str,
     ) -> BaselinePace {
-        self.baseline_paces.get(service).copied().unwrap_or_default()
+        self.baseline_paces
+            .get(service)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Replicas whose lasting pace has changed since it was last returned, at most `max` of
@@ -105,8 +108,7 @@
             let Some(view) = view.filter(|view| view.start_hash == request.start_hash) else {
                 continue;
             };
-            let max_ms =
-                expected.first_ms * view.pace.lasting * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
+            let max_ms = expected.first_ms * view.pace.lasting * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
             if waited.as_secs_f64() * 1000.0 > max_ms {
                 request.overdue = Some((now, waited));
                 *overdue.entry(request.replica.clone()).or_default() +=
@@ -129,5 +131,7 @@
     baselines: &HashMap<Arc<str>, BaselinePace>,
 ) -> PaceEvidence {
     let baseline = baselines.get(&view.entry.service).copied();
-    view.observations.pace.all(now, baseline.unwrap_or_default())
+    view.observations
+        .pace
+        .all(now, baseline.unwrap_or_default())
 }
--- a/src/policy/direct/placement/replica_table/pauses.rs
+++ b/src/policy/direct/placement/replica_table/pauses.rs
@@ -8,8 +8,8 @@
         policy::{
             Moment,
             placement::{
-                PauseEvidence, PauseRisk, PauseEstimate, PlacementRequest, PromptShape, ReplicaView,
-                late_fraction, choosing::Candidate,
+                PauseEstimate, PauseEvidence, PauseRisk, PlacementRequest, PromptShape,
+                ReplicaView, choosing::Candidate, late_fraction,
             },
         },
     },
@@ -31,12 +31,14 @@
         let view = self.same_start(replica)?;
         view.observations.record_pauses(now, evidence);
         if let Some(target_pause) = target_pause {
-            let queue_ms = view.pace.of(times).prefill_ms(view.load(now, age).prefill_tokens);
+            let queue_ms = view
+                .pace
+                .of(times)
+                .prefill_ms(view.load(now, age).prefill_tokens);
             let target_s = target_pause.as_secs_f64();
             let pauses = (f64::from(evidence.watched_s) / target_s).min(1.0);
             let expected = pauses * late_fraction(queue_ms, target_s * 1000.0);
-            view.pauses
-                .record_late(now, expected, evidence.late.into());
+            view.pauses.record_late(now, expected, evidence.late.into());
         }
         let all = view.observations.pauses(now);
         view.pause_estimate = PauseEstimate::new(now, all, &view.pauses);
@@ -56,8 +58,7 @@
         self.stream_durations.record(&replica.service, tokens, took);
         let expected_s = expected_s.filter(|expected_s| *expected_s > 0.0);
         if let Some((view, expected_s)) = self.same_start(replica).zip(expected_s) {
-            view.pauses
-                .record_run(now, took.as_secs_f64() / expected_s);
+            view.pauses.record_run(now, took.as_secs_f64() / expected_s);
         }
     }
 
@@ -76,7 +77,13 @@
         let run_s = self.stream_durations.expected_s(request.service, tokens)?;
         let mean_run_s = self.stream_durations.mean_s(request.service)?;
         let estimates = usable.iter().map(|view| view.pause_estimate);
-        PauseRisk::new(request.target_latency, target_pause, run_s, mean_run_s, estimates)
+        PauseRisk::new(
+            request.target_latency,
+            target_pause,
+            run_s,
+            mean_run_s,
+            estimates,
+        )
     }
 
     /// Sets the expected cost of late streams at a candidate, where `running` requests run.
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -4,7 +4,7 @@
     super::ReplicaTable,
     crate::policy::{
         Moment, Teller, TellerScope,
-        placement::{PartPlacement, LatencyReport, ReplicaEvidence, ReplicaReport},
+        placement::{LatencyReport, PartPlacement, ReplicaEvidence, ReplicaReport},
         short_name,
     },
 };
@@ -98,7 +98,9 @@
         let evidence = views.map(|view| {
             let own = view.observations.own(now, view.start_hash);
             ReplicaEvidence {
-                pace: own.pace.relative_to(self.baseline_pace(&view.entry.service)),
+                pace: own
+                    .pace
+                    .relative_to(self.baseline_pace(&view.entry.service)),
                 ..own
             }
         });
--- a/src/policy/direct/placement/replica_table/slow_start.rs
+++ b/src/policy/direct/placement/replica_table/slow_start.rs
@@ -4,7 +4,7 @@
     super::ReplicaTable,
     crate::policy::{
         Moment,
-        placement::{PlacementRequest, ReplicaView, InFlightId},
+        placement::{InFlightId, PlacementRequest, ReplicaView},
         slow_start::{StartLimit, StartPace, ZoneRouters},
     },
     std::{collections::HashMap, sync::Arc, time::Duration},
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -4,9 +4,9 @@
         policy::{
             Moment, NoticeBook,
             placement::{
-                PartPlacement, LatencyModels, EngineLatency, FleetSize, CacheEventBatch, TargetPauses,
-                PlacementSettings, ReplicaView, StreamDurations, SharedParts, BaselinePace, TypicalPrompts,
-                InFlightRequest, InFlightId,
+                BaselinePace, CacheEventBatch, EngineLatency, FleetSize, InFlightId,
+                InFlightRequest, LatencyModels, PartPlacement, PlacementSettings, ReplicaView,
+                SharedParts, StreamDurations, TargetPauses, TypicalPrompts,
             },
             slow_start::{StartLimit, ZoneRouters},
         },
@@ -29,12 +29,12 @@
     pub(super) latency_models: LatencyModels,
     pub(super) typical_prompts: TypicalPrompts,
     pub(super) baseline_paces: HashMap<Arc<str>, BaselinePace>, // by service
-    pub(super) refreshed: Moment, // the last refresh of the estimates
+    pub(super) refreshed: Moment,                               // the last refresh of the estimates
     pub(super) target_pauses: TargetPauses,
     pub(super) stream_durations: StreamDurations,
     pub(super) next_id: InFlightId,
-    pub(super) placements: Vec<PartPlacement>, // sent by this router, to be announced in its zone
-    pub(super) zone_placements: Vec<PartPlacement>, // shared parts sent by the zone, for other zones
+    pub(super) placements: Vec<PartPlacement>, // to be announced in this zone
+    pub(super) zone_placements: Vec<PartPlacement>, // shared parts only, for other zones
     pub(super) cache_events: Vec<(u32, CacheEventBatch)>, // to be forwarded, by replica start
     pub(super) zone_evictions: Vec<(u32, CacheEventBatch)>, // evicted shared parts, for other zones
     pub(super) shared_parts: SharedParts,
@@ -135,7 +135,9 @@
             }
         }
         let views = self.replicas.iter();
-        self.ids_by_start = views.map(|(id, view)| (view.start_hash, id.clone())).collect();
+        self.ids_by_start = views
+            .map(|(id, view)| (view.start_hash, id.clone()))
+            .collect();
         restarted
     }
 
--- a/src/policy/direct/placement/replicas/mod.rs
+++ b/src/policy/direct/placement/replicas/mod.rs
@@ -1,15 +1,15 @@
 //! A router's view of one replica.
 
+mod pace_observations;
 mod plain_times;
 mod replica_health;
-mod replica_view;
-mod pace_observations;
 mod replica_observations;
+mod replica_view;
 
 pub use {
+    pace_observations::PaceObservations,
     plain_times::{PlainRun, PlainTimes},
     replica_health::ReplicaHealth,
-    replica_view::ReplicaView,
-    pace_observations::PaceObservations,
     replica_observations::ReplicaObservations,
+    replica_view::ReplicaView,
 };
--- a/src/policy/direct/placement/replicas/pace_observations.rs
+++ b/src/policy/direct/placement/replicas/pace_observations.rs
@@ -1,7 +1,7 @@
 use {
     crate::policy::{
         Moment,
-        placement::{PaceEvidence, BaselinePace},
+        placement::{BaselinePace, PaceEvidence},
     },
     std::{collections::HashMap, time::Duration},
 };
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -10,8 +10,8 @@
         policy::{
             Teller, TellerScope,
             placement::{
-                PartPlacement, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
-                PromptShape, ReplicaTable, ReplicaReport,
+                FleetSize, Load, PartPlacement, PlacementRequest, PlacementSettings, PromptPart,
+                PromptShape, ReplicaReport, ReplicaTable,
             },
             shares::{AccountUsage, ShareBook, Standing},
             short_name,
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::placement::{
-        LatencyModel, LatencyModels, LatencyReport, EngineLatency, FirstToken,
+        EngineLatency, FirstToken, LatencyModel, LatencyModels, LatencyReport,
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -7,9 +7,9 @@
         peers::{EvidenceTold, EvidenceTurn, PeerMessage},
         policy::{
             placement::{
-                Choice, LatencyReport, EngineLatency, PaceEvidence, PaceSum, PauseEvidence,
-                PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaTable,
-                ReplicaEvidence, ReplicaPace, SentPrompt, InFlightId,
+                Choice, EngineLatency, InFlightId, LatencyReport, PaceEvidence, PaceSum,
+                PauseEvidence, PlacementRequest, PlacementSettings, PromptPart, PromptShape,
+                ReplicaEvidence, ReplicaPace, ReplicaTable, SentPrompt,
             },
             shares::Standing,
             short_name,
@@ -549,7 +549,7 @@
         board.apply_evidence(secs(200.0), 1, &[told]);
         let view = board.replica("a").expect("listed");
         assert_eq!(view.pace, ReplicaPace::default());
-        assert_eq!(view.seen.pauses(secs(200.0)), PauseEvidence::default());
+        assert_eq!(view.observations.pauses(secs(200.0)), PauseEvidence::default());
     }
 }
 
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -9,7 +9,8 @@
         policy::{
             TellerScope,
             placement::{
-                PartPlacement, CacheEvent, CacheEventBatch, PlacementSettings, PrefixCache, ReplicaTable,
+                CacheEvent, CacheEventBatch, PartPlacement, PlacementSettings, PrefixCache,
+                ReplicaTable,
             },
             slow_start::ZoneRouters,
             stable_hash,
@@ -332,7 +333,10 @@
     follower.take_cache_events();
     fellow.apply_peer_cache_events(LATER, start, &news(&[event(8, 400, true)]));
     follower.resend_cached_parts(LATER, "elsewhere");
-    assert!(follower.take_cache_events().is_empty(), "its own zone's only");
+    assert!(
+        follower.take_cache_events().is_empty(),
+        "its own zone's only"
+    );
     follower.resend_cached_parts(LATER, "z");
     let told = follower.take_cache_events();
     assert!(told.iter().all(|(_, news)| news.events.len() <= 256));
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -13,7 +13,7 @@
             CatalogNews, Figures, NamedRouter, PeerMessage, RouterReport, SuspectsTold, ZoneSum,
         },
         policy::{
-            placement::{PartPlacement, LatencyReport, EngineLatency, Load, ReplicaReport},
+            placement::{EngineLatency, LatencyReport, Load, PartPlacement, ReplicaReport},
             shares::AccountUsage,
             suspects::{EndNote, RequestDigest, SuspectNote},
         },
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -5,7 +5,7 @@
         catalog::CatalogVersion,
         peers::{Figures, NamedRouter, PeerTable, RouterReport, ToldReports, ZoneSum, ZoneTable},
         policy::{
-            placement::{PartPlacement, Load, ReplicaReport},
+            placement::{Load, PartPlacement, ReplicaReport},
             shares::AccountUsage,
         },
     },
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,9 +4,9 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::placement::{
-            Choice, LatencyReport, EngineLatency, FleetSize, CachedPart, Load, PeerLoads,
+            CachedPart, Choice, EngineLatency, FleetSize, LatencyReport, Load, PeerLoads,
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
-            ReplicaTable, ReplicaReport, SentPrompt,
+            ReplicaReport, ReplicaTable, SentPrompt,
         },
         policy::{Teller, TellerScope, shares::Standing, short_name},
         routing::{AllowedRegions, EngineFacts},
@@ -121,7 +121,9 @@
 fn sent(choice: Choice) -> (Arc<str>, u32) {
     match choice {
         Choice::Send {
-            replica, prefill_tokens: reading, ..
+            replica,
+            prefill_tokens: reading,
+            ..
         } => (replica, reading),
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
@@ -302,7 +304,9 @@
     prompt: &PromptShape,
 ) {
     if let Choice::Send {
-        replica, prefill_tokens: reading, ..
+        replica,
+        prefill_tokens: reading,
+        ..
     } = board.choose(NOW, &request(prompt))
     {
         board.start(NOW, &replica, Some(sent_prompt(prompt, reading)));
@@ -913,9 +917,18 @@
     let at = |ms: u64| NOW + Duration::from_millis(ms);
     let mut peers = PeerLoads::default();
     // When the tokens of a first report were placed is unknown: counting begins.
-    assert_eq!(peers.apply_report(at(0), age, 1, 7, &reading(100, 100, false)), 0);
-    assert_eq!(peers.apply_report(at(500), age, 2, 7, &reading(20, 20, true)), 0);
-    assert_eq!(peers.apply_report(at(600), age, 2, 7, &reading(30, 50, true)), 30);
+    assert_eq!(
+        peers.apply_report(at(0), age, 1, 7, &reading(100, 100, false)),
+        0
+    );
+    assert_eq!(
+        peers.apply_report(at(500), age, 2, 7, &reading(20, 20, true)),
+        0
+    );
+    assert_eq!(
+        peers.apply_report(at(600), age, 2, 7, &reading(30, 50, true)),
+        30
+    );
     assert_eq!(peers.load(at(700), age).prefill_tokens, 130);
     assert!(peers.is_avoided(at(700), age));
     // The first peer is silent: nothing is heard, or only the others are.
@@ -924,10 +937,16 @@
     assert_eq!(peers.load(at(1300), age).prefill_tokens, 35);
     assert_eq!(peers.load(at(1300), age).running, 2);
     // It comes back: what it had placed before is no news.
-    assert_eq!(peers.apply_report(at(1400), age, 1, 7, &reading(1, 101, false)), 1);
+    assert_eq!(
+        peers.apply_report(at(1400), age, 1, 7, &reading(1, 101, false)),
+        1
+    );
     assert_eq!(peers.load(at(1400), age).prefill_tokens, 36);
     // Another process speaks for it, which counts from another beginning.
-    assert_eq!(peers.apply_report(at(1500), age, 1, 8, &reading(2, 9000, false)), 0);
+    assert_eq!(
+        peers.apply_report(at(1500), age, 1, 8, &reading(2, 9000, false)),
+        0
+    );
     assert_eq!(
         peers.apply_report(at(1600), age, 1, 8, &reading(2, 9010, false)),
         10
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -9,8 +9,8 @@
         policy::{
             Teller, TellerScope,
             placement::{
-                PartPlacement, Choice, CachedPart, Load, PlacementRequest, PlacementSettings, PromptPart,
-                PromptShape, ReplicaTable, ReplicaReport, SentPrompt,
+                CachedPart, Choice, Load, PartPlacement, PlacementRequest, PlacementSettings,
+                PromptPart, PromptShape, ReplicaReport, ReplicaTable, SentPrompt,
             },
             shares::Standing,
         },
@@ -78,7 +78,10 @@
         regions: None,
     };
     match board.choose(NOW, &request) {
-        Choice::Send { prefill_tokens: reading, .. } => reading,
+        Choice::Send {
+            prefill_tokens: reading,
+            ..
+        } => reading,
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -10,7 +10,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{Choice, PlacementRequest, PlacementSettings, ReplicaTable, InFlightId},
+            placement::{Choice, InFlightId, PlacementRequest, PlacementSettings, ReplicaTable},
             shares::Standing,
             slow_start::{StartBounds, StartLimit, ZoneRouters},
             stable_hash,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -11,9 +11,9 @@
         policy::{
             Moment,
             placement::{
-                Choice, PaceEvidence, PauseEvidence, PauseWatch, PlacementRequest,
-                PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaTable,
-                ReplicaEvidence, SentPrompt, InFlightId,
+                Choice, InFlightId, PaceEvidence, PauseEvidence, PauseWatch, PlacementRequest,
+                PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaEvidence,
+                ReplicaTable, SentPrompt,
             },
             shares::Standing,
         },
@@ -279,7 +279,8 @@
             let waited = self.now - stream.since;
             if stream.part < 1.0 {
                 let watch = stream.watch.as_mut();
-                let open = watch.filter(|watch| watch.target_pause().is_some_and(|aim| waited > aim));
+                let open =
+                    watch.filter(|watch| watch.target_pause().is_some_and(|aim| waited > aim));
                 if let Some(watch) = open {
                     let seen = watch.record_overrun(self.now);
                     self.board.record_pauses(self.now, &entry, seen);
@@ -448,7 +449,10 @@
     watched_s: f32,
     broken: f32,
 ) -> PauseEvidence {
-    PauseEvidence { watched_s, late: broken }
+    PauseEvidence {
+        watched_s,
+        late: broken,
+    }
 }
 
 /// Two replicas that have run streams, and the one to which a prompt goes that is alone.
