--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -182,7 +182,7 @@
             RefusalReason::NoReplica => ResultCode::NoReplica,
             RefusalReason::NoRegion => ResultCode::NoRegion,
             RefusalReason::Cordoned => ResultCode::Cordoned,
-            RefusalReason::Resting => ResultCode::Resting,
+            RefusalReason::Backoff => ResultCode::Resting,
             RefusalReason::NoCapacity => ResultCode::NoRoom,
             RefusalReason::OverShare => ResultCode::OverShare,
         };
--- a/src/policy/direct/placement/choosing/choice.rs
+++ b/src/policy/direct/placement/choosing/choice.rs
@@ -27,7 +27,7 @@
     /// All replicas of the service are in cordoned zones, which get no new requests.
     Cordoned,
     /// All usable replicas of the service asked for backoff.
-    Resting,
+    Backoff,
     /// No replica can answer within the latency target.
     NoCapacity,
     /// The account is over its fair share, and the free capacity is reserved for others.
--- a/src/policy/direct/placement/loads/peer_loads.rs
+++ b/src/policy/direct/placement/loads/peer_loads.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether the replica is ejected in a report that is not older than `age`.
-    pub fn is_avoided(
+    pub fn is_ejected(
         &self,
         now: Moment,
         age: Duration,
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -156,7 +156,7 @@
         if let Some(rank) = candidate.rank {
             cost -= PREFERENCE_BONUS_MS / (rank + 1) as f64;
         }
-        if plan.view.is_avoided(now, self.max_report_age()) {
+        if plan.view.is_ejected(now, self.max_report_age()) {
             cost += FAILURE_PENALTY_MS;
         }
         if !candidate.caches_shared_parts {
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -53,7 +53,7 @@
             start_hash: view.start_hash,
             load: view.zone_load(now, age),
             placed_tokens: view.zone_placed_tokens,
-            is_ejected: view.health.is_ejected(now) || view.is_avoided_in_zone(now, age),
+            is_ejected: view.health.is_ejected(now) || view.is_ejected_in_zone(now, age),
         });
         views.filter(ReplicaReport::has_content).collect()
     }
--- a/src/policy/direct/placement/replica_table/refusals.rs
+++ b/src/policy/direct/placement/replica_table/refusals.rs
@@ -50,7 +50,7 @@
         let backoff = self.shortest_backoff(now, request.service);
         if let Some(backoff) = backoff.filter(|backoff| !backoff.is_zero()) {
             return Choice::Refuse {
-                reason: RefusalReason::Resting,
+                reason: RefusalReason::Backoff,
                 retry_after: backoff.clamp(RETRY_BOUNDS.0, RETRY_BOUNDS.1),
             };
         }
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -86,21 +86,21 @@
     }
 
     /// Whether another router or zone has ejected it.
-    pub fn is_avoided(
+    pub fn is_ejected(
         &self,
         now: Moment,
         age: Duration,
     ) -> bool {
-        self.is_avoided_in_zone(now, age) || self.zones.is_avoided(now, age)
+        self.is_ejected_in_zone(now, age) || self.zones.is_ejected(now, age)
     }
 
     /// Whether another router of this router's zone has ejected it.
-    pub fn is_avoided_in_zone(
+    pub fn is_ejected_in_zone(
         &self,
         now: Moment,
         age: Duration,
     ) -> bool {
-        self.routers.is_avoided(now, age)
+        self.routers.is_ejected(now, age)
     }
 
     /// Records a load report of another router or zone. Reports older than `age` are ignored
