--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -6,7 +6,7 @@
     crate::{
         catalog::UpstreamEntry,
         codes::{Fault, ResultCode},
-        policy::placement::KeptPart,
+        policy::placement::CachedPart,
     },
     futures::{StreamExt, stream},
     std::{collections::HashSet, sync::Arc, time::Duration},
@@ -70,9 +70,10 @@
     let board = gateway.board();
     let now = gateway.now();
     let is_open =
-        |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.wants_requests(now, entry);
+        |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.accepts_requests(now, entry);
     // Of other zones' replicas it is told only what they gave up.
-    let is_told = |entry: &UpstreamEntry| *entry.zone == **zone && board.is_followed(now, entry);
+    let is_told =
+        |entry: &UpstreamEntry| *entry.zone == **zone && board.is_cache_followed(now, entry);
     due.retain(|entry| is_open(entry) && !is_told(entry) && asked.insert(entry.start_hash()));
     drop(board);
     due.sort_by_key(|entry| *entry.zone != **zone);
@@ -104,7 +105,7 @@
 fn learn(
     gateway: &Gateway,
     entry: &UpstreamEntry,
-    parts: &[KeptPart],
+    parts: &[CachedPart],
 ) {
     let table = gateway.catalog.config();
     let service = table
@@ -114,13 +115,13 @@
         return;
     };
     let memory = engine.kv_capacity_tokens;
-    gateway.board().learn_kept(entry, parts, memory);
+    gateway.board().apply_cached_parts(entry, parts, memory);
 }
 
 async fn ask(
     gateway: &Gateway,
     entry: &UpstreamEntry,
-) -> Result<Vec<KeptPart>, Fault> {
+) -> Result<Vec<CachedPart>, Fault> {
     let calls = gateway.dialect.cache;
     let mut connection = gateway
         .pool
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -175,7 +175,7 @@
     pub fn note_replica_success(&mut self) {
         if let Some(run) = &mut self.run {
             run.is_over();
-            self.gateway.board().succeeded(&run.entry);
+            self.gateway.board().record_success(&run.entry);
         }
     }
 
@@ -186,21 +186,21 @@
         if let Some(run) = &mut self.run {
             run.is_over();
             let mut board = self.gateway.board();
-            board.succeeded(&run.entry);
-            board.learn_plain(&run.entry, run.plain(now));
+            board.record_success(&run.entry);
+            board.record_plain_request(&run.entry, run.plain(now));
         }
     }
 
     /// A stream came whole: how long it ran says how long others will, if one replica ran
     /// all of it.
-    pub fn learn_run(&self) {
+    pub fn record_stream(&self) {
         let run = self.run.as_ref().filter(|_| self.sent == 1);
         let begun = run.and_then(|run| Some((&run.entry, run.first_event?)));
         if let Some(((entry, begun), prompt)) = begun.zip(self.call.prompt.as_ref()) {
             let now = self.gateway.now();
             let took = now.saturating_sub(begun);
             let mut board = self.gateway.board();
-            board.learn_run(now, entry, prompt.output_tokens, took);
+            board.record_stream(now, entry, prompt.output_tokens, took);
         }
     }
 
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -36,13 +36,13 @@
             zone: &zone,
             engine: call.engine,
             prompt: call.prompt.as_ref(),
-            aim: call.service_aim,
-            pause_aim: call.route.target_pause,
+            target_latency: call.service_aim,
+            target_pause: call.route.target_pause,
             standing,
             tried: &self.tried,
             regions: call.regions.as_ref(),
         };
-        board.refresh_beliefs(now);
+        board.refresh_estimates(now);
         let choice = board.choose(now, &request);
         self.count_room(now, &choice, standing);
         match choice {
@@ -56,9 +56,9 @@
             }
             Choice::Send {
                 replica,
-                reading,
+                prefill_tokens: reading,
                 fetch_from,
-                front_ms,
+                queue_ms: front_ms,
                 pauses_ms,
                 expected,
             } => {
@@ -66,10 +66,10 @@
                 let sent = sent.map(|(shape, engine)| SentPrompt {
                     shape,
                     engine,
-                    aim: call.route.target_latency,
-                    pause_aim: call.route.target_pause,
-                    reading,
-                    front_ms,
+                    target_latency: call.route.target_latency,
+                    target_pause: call.route.target_pause,
+                    prefill_tokens: reading,
+                    queue_ms: front_ms,
                 });
                 let number = board.start(now, &replica, sent);
                 let entry = board.replica(&replica).map(|view| view.entry.clone());
@@ -112,7 +112,7 @@
         }
         match choice {
             Choice::Send { .. } => self.gateway.shares().record_placement(now, true),
-            Choice::Refuse { reason, .. } if *reason == RefusalReason::NoRoom => {
+            Choice::Refuse { reason, .. } if *reason == RefusalReason::NoCapacity => {
                 self.gateway.shares().record_placement(now, false);
             }
             Choice::Refuse { .. } => {}
@@ -181,8 +181,8 @@
             RefusalReason::NoReplica => ResultCode::NoReplica,
             RefusalReason::NoRegion => ResultCode::NoRegion,
             RefusalReason::Cordoned => ResultCode::Cordoned,
-            RefusalReason::Resting => ResultCode::Resting,
-            RefusalReason::NoRoom => ResultCode::NoRoom,
+            RefusalReason::Backoff => ResultCode::Resting,
+            RefusalReason::NoCapacity => ResultCode::NoRoom,
             RefusalReason::OverShare => ResultCode::OverShare,
         };
         ErrorAnswer::new(code).retry_after(retry_after)
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -10,7 +10,7 @@
         peers::{PeerTable, RouterContact, ZoneTable},
         policy::{
             Incarnation, Moment, SuspensionGuard, name_hash,
-            placement::ReplicaBoard,
+            placement::ReplicaTable,
             shares::{RetryWindow, ShareTracker},
             suspects::SuspectTracker,
         },
@@ -46,7 +46,7 @@
     pub report_wanted: Notify,                // peers should be told before the regular time
     pub(super) answer_bytes: Arc<AtomicU64>,  // held for callers' connections
     pub(super) request_bytes: Arc<AtomicU64>, // held of requests
-    board: Mutex<ReplicaBoard>,
+    board: Mutex<ReplicaTable>,
     shares: Mutex<ShareTracker>,
     retries: Mutex<RetryWindow>,
     suspects: Mutex<SuspectTracker>,    // a leaf lock
@@ -74,7 +74,7 @@
             address: settings.peers,
             zone: name_hash(&settings.process.zone),
         };
-        let mut board = ReplicaBoard::new(settings.placement);
+        let mut board = ReplicaTable::new(settings.placement);
         board.set_regions(settings.regions.clone());
         Self {
             dialect,
@@ -162,7 +162,7 @@
     }
 
     /// The replicas and what is at them.
-    pub fn board(&self) -> MutexGuard<'_, ReplicaBoard> {
+    pub fn board(&self) -> MutexGuard<'_, ReplicaTable> {
         self.board.lock().expect("board lock")
     }
 
--- a/src/direct/kept_follow.rs
+++ b/src/direct/kept_follow.rs
@@ -10,7 +10,7 @@
         catalog::UpstreamEntry,
         codes::{Fault, ResultCode},
         ops::{KEPT_CALLS, KEPT_EVENTS, KEPT_FOLLOWED},
-        policy::placement::{KeptChange, KeptNews},
+        policy::placement::{CacheChange, CacheEventBatch},
     },
     hyper::StatusCode,
     std::{
@@ -66,7 +66,7 @@
     settings.follow_kept
         && *entry.zone == *settings.process.zone
         && !gateway.is_stopping()
-        && gateway.board().follows(gateway.now(), entry)
+        && gateway.board().should_follow_cache(gateway.now(), entry)
 }
 
 /// Follows one start of a replica until another router is drawn for it, or it is to be left
@@ -81,7 +81,9 @@
         let pause = match ask(&gateway, &entry, &mut connection).await {
             Ok(news) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
-                let change = gateway.board().heard_kept(gateway.now(), &entry, &news);
+                let change = gateway
+                    .board()
+                    .apply_cache_events(gateway.now(), &entry, &news);
                 if let Some(change) = change {
                     note(&entry, &change);
                 }
@@ -105,28 +107,28 @@
 
 fn note(
     entry: &UpstreamEntry,
-    change: &KeptChange,
+    change: &CacheChange,
 ) {
     let kinds = [
-        ("heard", change.heard),
-        ("taken", change.taken),
-        ("given_up", change.given_up),
+        ("heard", change.unseen),
+        ("taken", change.added),
+        ("given_up", change.evicted),
     ];
     for (kind, count) in kinds {
         metrics::counter!(KEPT_EVENTS, "kind" => kind).increment(count as u64);
     }
-    let news = &change.news;
-    if news.has_gap || change.is_anew || change.taken + change.given_up > 0 {
+    let news = &change.batch;
+    if news.has_gap || change.was_reset || change.added + change.evicted > 0 {
         log::debug!(
             replica = &*entry.id,
             epoch = news.epoch,
             from = news.from,
             next = news.next,
             has_gap = news.has_gap,
-            is_anew = change.is_anew,
-            heard = change.heard,
-            taken = change.taken,
-            given_up = change.given_up;
+            is_anew = change.was_reset,
+            heard = change.unseen,
+            taken = change.added,
+            given_up = change.evicted;
             "replica said what it keeps"
         );
     }
@@ -137,7 +139,7 @@
     gateway: &Gateway,
     entry: &UpstreamEntry,
     kept: &mut Option<UpstreamConnection>,
-) -> Result<KeptNews, Fault> {
+) -> Result<CacheEventBatch, Fault> {
     let answer = timeout(LONGEST_WAIT + ANSWER_TIME, call(gateway, entry, kept)).await;
     answer.map_err(Fault::unreachable).flatten()
 }
@@ -147,9 +149,9 @@
     gateway: &Gateway,
     entry: &UpstreamEntry,
     kept: &mut Option<UpstreamConnection>,
-) -> Result<KeptNews, Fault> {
+) -> Result<CacheEventBatch, Fault> {
     let calls = gateway.dialect.cache;
-    let next = gateway.board().kept_follow(entry).next;
+    let next = gateway.board().cache_cursor(entry).next;
     let mut connection = match kept.take().filter(UpstreamConnection::is_usable) {
         Some(connection) => connection,
         None => {
--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{CacheEventsMessage, PeerLink, PeerMessage, peer_link::PEER_SILENCE_LIMIT},
-    crate::policy::{Moment, placement::KeptNews},
+    crate::policy::{Moment, placement::CacheEventBatch},
     std::net::SocketAddr,
 };
 
@@ -35,11 +35,11 @@
         };
         if has_new {
             let zone = &self.gateway.settings().process.zone;
-            self.gateway.board().tell_kept_again(now, zone);
+            self.gateway.board().resend_cached_parts(now, zone);
         }
         let (events, shared_evictions) = {
             let mut table = self.gateway.board();
-            (table.take_kept_news(), table.take_zone_kept_news())
+            (table.take_cache_events(), table.take_zone_evictions())
         };
         self.send_event_batches(events, addresses).await;
         if !shared_evictions.is_empty() {
@@ -53,7 +53,7 @@
 
     async fn send_event_batches(
         &self,
-        batches: Vec<(u32, KeptNews)>,
+        batches: Vec<(u32, CacheEventBatch)>,
         addresses: &[SocketAddr],
     ) {
         if addresses.is_empty() {
@@ -86,14 +86,14 @@
         let now = gateway.now();
         let mut table = gateway.board();
         for (start, events) in &message.replicas {
-            table.hear_kept(now, *start, events);
+            table.apply_peer_cache_events(now, *start, events);
         }
         !is_own_zone && from == message.reporter
     }
 }
 
 /// Distributes the events of replicas over lists that each fit one datagram.
-fn datagrams(batches: Vec<(u32, KeptNews)>) -> Vec<Vec<(u32, KeptNews)>> {
+fn datagrams(batches: Vec<(u32, CacheEventBatch)>) -> Vec<Vec<(u32, CacheEventBatch)>> {
     let mut datagrams = Vec::new();
     let mut current = Vec::new();
     let mut size = 0;
@@ -116,7 +116,7 @@
 
 /// Splits the events of one replica into batches that each fit one datagram and follow each
 /// other without a gap.
-fn split(batch: KeptNews) -> Vec<KeptNews> {
+fn split(batch: CacheEventBatch) -> Vec<CacheEventBatch> {
     let max_events = MAX_EVENTS - HEAD_EVENTS;
     if batch.events.len() <= max_events {
         return vec![batch];
@@ -128,12 +128,12 @@
     while !rest.is_empty() {
         let (events, later) = rest.split_at(max_events.min(rest.len()));
         let next = later.first().map_or(batch.next, |event| event.number);
-        parts.push(KeptNews {
+        parts.push(CacheEventBatch {
             epoch: batch.epoch,
             from,
             next,
             has_gap: std::mem::take(&mut has_gap),
-            is_again: batch.is_again,
+            is_snapshot: batch.is_snapshot,
             events: events.to_vec(),
         });
         from = next;
--- a/src/peers/evidence_gossip.rs
+++ b/src/peers/evidence_gossip.rs
@@ -57,6 +57,6 @@
         let sender = router_hash(&message.reporter);
         gateway
             .board()
-            .hear_evidence(now, sender, &message.replicas);
+            .apply_evidence(now, sender, &message.replicas);
     }
 }
--- a/src/peers/evidence_schedule.rs
+++ b/src/peers/evidence_schedule.rs
@@ -49,10 +49,10 @@
             return evidence;
         }
         evidence.select_nth_unstable_by(MOST_DEVIANT, |one, other| {
-            other.says().total_cmp(&one.says())
+            other.priority().total_cmp(&one.priority())
         });
         let mut rest = evidence.split_off(MOST_DEVIANT);
-        rest.sort_unstable_by_key(|evidence| evidence.start);
+        rest.sort_unstable_by_key(|evidence| evidence.start_hash);
         let begin = self.next % rest.len();
         let count = MAX_REPLICAS - MOST_DEVIANT;
         self.next = begin + count;
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -95,7 +95,7 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         let is_own_zone = report.zone == gateway.peers.own().zone;
-        let max_age = gateway.board().belief_age();
+        let max_age = gateway.board().max_report_age();
         if from != report.address
             || !is_own_zone
             || !gateway.peers.apply_report(now, report, max_age)
@@ -162,9 +162,9 @@
         body: &ReportBody,
     ) {
         let mut table = self.gateway.board();
-        table.hear(now, reporter, &body.replicas);
-        table.hear_notes(now, reporter.scope, &body.notes);
-        table.hear_engines(&body.engines);
+        table.apply_reports(now, reporter, &body.replicas);
+        table.apply_placements(now, reporter.scope, &body.notes);
+        table.apply_latency_reports(&body.engines);
         drop(table);
         self.gateway
             .shares()
--- a/src/peers/report_body.rs
+++ b/src/peers/report_body.rs
@@ -1,6 +1,6 @@
 use {
     crate::policy::{
-        placement::{CacheNote, EngineReport, ReplicaReport},
+        placement::{LatencyReport, PartPlacement, ReplicaReport},
         shares::AccountUsage,
     },
     serde::{Deserialize, Serialize},
@@ -19,8 +19,8 @@
 pub struct ReportBody {
     pub replicas: Vec<ReplicaReport>,
     pub accounts: Vec<(u32, AccountUsage)>,
-    pub notes: Vec<CacheNote>,
-    pub engines: Vec<EngineReport>,
+    pub notes: Vec<PartPlacement>,
+    pub engines: Vec<LatencyReport>,
 }
 
 impl ReportBody {
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -9,7 +9,7 @@
         ops::PEERS,
         policy::{
             Moment,
-            placement::{CacheNote, FleetSize},
+            placement::{FleetSize, PartPlacement},
             slow_start::ZoneRouters,
             stable_hash,
         },
@@ -82,13 +82,13 @@
         let forget = self.gateway.settings().peer_forget;
         let fleet = FleetSize {
             in_zone: self.gateway.peers.live_count(now, forget) + 1,
-            in_all: self.gateway.router_count(),
+            total: self.gateway.router_count(),
         };
         let routers = self.zone_routers(now);
         let mut table = self.gateway.board();
-        table.set_reports(interval, fleet);
+        table.set_reporting(interval, fleet);
         table.set_zone_routers(routers);
-        let max_report_age = table.belief_age();
+        let max_report_age = table.max_report_age();
         drop(table);
         self.gateway.shares().set_peer_age(max_report_age);
     }
@@ -140,7 +140,7 @@
         now: Moment,
     ) -> usize {
         let gateway = &self.gateway;
-        let placements = gateway.board().take_zone_notes();
+        let placements = gateway.board().take_zone_placements();
         let suspects = gateway.suspects().take_zone_updates(now);
         let zones = gateway.peers.other_zones();
         let yields = gateway.is_stopping() && gateway.peers.live_count(now, PEER_SILENCE_LIMIT) > 0;
@@ -224,9 +224,9 @@
     ) -> ReportBody {
         let gateway = &self.gateway;
         let mut table = gateway.board();
-        let placements = table.take_notes();
+        let placements = table.take_placements();
         let replicas = table.reports(now);
-        let latency_reports = table.engine_reports();
+        let latency_reports = table.latency_reports();
         drop(table);
         let usage = gateway.shares().own_usage(now).clone();
         let mut sent = self.sent.lock().expect("sent lock");
@@ -243,12 +243,12 @@
     fn zone_body(
         &self,
         now: Moment,
-        placements: Vec<CacheNote>,
+        placements: Vec<PartPlacement>,
     ) -> ReportBody {
         let gateway = &self.gateway;
         let table = gateway.board();
         let replicas = table.zone_reports(now);
-        let latency_reports = table.engine_reports();
+        let latency_reports = table.latency_reports();
         drop(table);
         let usage = gateway.shares().zone_usage(now);
         ReportBody {
--- a/src/peers/sent_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -1,7 +1,7 @@
 use {
     crate::policy::{
         Moment,
-        placement::{CacheNote, ReplicaReport},
+        placement::{PartPlacement, ReplicaReport},
         shares::AccountUsage,
     },
     std::{
@@ -23,7 +23,7 @@
 pub struct SentReports {
     replicas: HashMap<u32, (Moment, ReplicaReport)>, // when and what, by replica
     accounts: HashMap<u32, (Moment, AccountUsage)>,  // when and what, by account
-    notes: HashMap<CacheNote, Moment>,               // when each was sent
+    notes: HashMap<PartPlacement, Moment>,               // when each was sent
     engines: Option<Moment>,                         // when they were sent
 }
 
@@ -39,7 +39,7 @@
         let known: HashMap<u32, (Moment, ReplicaReport)> = std::mem::take(&mut self.replicas);
         let mut due = Vec::new();
         for report in reports {
-            let sent = known.get(&report.replica).copied();
+            let sent = known.get(&report.start_hash).copied();
             let is_due = sent.is_none_or(|(at, sent)| sent != report || is_old(now, at, refresh));
             let last_sent = if is_due {
                 due.push(report);
@@ -47,7 +47,7 @@
             } else {
                 sent.unwrap_or((now, report))
             };
-            self.replicas.insert(report.replica, last_sent);
+            self.replicas.insert(report.start_hash, last_sent);
         }
         due
     }
@@ -87,8 +87,8 @@
         &mut self,
         now: Moment,
         refresh: Duration,
-        notes: Vec<CacheNote>,
-    ) -> Vec<CacheNote> {
+        notes: Vec<PartPlacement>,
+    ) -> Vec<PartPlacement> {
         self.notes.retain(|_, at| !is_old(now, *at, refresh));
         let mut due = Vec::new();
         for note in notes {
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -5,7 +5,7 @@
         direct::CacheCalls,
         policy::{
             name_hash,
-            placement::{KeptEvent, KeptNews, KeptPart},
+            placement::{CacheEvent, CacheEventBatch, CachedPart},
         },
     },
     bytes::Bytes,
@@ -53,9 +53,9 @@
     request
 }
 
-fn parse_list(text: &[u8]) -> Result<Vec<KeptPart>, Fault> {
+fn parse_list(text: &[u8]) -> Result<Vec<CachedPart>, Fault> {
     let list: ListJson = parse(text)?;
-    let parts = list.held.into_iter().map(|(_, id, tokens, _)| KeptPart {
+    let parts = list.held.into_iter().map(|(_, id, tokens, _)| CachedPart {
         part: part_id(&id),
         tokens,
     });
@@ -78,25 +78,25 @@
 fn parse_events(
     from: u64,
     text: &[u8],
-) -> Result<KeptNews, Fault> {
+) -> Result<CacheEventBatch, Fault> {
     let json: EventsJson = parse(text)?;
     let is_lost = !matches!(json.lost, Value::Null | Value::Bool(false)) && json.lost != 0;
     let events = json.events.into_iter();
-    let events = events.map(|(number, sign, _, id, tokens, _)| KeptEvent {
+    let events = events.map(|(number, sign, _, id, tokens, _)| CacheEvent {
         number,
         part: part_id(&id),
-        is_kept: sign == "+" && tokens > 0,
+        is_cached: sign == "+" && tokens > 0,
     });
-    let mut news = KeptNews {
+    let mut news = CacheEventBatch {
         epoch: name_hash(&json.epoch.to_string()),
         from: from.max(1),
         next: json.next_token.saturating_add(1),
         has_gap: false,
-        is_again: false,
+        is_snapshot: false,
         events: events.collect(),
     };
     news.events.sort_by_key(|event| event.number);
-    news.has_gap = is_lost || news.lacks_numbers();
+    news.has_gap = is_lost || news.has_missing_numbers();
     Ok(news)
 }
 
--- a/src/policy/direct/placement/choosing/candidate.rs
+++ b/src/policy/direct/placement/choosing/candidate.rs
@@ -1,57 +1,58 @@
 use {
-    super::{homes::scatter, offer::Offer},
-    crate::policy::placement::{EngineTimes, PromptShape},
+    super::{preferred_replicas::random_fraction, prefill_plan::PrefillPlan},
+    crate::policy::placement::{EngineLatency, PromptShape},
 };
 
-/// A replica that may run a prompt, and what speaks for it.
+/// A replica that may run a prompt, with the estimates by which candidates are compared.
 pub struct Candidate<'v> {
-    pub offer: Offer<'v>,
-    pub times: EngineTimes,  // of its service's engines, at its pace
-    pub usual: EngineTimes,  // of its service's engines
-    pub front_ms: f64,       // of reading, in front of the prompt
-    pub own_ms: f64,         // of its own reading and fetching
-    pub pauses_ms: f64,      // what pauses are expected to cost there
-    pub others_late: f64,    // streams that it is expected to make late there
-    pub rank: Option<usize>, // among the prompt's homes, 0 is the first
-    pub scatter: f64,        // 0 to 1, as if drawn for this request and replica
-    pub is_home: bool,       // it keeps all that the prompt shares with others
+    pub plan: PrefillPlan<'v>,
+    pub times: EngineLatency, // of the service's engines, scaled by the replica's pace
+    pub service_times: EngineLatency, // average of the service's engines
+    pub queue_ms: f64,        // prefill queued ahead of the prompt
+    pub own_ms: f64,          // prefill and fetching of the prompt itself
+    pub pauses_ms: f64,       // expected cost of late stream events
+    pub others_late: f64,     // running streams that it is expected to make late
+    pub rank: Option<usize>,  // among the prompt's preferred replicas, 0 is the first
+    pub random_fraction: f64, // pseudo-random, 0 to 1, by request and replica
+    pub caches_shared_parts: bool, // it caches all parts that the prompt shares with others
 }
 
 impl<'v> Candidate<'v> {
-    /// A replica with this much reading in front; `usual` are its service's times.
+    /// A replica with `queued_tokens` uncached prompt tokens in its queue, of a service whose
+    /// engines take `service_times` on average.
     pub fn new(
-        offer: Offer<'v>,
+        plan: PrefillPlan<'v>,
         prompt: &PromptShape,
-        front: u32,
-        usual: EngineTimes,
+        queued_tokens: u32,
+        service_times: EngineLatency,
         rank: Option<usize>,
     ) -> Self {
-        let times = offer.view.pace.of(usual);
+        let times = plan.view.pace.of(service_times);
         Self {
-            front_ms: times.reading_ms(front),
-            own_ms: times.reading_ms(offer.reading) + offer.fetch_ms,
+            queue_ms: times.prefill_ms(queued_tokens),
+            own_ms: times.prefill_ms(plan.prefill_tokens) + plan.fetch_ms,
             times,
             pauses_ms: 0.0,
             others_late: 0.0,
-            usual,
+            service_times,
             rank,
-            scatter: scatter(prompt, offer.view),
-            is_home: offer.keeps_shared(prompt),
-            offer,
+            random_fraction: random_fraction(prompt, plan.view),
+            caches_shared_parts: plan.caches_shared_parts(prompt),
+            plan,
         }
     }
 
-    /// Milliseconds until the first token, as far as can be told.
+    /// Expected time to the first token, in milliseconds.
     pub fn expected_ms(&self) -> f64 {
-        self.times.fixed_ms + self.front_ms + self.own_ms
+        self.times.fixed_ms + self.queue_ms + self.own_ms
     }
 
-    /// How long some of its tokens usually take to read, in milliseconds: what is read
-    /// again, or moved, takes room from others at every replica alike.
-    pub fn reading_ms(
+    /// Prefill time of some tokens at an average engine of the service, in milliseconds.
+    /// Independent of the replica's pace, since it weighs duplicate work for the service.
+    pub fn prefill_ms(
         &self,
         tokens: u32,
     ) -> f64 {
-        self.usual.reading_ms(tokens)
+        self.service_times.prefill_ms(tokens)
     }
 }
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -1,26 +1,26 @@
-//! What a choice weighs: the request, what a replica would have to do, and what it may
-//! have in front.
+//! Parts of the choice of a replica: the request, the cost of its prompt at each candidate,
+//! and the queue and memory limits for admission.
 
 mod admission;
 mod candidate;
+mod candidate_sampling;
 mod cheapest;
 mod choice;
-mod considered;
-mod homes;
-mod offer;
 mod placement_request;
 mod plain_queue;
-mod spare_time;
+mod preferred_replicas;
+mod prefill_plan;
+mod queue_budget;
 
 pub use {
-    admission::{Admission, is_over},
+    admission::{Admission, is_over_share},
     candidate::Candidate,
+    candidate_sampling::{CandidateSampling, CandidateTier},
     cheapest::Cheapest,
     choice::{Choice, RefusalReason},
-    considered::{Considered, Tier},
-    homes::homes,
-    offer::{Sources, offer},
     placement_request::PlacementRequest,
     plain_queue::PlainQueue,
-    spare_time::SpareTime,
+    preferred_replicas::preferred_replicas,
+    prefill_plan::{CacheSources, prefill_plan},
+    queue_budget::QueueBudget,
 };
--- a/src/policy/direct/placement/engines/mod.rs
+++ b/src/policy/direct/placement/engines/mod.rs
@@ -1,23 +1,23 @@
-//! How long model engines take, learnt from what came.
+//! Latency models of inference engines, learnt from observed first tokens and stream pauses.
 
-mod engine_model;
-mod engine_models;
-mod engine_report;
-mod engine_times;
+mod baseline_pace;
+mod engine_latency;
 mod first_token;
+mod latency_model;
+mod latency_models;
+mod latency_report;
+mod pace_change;
 mod pace_evidence;
-mod pace_news;
 mod pace_sum;
 mod pause_evidence;
 mod replica_evidence;
 mod replica_pace;
-mod usual_pace;
-mod usual_readings;
+mod typical_prompts;
 
 pub use {
-    engine_model::EngineModel, engine_models::EngineModels, engine_report::EngineReport,
-    engine_times::EngineTimes, first_token::FirstToken, pace_evidence::PaceEvidence,
-    pace_news::PaceNews, pace_sum::PaceSum, pause_evidence::PauseEvidence,
-    replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace, usual_pace::UsualPace,
-    usual_readings::UsualReadings,
+    baseline_pace::BaselinePace, engine_latency::EngineLatency, first_token::FirstToken,
+    latency_model::LatencyModel, latency_models::LatencyModels, latency_report::LatencyReport,
+    pace_change::PaceChange, pace_evidence::PaceEvidence, pace_sum::PaceSum,
+    pause_evidence::PauseEvidence, replica_evidence::ReplicaEvidence, replica_pace::ReplicaPace,
+    typical_prompts::TypicalPrompts,
 };
--- a/src/policy/direct/placement/loads/load.rs
+++ b/src/policy/direct/placement/loads/load.rs
@@ -3,12 +3,12 @@
     std::ops::{AddAssign, SubAssign},
 };
 
-/// What one router has at one replica.
+/// In-flight load at one replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    pub running: u32, // requests without their whole answer
-    pub reading: u32, // uncached prompt tokens of requests without a first token
-    pub memory: u32,  // tokens that running requests take or will grow into
+    pub running: u32,        // requests that are not answered completely
+    pub prefill_tokens: u32, // uncached prompt tokens of requests without a first token
+    pub kv_tokens: u32,      // tokens that running requests occupy or may still generate
 }
 
 impl AddAssign for Load {
@@ -17,8 +17,8 @@
         other: Self,
     ) {
         self.running += other.running;
-        self.reading += other.reading;
-        self.memory += other.memory;
+        self.prefill_tokens += other.prefill_tokens;
+        self.kv_tokens += other.kv_tokens;
     }
 }
 
@@ -28,7 +28,7 @@
         other: Self,
     ) {
         self.running = self.running.saturating_sub(other.running);
-        self.reading = self.reading.saturating_sub(other.reading);
-        self.memory = self.memory.saturating_sub(other.memory);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(other.prefill_tokens);
+        self.kv_tokens = self.kv_tokens.saturating_sub(other.kv_tokens);
     }
 }
--- a/src/policy/direct/placement/loads/mod.rs
+++ b/src/policy/direct/placement/loads/mod.rs
@@ -1,17 +1,17 @@
-//! What routers have at replicas.
+//! In-flight load of routers at replicas.
 
-mod expected_work;
+mod expected_times;
 mod fleet_size;
+mod in_flight_request;
 mod load;
 mod peer_loads;
 mod replica_report;
-mod work;
 
 pub use {
-    expected_work::ExpectedWork,
+    expected_times::ExpectedTimes,
     fleet_size::FleetSize,
+    in_flight_request::{InFlightId, InFlightRequest},
     load::Load,
     peer_loads::PeerLoads,
     replica_report::ReplicaReport,
-    work::{Work, WorkNumber},
 };
--- a/src/policy/direct/placement/mod.rs
+++ b/src/policy/direct/placement/mod.rs
@@ -1,27 +1,38 @@
-//! Which replica runs a request: what its prompt costs to read there, what is
-//! in front of it, what memory is left, and what evidence speaks against it.
+//! Choice of the replica that runs a request, by the cost of its prompt there, the
+//! queue, the free memory and the observed health of the replica.
 
-mod board;
+mod cache_events;
 mod choosing;
 mod engines;
-mod kept;
 mod loads;
 mod pauses;
 mod placement_settings;
 mod prompts;
+mod replica_table;
 mod replicas;
 
 pub use {
-    board::ReplicaBoard,
+    cache_events::{
+        CacheChange, CacheCursor, CacheEvent, CacheEventBatch, CacheEventTracker, SharedParts,
+        UnseenEvents,
+    },
     choosing::{Choice, PlacementRequest, RefusalReason},
     engines::{
-        EngineModel, EngineModels, EngineReport, EngineTimes, FirstToken, PaceEvidence, PaceNews,
-        PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace, UsualPace, UsualReadings,
+        BaselinePace, EngineLatency, FirstToken, LatencyModel, LatencyModels, LatencyReport,
+        PaceChange, PaceEvidence, PaceSum, PauseEvidence, ReplicaEvidence, ReplicaPace,
+        TypicalPrompts,
+    },
+    loads::{
+        ExpectedTimes, FleetSize, InFlightId, InFlightRequest, Load, PeerLoads, ReplicaReport,
+    },
+    pauses::{
+        PauseEstimate, PauseRecord, PauseRisk, PauseWatch, StreamDurations, TargetPauses,
+        late_fraction,
     },
-    kept::{HeardEvents, KeptChange, KeptEvent, KeptFollow, KeptNews, KeptWord, SharedParts},
-    loads::{ExpectedWork, FleetSize, Load, PeerLoads, ReplicaReport, Work, WorkNumber},
-    pauses::{PauseAims, PauseRecord, PauseRisk, PauseSight, PauseWatch, RunLengths, broken_share},
     placement_settings::PlacementSettings,
-    prompts::{CacheNote, KeptPart, PrefixCache, PromptPart, PromptShape, SentPrompt},
-    replicas::{PlainRun, PlainTimes, ReplicaHealth, ReplicaView, SeenPace, SeenWork},
+    prompts::{CachedPart, PartPlacement, PrefixCache, PromptPart, PromptShape, SentPrompt},
+    replica_table::ReplicaTable,
+    replicas::{
+        PaceObservations, PlainRun, PlainTimes, ReplicaHealth, ReplicaObservations, ReplicaView,
+    },
 };
--- a/src/policy/direct/placement/pauses/mod.rs
+++ b/src/policy/direct/placement/pauses/mod.rs
@@ -1,16 +1,16 @@
-//! Pauses between the events of streams: where they come over what is in time, and what
-//! placing a request does to them.
+//! Pauses between the events of a stream: how often they exceed the target of the stream's
+//! route, and how the placement of a request affects them.
 
-mod broken_share;
-mod pause_aims;
+mod late_fraction;
+mod pause_estimate;
 mod pause_record;
 mod pause_risk;
-mod pause_sight;
 mod pause_watch;
-mod run_lengths;
+mod stream_durations;
+mod target_pauses;
 
 pub use {
-    broken_share::broken_share, pause_aims::PauseAims, pause_record::PauseRecord,
-    pause_risk::PauseRisk, pause_sight::PauseSight, pause_watch::PauseWatch,
-    run_lengths::RunLengths,
+    late_fraction::late_fraction, pause_estimate::PauseEstimate, pause_record::PauseRecord,
+    pause_risk::PauseRisk, pause_watch::PauseWatch, stream_durations::StreamDurations,
+    target_pauses::TargetPauses,
 };
--- a/src/policy/direct/placement/prompts/sent_prompt.rs
+++ b/src/policy/direct/placement/prompts/sent_prompt.rs
@@ -1,12 +1,12 @@
 use {super::PromptShape, crate::routing::EngineSpec, std::time::Duration};
 
-/// A prompt on its way to a replica.
+/// A prompt that is sent to a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct SentPrompt<'p> {
     pub shape: &'p PromptShape,
     pub engine: EngineSpec,
-    pub aim: Duration,               // of its route
-    pub pause_aim: Option<Duration>, // longest pause between its events that is in time
-    pub reading: u32,                // tokens that the replica has to read
-    pub front_ms: f64,               // of reading believed to be in front, and of fetching
+    pub target_latency: Duration, // of its route, to the first event
+    pub target_pause: Option<Duration>, // longest allowed pause between its events
+    pub prefill_tokens: u32,      // uncached prompt tokens
+    pub queue_ms: f64,            // expected wait for queued prefill and for fetching
 }
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -1,11 +1,12 @@
 use {
-    super::{PlainTimes, ReplicaHealth, SeenWork},
+    super::{PlainTimes, ReplicaHealth, ReplicaObservations},
     crate::{
         catalog::UpstreamEntry,
         policy::{
             Moment, Reporter, ReporterScope,
             placement::{
-                Load, PauseRecord, PauseSight, PeerLoads, PrefixCache, ReplicaPace, ReplicaReport,
+                Load, PauseEstimate, PauseRecord, PeerLoads, PrefixCache, ReplicaPace,
+                ReplicaReport,
             },
             slow_start::SlowStartState,
             stable_hash,
@@ -14,55 +15,55 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// What this router knows of one replica.
+/// A router's view of one replica.
 #[derive(Debug)]
 pub struct ReplicaView {
     pub entry: Arc<UpstreamEntry>,
-    pub hash: u64,  // of its id, the same at every router
-    pub start: u32, // short name of this start of it
-    pub own: Load,  // what this router has there
+    pub id_hash: u64,    // of its id, equal at every router
+    pub start_hash: u32, // hash of its current start
+    pub own_load: Load,  // in-flight load of this router
     pub health: ReplicaHealth,
     pub cache: PrefixCache,
-    pub placed: u64,                // tokens that this router sent there so far
-    pub placed_by_zone: u64,        // the same, with the other routers of its zone
-    pub heard: Moment,              // when it last answered anything
-    pub plain: PlainTimes,          // of requests that are no prompts
-    pub seen: SeenWork,             // of how it works
-    pub pace: ReplicaPace,          // as of the last look at what was seen
-    pub logged_pace: f64,           // the lasting one, as it was last logged
-    pub pauses: PauseRecord,        // of its streams, against what was expected
-    pub pause_sight: PauseSight,    // as of the last look at what was seen
-    pub start_pace: SlowStartState, // what this router sends there while it starts slowly
-    routers: PeerLoads,             // of the own zone
-    zones: PeerLoads,               // the other zones, each as a whole
+    pub placed_tokens: u64,                // tokens that this router has sent there
+    pub zone_placed_tokens: u64,        // tokens that all routers of the zone have sent there
+    pub last_answer: Moment,              // of the last answer to this router
+    pub plain: PlainTimes,          // of requests without a prompt
+    pub observations: ReplicaObservations,             // observed pace and pauses
+    pub pace: ReplicaPace,          // as of the last refresh of the estimates
+    pub logged_pace: f64,           // lasting pace as of the last log line
+    pub pauses: PauseRecord,        // observed by this router
+    pub pause_estimate: PauseEstimate,    // as of the last refresh of the estimates
+    pub slow_start: SlowStartState, // slow-start limit on requests of this router
+    routers: PeerLoads,             // of the other routers of the zone
+    zones: PeerLoads,               // of the other zones, one report for each
 }
 
 impl ReplicaView {
-    /// A replica that nothing is known of but its entry.
+    /// A replica without observations.
     pub fn new(entry: Arc<UpstreamEntry>) -> Self {
         Self {
-            hash: stable_hash(&&*entry.id),
-            start: entry.start_hash(),
+            id_hash: stable_hash(&&*entry.id),
+            start_hash: entry.start_hash(),
             entry,
-            own: Load::default(),
+            own_load: Load::default(),
             health: ReplicaHealth::default(),
             cache: PrefixCache::default(),
-            placed: 0,
-            placed_by_zone: 0,
-            heard: Moment::ZERO,
+            placed_tokens: 0,
+            zone_placed_tokens: 0,
+            last_answer: Moment::ZERO,
             plain: PlainTimes::default(),
-            seen: SeenWork::default(),
+            observations: ReplicaObservations::default(),
             pace: ReplicaPace::default(),
             logged_pace: 1.0,
             pauses: PauseRecord::default(),
-            pause_sight: PauseSight::default(),
-            start_pace: SlowStartState::default(),
+            pause_estimate: PauseEstimate::default(),
+            slow_start: SlowStartState::default(),
             routers: PeerLoads::default(),
             zones: PeerLoads::default(),
         }
     }
 
-    /// What all routers have there, as far as heard of within `age`.
+    /// In-flight load of all routers. Reports older than `age` are ignored.
     pub fn load(
         &self,
         now: Moment,
@@ -73,37 +74,38 @@
         sum
     }
 
-    /// What the routers of the own zone have there.
+    /// In-flight load of the routers of this router's zone.
     pub fn zone_load(
         &self,
         now: Moment,
         age: Duration,
     ) -> Load {
-        let mut sum = self.own;
+        let mut sum = self.own_load;
         sum += self.routers.load(now, age);
         sum
     }
 
-    /// Whether others let it rest.
-    pub fn is_avoided(
+    /// Whether another router or zone has ejected it.
+    pub fn is_ejected(
         &self,
         now: Moment,
         age: Duration,
     ) -> bool {
-        self.is_avoided_in_zone(now, age) || self.zones.is_avoided(now, age)
+        self.is_ejected_in_zone(now, age) || self.zones.is_ejected(now, age)
     }
 
-    /// Whether another router of the own zone lets it rest.
-    pub fn is_avoided_in_zone(
+    /// Whether another router of this router's zone has ejected it.
+    pub fn is_ejected_in_zone(
         &self,
         now: Moment,
         age: Duration,
     ) -> bool {
-        self.routers.is_avoided(now, age)
+        self.routers.is_ejected(now, age)
     }
 
-    /// Others told what they have there; reports older than `age` count no more.
-    pub fn hear(
+    /// Records a load report of another router or zone. Reports older than `age` are ignored
+    /// from now on.
+    pub fn apply_peer_load(
         &mut self,
         now: Moment,
         age: Duration,
@@ -114,10 +116,10 @@
             ReporterScope::Router => &mut self.routers,
             ReporterScope::Zone => &mut self.zones,
         };
-        let placed = loads.hear(now, age, teller.name, teller.source_id, report);
+        let placed_tokens = loads.apply_report(now, age, teller.name, teller.source_id, report);
         if teller.scope == ReporterScope::Router {
-            self.placed_by_zone += placed;
+            self.zone_placed_tokens += placed_tokens;
         }
-        self.cache.place(placed);
+        self.cache.add_placed(placed_tokens);
     }
 }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -10,8 +10,8 @@
         policy::{
             Reporter, ReporterScope, name_hash,
             placement::{
-                CacheNote, FleetSize, Load, PlacementRequest, PlacementSettings, PromptPart,
-                PromptShape, ReplicaBoard, ReplicaReport,
+                FleetSize, Load, PartPlacement, PlacementRequest, PlacementSettings, PromptPart,
+                PromptShape, ReplicaReport, ReplicaTable,
             },
             shares::{AccountUsage, ShareStatus, ShareTracker},
         },
@@ -87,7 +87,7 @@
         for datagram in &datagrams {
             let message = decode_payload(datagram).expect("just encoded");
             if let PeerMessage::Report(report) = message {
-                board.hear(NOW, router(step), &report.body.replicas);
+                board.apply_reports(NOW, router(step), &report.body.replicas);
             }
         }
     });
@@ -124,8 +124,8 @@
         zone: "zone-0",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: AIM,
-        pause_aim: None,
+        target_latency: AIM,
+        target_pause: None,
         standing: ShareStatus::Within,
         tried: &[],
         regions: None,
@@ -133,8 +133,8 @@
 }
 
 /// A board on which every replica of the fleet has work of routers and of zones.
-fn full_board(scale: FleetScale) -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn full_board(scale: FleetScale) -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     let ids: Vec<String> = (0..scale.replicas)
         .map(|number| format!("i-{number:08x}"))
         .collect();
@@ -153,23 +153,23 @@
     board.set_entries(Duration::ZERO, entries.collect());
     let fleet = FleetSize {
         in_zone: scale.routers / ZONES,
-        in_all: scale.routers,
+        total: scale.routers,
     };
-    board.set_reports(Duration::from_millis(100), fleet);
+    board.set_reporting(Duration::from_millis(100), fleet);
     let loads: Vec<ReplicaReport> = ids.iter().map(|id| load(id)).collect();
     for number in 1..fleet.in_zone as u32 {
-        board.hear(NOW, router(number), &loads);
+        board.apply_reports(NOW, router(number), &loads);
     }
     for zone in 1..ZONES as u32 {
-        board.hear(NOW, other_zone(zone), &loads);
+        board.apply_reports(NOW, other_zone(zone), &loads);
     }
     for part in 0..KEPT {
-        let note = CacheNote {
-            replica: name_hash(&ids[part as usize % ids.len()]),
+        let note = PartPlacement {
+            start_hash: name_hash(&ids[part as usize % ids.len()]),
             part: 10 + part,
             shared: true,
         };
-        board.hear_notes(NOW, ReporterScope::Zone, &[note]);
+        board.apply_placements(NOW, ReporterScope::Zone, &[note]);
     }
     board
 }
@@ -177,14 +177,14 @@
 fn load(id: &str) -> ReplicaReport {
     let load = Load {
         running: 1,
-        reading: 60,
-        memory: 4000,
+        prefill_tokens: 60,
+        kv_tokens: 4000,
     };
     ReplicaReport {
-        replica: name_hash(id),
+        start_hash: name_hash(id),
         load,
-        placed: 5_000_000,
-        rests: false,
+        placed_tokens: 5_000_000,
+        is_ejected: false,
     }
 }
 
@@ -226,7 +226,7 @@
 
 /// A report of a router that has something at every replica of one zone, as
 /// datagrams.
-fn encoded(board: &ReplicaBoard) -> Vec<Vec<u8>> {
+fn encoded(board: &ReplicaTable) -> Vec<Vec<u8>> {
     let replicas = board.zone_reports(NOW).into_iter().step_by(ZONES).collect();
     let figures = ReportBody {
         replicas: SentReports::default().replicas(NOW, AGE, replicas),
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast::policy::placement::{
-        EngineModel, EngineModels, EngineReport, EngineTimes, FirstToken,
+        EngineLatency, FirstToken, LatencyModel, LatencyModels, LatencyReport,
     },
     proptest::prelude::*,
     std::{sync::Arc, time::Duration},
@@ -24,7 +24,7 @@
         let ms = self.fixed_ms + f64::from(tokens) / self.tokens_per_ms + noise_ms;
         FirstToken {
             tokens,
-            front_ms: 0.0,
+            queue_ms: 0.0,
             took: Duration::from_secs_f64(ms.max(0.1) / 1000.0),
         }
     }
@@ -35,12 +35,12 @@
     engine: Engine,
     samples: u32,
     noise_ms: f64,
-) -> EngineModel {
-    let mut model = EngineModel::default();
+) -> LatencyModel {
+    let mut model = LatencyModel::default();
     for sample in 0..samples {
         let tokens = 200 + (sample * 2953) % 9000;
         let sign = f64::from(sample % 3) - 1.0;
-        model.learn(engine.first_token(tokens, sign * noise_ms));
+        model.record(engine.first_token(tokens, sign * noise_ms));
     }
     model
 }
@@ -60,9 +60,9 @@
     ) {
         let engine = Engine { fixed_ms, tokens_per_ms: speed };
         let times = learnt(engine, 200, 5.0).times();
-        let whole = times.fixed_ms + times.reading_ms(8000);
+        let whole = times.fixed_ms + times.prefill_ms(8000);
         prop_assert!(is_near(whole, fixed_ms + 8000.0 / speed), "{times:?}");
-        let small = times.fixed_ms + times.reading_ms(500);
+        let small = times.fixed_ms + times.prefill_ms(500);
         prop_assert!((small - fixed_ms - 500.0 / speed).abs() < 20.0, "{times:?}");
     }
 
@@ -74,10 +74,10 @@
         let engine = |tokens_per_ms| Engine { fixed_ms: 50.0, tokens_per_ms };
         let mut model = learnt(engine(before), 1000, 5.0);
         for sample in 0..3000 {
-            model.learn(engine(after).first_token(200 + (sample * 2953) % 9000, 0.0));
+            model.record(engine(after).first_token(200 + (sample * 2953) % 9000, 0.0));
         }
         let times = model.times();
-        let whole = times.fixed_ms + times.reading_ms(8000);
+        let whole = times.fixed_ms + times.prefill_ms(8000);
         prop_assert!(is_near(whole, 50.0 + 8000.0 / after), "{times:?}");
     }
 }
@@ -90,7 +90,7 @@
             tokens_per_ms,
         };
         let times = learnt(engine, 12, 0.0).times();
-        let whole = times.fixed_ms + times.reading_ms(8000);
+        let whole = times.fixed_ms + times.prefill_ms(8000);
         assert!(is_near(whole, 50.0 + 8000.0 / tokens_per_ms), "{times:?}");
     }
 }
@@ -103,7 +103,7 @@
     };
     let mut model = learnt(engine, 300, 2.0);
     let before = model.times();
-    model.learn(engine.first_token(5000, 20_000.0));
+    model.record(engine.first_token(5000, 20_000.0));
     let after = model.times();
     assert!(!after.differs(&before, 0.05), "{before:?} {after:?}");
 }
@@ -114,12 +114,12 @@
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
-    let mut model = EngineModel::default();
+    let mut model = LatencyModel::default();
     for sample in 0..300 {
         let front_ms = f64::from(sample % 4) * 60.0;
         let tokens = 200 + (sample * 2953) % 9000;
-        model.learn(FirstToken {
-            front_ms,
+        model.record(FirstToken {
+            queue_ms: front_ms,
             ..engine.first_token(tokens, front_ms)
         });
     }
@@ -132,22 +132,22 @@
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
-    let mut model = EngineModel::default();
+    let mut model = LatencyModel::default();
     for _ in 0..5000 {
-        model.learn(engine.first_token(1000, 0.0));
+        model.record(engine.first_token(1000, 0.0));
     }
     let times = model.times();
-    let whole = times.fixed_ms + times.reading_ms(1000);
+    let whole = times.fixed_ms + times.prefill_ms(1000);
     assert!(is_near(whole, 75.0), "{times:?}");
 }
 
 #[test]
 fn a_router_that_starts_begins_from_what_peers_have_learnt() {
     let service: Arc<str> = "model".into();
-    let mut fresh = EngineModels::default();
-    let told = EngineReport {
-        service: 1,
-        times: EngineTimes {
+    let mut fresh = LatencyModels::default();
+    let told = LatencyReport {
+        service_hash: 1,
+        times: EngineLatency {
             fixed_ms: 60.0,
             token_ms: 0.01,
             residual_ms: 12.0,
@@ -155,7 +155,7 @@
         samples: 5000,
     };
     assert!(fresh.reports().is_empty(), "nothing learnt is told");
-    fresh.hear(&service, &told);
+    fresh.apply_report(&service, &told);
     assert!(!fresh.times("model").differs(&told.times, 0.01));
     // What it sees itself moves it, as if it had learnt all that.
     let engine = Engine {
@@ -163,14 +163,14 @@
         tokens_per_ms: 50.0,
     };
     for sample in 0..400 {
-        fresh.learn(
+        fresh.record(
             &service,
             engine.first_token(200 + (sample * 2953) % 9000, 0.0),
         );
     }
     assert!(is_near(1.0 / fresh.times("model").token_ms, 50.0));
     // A router that knows the engines itself keeps to what it knows.
-    fresh.hear(&service, &told);
+    fresh.apply_report(&service, &told);
     assert!(fresh.times("model").token_ms > 0.015);
 }
 
@@ -181,10 +181,10 @@
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
-    let mut models = EngineModels::default();
+    let mut models = LatencyModels::default();
     let news = (0..2000).filter(|sample| {
         let seen = engine.first_token(200 + (sample * 2953) % 9000, 0.0);
-        models.learn(&service, seen).is_some()
+        models.record(&service, seen).is_some()
     });
     assert!((1..=12).contains(&news.count()));
 }
@@ -194,12 +194,12 @@
 /// request's time; the guess of the times may be far off at first, that figure need not follow.
 #[test]
 fn first_tokens_that_come_late_at_first_do_not_make_the_belief_unsure() {
-    let usual = EngineModel::default().times().residual_ms;
-    let mut model = EngineModel::default();
+    let usual = LatencyModel::default().times().residual_ms;
+    let mut model = LatencyModel::default();
     for _ in 0..10 {
-        model.learn(FirstToken {
+        model.record(FirstToken {
             tokens: 4000,
-            front_ms: 100.0,
+            queue_ms: 100.0,
             took: Duration::from_millis(600),
         });
     }
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -8,9 +8,9 @@
         policy::{
             name_hash,
             placement::{
-                Choice, EngineReport, EngineTimes, PaceEvidence, PaceSum, PauseEvidence,
-                PlacementRequest, PlacementSettings, PromptPart, PromptShape, ReplicaBoard,
-                ReplicaEvidence, ReplicaPace, SentPrompt, WorkNumber,
+                Choice, EngineLatency, InFlightId, LatencyReport, PaceEvidence, PaceSum,
+                PauseEvidence, PlacementRequest, PlacementSettings, PromptPart, PromptShape,
+                ReplicaEvidence, ReplicaPace, ReplicaTable, SentPrompt,
             },
             shares::ShareStatus,
         },
@@ -35,7 +35,7 @@
 };
 
 /// Engines of the usual pace.
-const USUAL: EngineTimes = EngineTimes {
+const USUAL: EngineLatency = EngineLatency {
     fixed_ms: 40.0,
     token_ms: 0.03,
     residual_ms: 20.0,
@@ -65,11 +65,11 @@
     })
 }
 
-fn board(ids: &[&str]) -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn board(ids: &[&str]) -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     board.set_entries(BEGIN, ids.iter().map(|id| entry(id, 1)).collect());
-    board.hear_engines(&[EngineReport {
-        service: name_hash("model"),
+    board.apply_latency_reports(&[LatencyReport {
+        service_hash: name_hash("model"),
         times: USUAL,
         samples: 5000,
     }]);
@@ -88,19 +88,19 @@
 fn request(prompt: &PromptShape) -> PlacementRequest<'_> {
     PlacementRequest {
         regions: None,
-        pause_aim: None,
+        target_pause: None,
         service: "model",
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: AIM,
+        target_latency: AIM,
         standing: ShareStatus::Within,
         tried: &[],
     }
 }
 
 fn choose(
-    board: &ReplicaBoard,
+    board: &ReplicaTable,
     now: Duration,
     prompt: &PromptShape,
 ) -> Choice {
@@ -115,11 +115,11 @@
 
 /// One router, some engines, and a steady stream of prompts.
 struct Play {
-    board: ReplicaBoard,
+    board: ReplicaTable,
     engines: BTreeMap<&'static str, Engine>,
     now: Duration,
     next: u64,
-    under_way: Vec<(Duration, WorkNumber)>, // when first tokens come
+    under_way: Vec<(Duration, InFlightId)>, // when first tokens come
     refused: u32,
 }
 
@@ -218,8 +218,8 @@
         let shape = prompt(self.next);
         let Choice::Send {
             replica,
-            reading,
-            front_ms,
+            prefill_tokens: reading,
+            queue_ms: front_ms,
             ..
         } = choose(&self.board, self.now, &shape)
         else {
@@ -240,18 +240,18 @@
     ) {
         self.next += 1;
         let sent = SentPrompt {
-            pause_aim: None,
+            target_pause: None,
             shape,
             engine: ENGINE,
-            aim: AIM,
-            reading,
-            front_ms,
+            target_latency: AIM,
+            prefill_tokens: reading,
+            queue_ms: front_ms,
         };
         let work = self.board.start(self.now, &replica, Some(sent));
         let engine = self.engines.get_mut(&*replica).expect("an engine");
         // Some take up to a third longer: the noise is skewed, as it is in life.
         let noise = 1.0 + ((self.next * 7919) % 97) as f64 / 290.0;
-        let usual = USUAL.reading_ms(reading) * engine.pace * noise;
+        let usual = USUAL.prefill_ms(reading) * engine.pace * noise;
         engine.free = engine.free.max(self.now) + secs(usual / 1000.0);
         let first = engine.free + secs(USUAL.fixed_ms * engine.pace / 1000.0);
         seen.slowest = seen.slowest.max(first - self.now);
@@ -273,7 +273,7 @@
         log_ratio: samples * ratio.ln(),
     };
     ReplicaEvidence {
-        start: entry(replica, 1).start_hash(),
+        start_hash: entry(replica, 1).start_hash(),
         pace: PaceEvidence {
             lasting: sum,
             recent: PaceSum::default(),
@@ -283,7 +283,7 @@
 }
 
 fn lasting(
-    board: &ReplicaBoard,
+    board: &ReplicaTable,
     replica: &str,
 ) -> f64 {
     board.replica(replica).expect("a replica").pace.lasting
@@ -311,11 +311,11 @@
     let mut play = Play::new(&[("a", 0.6), ("b", 0.6), ("c", 1.2)]);
     for _ in 0..10 {
         play.play_in_turn(60.0);
-        let times = play.board.engine_times("model");
+        let times = play.board.engine_latency("model");
         for (id, pace) in [("a", 0.6), ("b", 0.6), ("c", 1.2)] {
             let (believed, _) = play.pace(id);
-            let ms = (times.fixed_ms + times.reading_ms(TOKENS)) * believed;
-            let actual = (USUAL.fixed_ms + USUAL.reading_ms(TOKENS) * 1.16) * pace;
+            let ms = (times.fixed_ms + times.prefill_ms(TOKENS)) * believed;
+            let actual = (USUAL.fixed_ms + USUAL.prefill_ms(TOKENS) * 1.16) * pace;
             assert!((ms / actual - 1.0).abs() < 0.2, "{id}: {ms} {actual}");
         }
     }
@@ -382,12 +382,12 @@
     // What one process of a replica showed says nothing of the next: the machine may be
     // another one.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
     assert!(lasting(&board, "a") > 3.0);
     board.set_entries(BEGIN, vec![entry("a", 2), entry("b", 1)]);
     assert_eq!(lasting(&board, "a"), 1.0);
     // A fellow that has not heard of it yet speaks of the start before.
-    board.hear_evidence(BEGIN + secs(1.0), 1, &[told("a", 4.0, 50.0)]);
+    board.apply_evidence(BEGIN + secs(1.0), 1, &[told("a", 4.0, 50.0)]);
     assert_eq!(lasting(&board, "a"), 1.0);
 }
 
@@ -398,7 +398,7 @@
     let without = board(&ids);
     let mut with = board(&ids);
     let alike: Vec<ReplicaEvidence> = ids.iter().map(|id| told(id, 1.0, 80.0)).collect();
-    with.hear_evidence(BEGIN, 1, &alike);
+    with.apply_evidence(BEGIN, 1, &alike);
     for number in 0..100 {
         let shape = prompt(number);
         let now = BEGIN + secs(1.0);
@@ -411,7 +411,7 @@
     // A router that has just started has seen no first token; its first prompts go by what
     // its fellows have seen.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 3.0, 60.0), told("b", 0.7, 60.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 3.0, 60.0), told("b", 0.7, 60.0)]);
     for number in 0..50 {
         let Choice::Send { replica, .. } = choose(&board, BEGIN, &prompt(number)) else {
             panic!("refused");
@@ -425,19 +425,19 @@
     // Load: two prompts in front at both, 300 ms at the usual pace. An aim of 800 ms leaves
     // that, but not three times that.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 3.0, 500.0), told("b", 3.0, 500.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 3.0, 500.0), told("b", 3.0, 500.0)]);
     let slow = board;
     let usual = self::board(&["a", "b"]);
-    let with_front = |mut board: ReplicaBoard| {
+    let with_front = |mut board: ReplicaTable| {
         for (number, replica) in [(900, "a"), (901, "a"), (902, "b"), (903, "b")] {
             let shape = prompt(number);
             let sent = SentPrompt {
-                pause_aim: None,
+                target_pause: None,
                 shape: &shape,
                 engine: ENGINE,
-                aim: AIM,
-                reading: TOKENS,
-                front_ms: 0.0,
+                target_latency: AIM,
+                prefill_tokens: TOKENS,
+                queue_ms: 0.0,
             };
             board.start(BEGIN, &replica.into(), Some(sent));
         }
@@ -452,17 +452,17 @@
     // It said that a replica is slow, and nothing came of it since: it died, or its
     // datagrams are lost. Its word fades, and is gone after some seconds.
     let mut board = board(&["a", "b"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", 4.0, 50.0)]);
     let at_once = lasting(&board, "a");
     assert!(at_once > 3.0);
-    board.hear_evidence(BEGIN + secs(5.0), 2, &[]);
+    board.apply_evidence(BEGIN + secs(5.0), 2, &[]);
     assert!(lasting(&board, "a") < at_once);
-    board.hear_evidence(BEGIN + secs(10.0), 2, &[]);
+    board.apply_evidence(BEGIN + secs(10.0), 2, &[]);
     assert_eq!(lasting(&board, "a"), 1.0);
     // What one says takes the place of what it said before, and does not add up.
     for step in 0..100 {
         let now = BEGIN + secs(20.0 + f64::from(step) * 0.25);
-        board.hear_evidence(now, 1, &[told("a", 2.0, 4.0)]);
+        board.apply_evidence(now, 1, &[told("a", 2.0, 4.0)]);
     }
     assert!(
         (1.35..1.45).contains(&lasting(&board, "a")),
@@ -489,7 +489,7 @@
     // and each of the others within as many as their number takes.
     let all: Vec<ReplicaEvidence> = (0..1000)
         .map(|number| ReplicaEvidence {
-            start: u32::MAX - number,
+            start_hash: u32::MAX - number,
             ..told("a", if number == 700 { 5.0 } else { 1.01 }, 5.0)
         })
         .collect();
@@ -503,7 +503,7 @@
         }
         let replicas = turn.take(now, all.clone());
         for evidence in &replicas {
-            *named.entry(evidence.start).or_default() += 1;
+            *named.entry(evidence.start_hash).or_default() += 1;
         }
         datagrams += if rounds == 0 { 0 } else { 99 };
         rounds += 1;
@@ -536,20 +536,23 @@
         let mut board = board(&["a", "b"]);
         let sum = PaceSum { weight, log_ratio };
         let told = ReplicaEvidence {
-            start: entry("a", 1).start_hash(),
+            start_hash: entry("a", 1).start_hash(),
             pace: PaceEvidence {
                 lasting: sum,
                 recent: sum,
             },
             pauses: PauseEvidence {
                 watched_s: weight,
-                broken: log_ratio,
+                late: log_ratio,
             },
         };
-        board.hear_evidence(secs(200.0), 1, &[told]);
+        board.apply_evidence(secs(200.0), 1, &[told]);
         let view = board.replica("a").expect("listed");
         assert_eq!(view.pace, ReplicaPace::default());
-        assert_eq!(view.seen.pauses(secs(200.0)), PauseEvidence::default());
+        assert_eq!(
+            view.observations.pauses(secs(200.0)),
+            PauseEvidence::default()
+        );
     }
 }
 
@@ -558,28 +561,28 @@
 fn pauses_at(ratio: f32) -> f64 {
     let pause_aim = Some(Duration::from_millis(300));
     let mut board = board(&["a"]);
-    board.hear_evidence(BEGIN, 1, &[told("a", ratio, 500.0)]);
+    board.apply_evidence(BEGIN, 1, &[told("a", ratio, 500.0)]);
     for number in [900, 901] {
         let shape = prompt(number);
         let sent = SentPrompt {
-            pause_aim,
+            target_pause: pause_aim,
             shape: &shape,
             engine: ENGINE,
-            aim: AIM,
-            reading: 0,
-            front_ms: 0.0,
+            target_latency: AIM,
+            prefill_tokens: 0,
+            queue_ms: 0.0,
         };
         board.start(BEGIN, &"a".into(), Some(sent));
     }
-    board.learn_run(BEGIN, &entry("a", 1), 50, Duration::from_secs(2));
+    board.record_stream(BEGIN, &entry("a", 1), 50, Duration::from_secs(2));
     let seen = PauseEvidence {
         watched_s: 20.0,
-        broken: 1.0,
+        late: 1.0,
     };
-    board.see_pauses(BEGIN, &entry("a", 1), seen);
+    board.record_pauses(BEGIN, &entry("a", 1), seen);
     let shape = prompt(1);
     let request = PlacementRequest {
-        pause_aim,
+        target_pause: pause_aim,
         ..request(&shape)
     };
     match board.choose(BEGIN, &request) {
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -14,7 +14,7 @@
             ZoneSummary,
         },
         policy::{
-            placement::{CacheNote, EngineReport, EngineTimes, Load, ReplicaReport},
+            placement::{EngineLatency, LatencyReport, Load, PartPlacement, ReplicaReport},
             shares::AccountUsage,
             suspects::{CrashReport, RequestDigest, SuspectReport},
         },
@@ -38,14 +38,14 @@
 fn figures() -> ReportBody {
     ReportBody {
         replicas: vec![ReplicaReport {
-            replica: 0xfeed_beef,
+            start_hash: 0xfeed_beef,
             load: Load {
                 running: 3,
-                reading: 4000,
-                memory: 5000,
+                prefill_tokens: 4000,
+                kv_tokens: 5000,
             },
-            placed: 1 << 40,
-            rests: true,
+            placed_tokens: 1 << 40,
+            is_ejected: true,
         }],
         accounts: vec![(
             9,
@@ -54,14 +54,14 @@
                 allocated: 0.25,
             },
         )],
-        notes: vec![CacheNote {
-            replica: 2,
+        notes: vec![PartPlacement {
+            start_hash: 2,
             part: u64::MAX,
             shared: true,
         }],
-        engines: vec![EngineReport {
-            service: 4,
-            times: EngineTimes {
+        engines: vec![LatencyReport {
+            service_hash: 4,
+            times: EngineLatency {
                 fixed_ms: 40.0,
                 token_ms: 0.03,
                 residual_ms: 12.0,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -7,7 +7,7 @@
             PeerTable, ReportBody, RouterContact, RouterReport, SentReports, ZoneSummary, ZoneTable,
         },
         policy::{
-            placement::{CacheNote, Load, ReplicaReport},
+            placement::{Load, PartPlacement, ReplicaReport},
             shares::AccountUsage,
         },
     },
@@ -31,10 +31,10 @@
         ..Load::default()
     };
     ReplicaReport {
-        replica,
+        start_hash: replica,
         load,
-        placed: 0,
-        rests: false,
+        placed_tokens: 0,
+        is_ejected: false,
     }
 }
 
@@ -84,8 +84,8 @@
 #[test]
 fn a_note_is_told_once_in_a_while() {
     let mut told = SentReports::default();
-    let note = CacheNote {
-        replica: 1,
+    let note = PartPlacement {
+        start_hash: 1,
         part: 9,
         shared: true,
     };
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,9 +4,9 @@
     archmast::{
         catalog::{UpstreamEntry, UpstreamState},
         policy::placement::{
-            Choice, EngineReport, EngineTimes, FleetSize, KeptPart, Load, PeerLoads,
+            CachedPart, Choice, EngineLatency, FleetSize, LatencyReport, Load, PeerLoads,
             PlacementRequest, PlacementSettings, PlainRun, PromptPart, PromptShape, RefusalReason,
-            ReplicaBoard, ReplicaReport, SentPrompt,
+            ReplicaReport, ReplicaTable, SentPrompt,
         },
         policy::{Reporter, ReporterScope, name_hash, shares::ShareStatus},
         routing::{AllowedRegions, EngineSpec},
@@ -41,9 +41,9 @@
 };
 
 /// What a peer has learnt of the engines: 33 tokens a millisecond.
-const KNOWN: EngineReport = EngineReport {
-    service: 0,
-    times: EngineTimes {
+const KNOWN: LatencyReport = LatencyReport {
+    service_hash: 0,
+    times: EngineLatency {
         fixed_ms: 40.0,
         token_ms: 0.03,
         residual_ms: 40.0,
@@ -69,17 +69,17 @@
 }
 
 /// A board that has learnt nothing of the engines.
-fn fresh_board(ids: &[&str]) -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn fresh_board(ids: &[&str]) -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     let entries = ids.iter().map(|id| entry(id, "z", UpstreamState::Ready));
     board.set_entries(NOW, entries.collect());
     board
 }
 
-fn board(ids: &[&str]) -> ReplicaBoard {
+fn board(ids: &[&str]) -> ReplicaTable {
     let mut board = fresh_board(ids);
-    board.hear_engines(&[EngineReport {
-        service: name_hash("model"),
+    board.apply_latency_reports(&[LatencyReport {
+        service_hash: name_hash("model"),
         ..KNOWN
     }]);
     board
@@ -110,8 +110,8 @@
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: AIM,
-        pause_aim: None,
+        target_latency: AIM,
+        target_pause: None,
         standing: ShareStatus::Within,
         tried: &[],
         regions: None,
@@ -121,7 +121,9 @@
 fn sent(choice: Choice) -> (Arc<str>, u32) {
     match choice {
         Choice::Send {
-            replica, reading, ..
+            replica,
+            prefill_tokens: reading,
+            ..
         } => (replica, reading),
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
@@ -140,7 +142,7 @@
 fn in_one_zone(routers: usize) -> FleetSize {
     FleetSize {
         in_zone: routers,
-        in_all: routers,
+        total: routers,
     }
 }
 
@@ -155,13 +157,13 @@
 /// A peer's report that every slot of a replica is taken.
 fn full_of_requests(id: &str) -> ReplicaReport {
     ReplicaReport {
-        replica: name_hash(id),
+        start_hash: name_hash(id),
         load: Load {
             running: 8,
             ..Load::default()
         },
-        placed: 0,
-        rests: false,
+        placed_tokens: 0,
+        is_ejected: false,
     }
 }
 
@@ -172,15 +174,15 @@
     SentPrompt {
         shape,
         engine: ENGINE,
-        aim: AIM,
-        pause_aim: None,
-        reading,
-        front_ms: 0.0,
+        target_latency: AIM,
+        target_pause: None,
+        prefill_tokens: reading,
+        queue_ms: 0.0,
     }
 }
 
 fn place(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     prompt: &PromptShape,
 ) -> Arc<str> {
     let (replica, reading) = sent(board.choose(NOW, &request(prompt)));
@@ -190,7 +192,7 @@
 
 /// A prompt is run to its end where the board sends it.
 fn run_whole(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     prompt: &PromptShape,
 ) -> Arc<str> {
     let (replica, reading) = sent(board.choose(NOW, &able(prompt)));
@@ -236,16 +238,16 @@
     let mut board = board(&["a", "b"]);
     let home = place(&mut board, &prompt(1, 100));
     let busy = ReplicaReport {
-        replica: name_hash(&home),
+        start_hash: name_hash(&home),
         load: Load {
             running: 3,
-            reading: 12_000,
-            memory: 12_000,
+            prefill_tokens: 12_000,
+            kv_tokens: 12_000,
         },
-        placed: 0,
-        rests: false,
+        placed_tokens: 0,
+        is_ejected: false,
     };
-    board.hear(NOW, PEER, &[busy]);
+    board.apply_reports(NOW, PEER, &[busy]);
     let (replica, _) = sent(board.choose(NOW, &request(&prompt(1, 101))));
     assert_ne!(replica, home);
     // A report that is old counts for nothing.
@@ -263,7 +265,7 @@
         }
     }
     let (reason, wait) = refused(board.choose(NOW, &request(&prompt(99, 99))));
-    assert_eq!(reason, RefusalReason::NoRoom);
+    assert_eq!(reason, RefusalReason::NoCapacity);
     assert!(wait > Duration::ZERO && wait < AIM * 2, "{wait:?}");
 }
 
@@ -273,17 +275,17 @@
 #[test]
 fn a_belief_that_was_far_off_does_not_keep_engines_idle() {
     let mut board = fresh_board(&["a"]);
-    board.hear_engines(&[EngineReport {
-        service: name_hash("model"),
-        times: EngineTimes {
+    board.apply_latency_reports(&[LatencyReport {
+        service_hash: name_hash("model"),
+        times: EngineLatency {
             residual_ms: 700.0,
             ..KNOWN.times
         },
         ..KNOWN
     }]);
-    board.hear(NOW, PEER, &[being_read("a", 100)]);
+    board.apply_reports(NOW, PEER, &[being_read("a", 100)]);
     sent(board.choose(NOW, &request(&prompt(1, 2))));
-    board.hear(NOW, PEER, &[being_read("a", 12_000)]);
+    board.apply_reports(NOW, PEER, &[being_read("a", 12_000)]);
     refused(board.choose(NOW, &request(&prompt(1, 2))));
 }
 
@@ -292,17 +294,19 @@
     tokens: u32,
 ) -> ReplicaReport {
     ReplicaReport {
-        replica: name_hash(id),
+        start_hash: name_hash(id),
         ..reading(tokens, 0, false)
     }
 }
 
 fn place_if_possible(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     prompt: &PromptShape,
 ) {
     if let Choice::Send {
-        replica, reading, ..
+        replica,
+        prefill_tokens: reading,
+        ..
     } = board.choose(NOW, &request(prompt))
     {
         board.start(NOW, &replica, Some(sent_prompt(prompt, reading)));
@@ -391,7 +395,7 @@
 
 #[test]
 fn a_leaving_or_foreign_replica_gets_nothing() {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     board.set_entries(NOW, vec![entry("a", "z", UpstreamState::Draining)]);
     let prompt = prompt(1, 2);
     let (reason, _) = refused(board.choose(NOW, &request(&prompt)));
@@ -431,7 +435,7 @@
     let prompt = prompt(1, 2);
     let (home, _) = sent(board.choose(NOW, &request(&prompt)));
     for _ in 0..3 {
-        board.failed(NOW, &entry(&home, "z", UpstreamState::Ready));
+        board.record_failure(NOW, &entry(&home, "z", UpstreamState::Ready));
     }
     assert_ne!(sent(board.choose(NOW, &request(&prompt))).0, home);
     let later = NOW + Duration::from_secs(10);
@@ -442,7 +446,7 @@
 fn a_repeat_goes_to_a_resting_replica_rather_than_nowhere() {
     let mut board = board(&["a", "b"]);
     let prompt = prompt(1, 2);
-    board.unreachable(NOW, &entry("b", "z", UpstreamState::Ready));
+    board.record_unreachable(NOW, &entry("b", "z", UpstreamState::Ready));
     let tried = ["a".into()];
     let again = PlacementRequest {
         tried: &tried,
@@ -455,7 +459,7 @@
 fn when_most_replicas_fail_none_is_left_out_for_it() {
     let mut board = board(&["a", "b", "c"]);
     for id in ["a", "b", "c"] {
-        board.unreachable(NOW, &entry(id, "z", UpstreamState::Ready));
+        board.record_unreachable(NOW, &entry(id, "z", UpstreamState::Ready));
     }
     sent(board.choose(NOW, &request(&prompt(1, 2))));
 }
@@ -465,11 +469,11 @@
     let mut board = board(&["a", "b", "c"]);
     for _ in 0..40 {
         for id in ["a", "b", "c"] {
-            board.failed(NOW, &entry(id, "z", UpstreamState::Ready));
-            board.succeeded(&entry(id, "z", UpstreamState::Ready));
+            board.record_failure(NOW, &entry(id, "z", UpstreamState::Ready));
+            board.record_success(&entry(id, "z", UpstreamState::Ready));
         }
     }
-    let awake = board.replicas().filter(|view| !view.health.rests(NOW));
+    let awake = board.replicas().filter(|view| !view.health.is_ejected(NOW));
     assert_eq!(awake.count(), 3);
 }
 
@@ -478,13 +482,13 @@
     let mut board = board(&["a", "b", "c"]);
     for turn in 0..40 {
         for id in ["a", "b", "c"] {
-            board.succeeded(&entry(id, "z", UpstreamState::Ready));
+            board.record_success(&entry(id, "z", UpstreamState::Ready));
         }
         if turn % 2 == 0 {
-            board.failed(NOW, &entry("a", "z", UpstreamState::Ready));
+            board.record_failure(NOW, &entry("a", "z", UpstreamState::Ready));
         }
     }
-    let rests = |id| board.replica(id).expect("listed").health.rests(NOW);
+    let rests = |id| board.replica(id).expect("listed").health.is_ejected(NOW);
     assert_eq!((rests("a"), rests("b"), rests("c")), (true, false, false));
 }
 
@@ -495,10 +499,10 @@
     let number = board
         .start(NOW, &"a".into(), Some(sent_prompt(&prompt, 5000)))
         .expect("listed");
-    let own = |board: &ReplicaBoard| board.replica("a").expect("listed").own;
-    assert_eq!(own(&board).reading, 5000);
+    let own = |board: &ReplicaTable| board.replica("a").expect("listed").own_load;
+    assert_eq!(own(&board).prefill_tokens, 5000);
     board.first_token(NOW + Duration::from_millis(200), number);
-    assert_eq!((own(&board).reading, own(&board).running), (0, 1));
+    assert_eq!((own(&board).prefill_tokens, own(&board).running), (0, 1));
     board.finish(number);
     board.finish(number);
     assert_eq!(own(&board), Load::default());
@@ -507,7 +511,7 @@
 #[test]
 fn how_long_engines_read_is_learnt_from_first_tokens() {
     let mut board = fresh_board(&["a"]);
-    let guess = board.engine_times("model").token_ms;
+    let guess = board.engine_latency("model").token_ms;
     let mut now = NOW;
     for own in 0..200 {
         let prompt = prompt(own, own + 1000);
@@ -519,7 +523,7 @@
         board.first_token(now, number);
         board.finish(number);
     }
-    let learnt = board.engine_times("model").token_ms;
+    let learnt = board.engine_latency("model").token_ms;
     assert!(learnt > guess * 4.0, "{learnt}");
     assert!((learnt - 0.2).abs() < 0.04, "{learnt}");
 }
@@ -556,9 +560,9 @@
         matches!(&chosen, Choice::Send { replica, fetch_from: None, .. } if &**replica == "near")
     );
     assert_ne!(&*sent(board.choose(NOW, &able(&prompt))).0, "near");
-    board.hear(NOW, PEER, &[full_of_requests("near")]);
+    board.apply_reports(NOW, PEER, &[full_of_requests("near")]);
     let (reason, _) = refused(board.choose(NOW, &bounded));
-    assert_eq!(reason, RefusalReason::NoRoom);
+    assert_eq!(reason, RefusalReason::NoCapacity);
     let west: AllowedRegions = ["west".to_owned()].into_iter().collect();
     let nowhere = PlacementRequest {
         regions: Some(&west),
@@ -581,10 +585,10 @@
         ..request(&prompt)
     };
     let busy = full_of_requests(&home);
-    board.hear(NOW, PEER, &[busy]);
+    board.apply_reports(NOW, PEER, &[busy]);
     let Choice::Send {
         replica,
-        reading,
+        prefill_tokens: reading,
         fetch_from,
         ..
     } = board.choose(NOW, &spilled)
@@ -615,7 +619,7 @@
     let full: Vec<Arc<str>> = ids[..3].iter().map(|id| (*id).into()).collect();
     for id in &full {
         let busy = full_of_requests(id);
-        board.hear(NOW, PEER, &[busy]);
+        board.apply_reports(NOW, PEER, &[busy]);
     }
     let mut sources = HashMap::new();
     for own in 0..60 {
@@ -643,19 +647,19 @@
     let names: Vec<&str> = ids.iter().map(String::as_str).collect();
     let chosen_idle = |routers: usize| {
         let mut board = board(&names);
-        board.set_reports(Duration::from_millis(200), in_one_zone(routers));
+        board.set_reporting(Duration::from_millis(200), in_one_zone(routers));
         for id in &names[1..] {
             let busy = ReplicaReport {
-                replica: name_hash(id),
+                start_hash: name_hash(id),
                 load: Load {
                     running: 2,
-                    reading: 5000,
-                    memory: 5000,
+                    prefill_tokens: 5000,
+                    kv_tokens: 5000,
                 },
-                placed: 0,
-                rests: false,
+                placed_tokens: 0,
+                is_ejected: false,
             };
-            board.hear(NOW, PEER, &[busy]);
+            board.apply_reports(NOW, PEER, &[busy]);
         }
         let prompts = (0..100).map(|own| prompt(own, 1000 + own));
         prompts
@@ -672,7 +676,7 @@
     let ids: Vec<String> = (0..38).map(|number| format!("r{number}")).collect();
     let names: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut board = board(&names);
-    board.set_reports(Duration::from_millis(100), in_one_zone(20));
+    board.set_reporting(Duration::from_millis(100), in_one_zone(20));
     let first = prompt(1, 100);
     let home = run_whole(&mut board, &first);
     let prompts = (0..100).map(|own| prompt(1, 1000 + own));
@@ -687,16 +691,16 @@
         let first = prompt(1, 100);
         let home = run_whole(&mut board, &first);
         let busy = ReplicaReport {
-            replica: name_hash(&home),
+            start_hash: name_hash(&home),
             load: Load {
                 running: 1,
-                reading: in_front,
-                memory: in_front,
+                prefill_tokens: in_front,
+                kv_tokens: in_front,
             },
-            placed: 0,
-            rests: false,
+            placed_tokens: 0,
+            is_ejected: false,
         };
-        board.hear(NOW, PEER, &[busy]);
+        board.apply_reports(NOW, PEER, &[busy]);
         sent(board.choose(NOW, &able(&prompt(1, 101)))).0 == home
     };
     assert!(stays_at_home(1000));
@@ -706,13 +710,13 @@
 #[test]
 fn a_replicas_own_word_on_what_it_keeps_is_believed_until_other_prompts_take_the_room() {
     let mut board = board(&["a", "b"]);
-    let parts: Vec<KeptPart> = (1..=20)
-        .map(|part| KeptPart { part, tokens: 4000 })
+    let parts: Vec<CachedPart> = (1..=20)
+        .map(|part| CachedPart { part, tokens: 4000 })
         .collect();
     let view = board.replica_mut("b").expect("listed");
-    view.cache.learn(&parts, ENGINE.kv_capacity_tokens);
-    view.cache.learn(
-        &[KeptPart {
+    view.cache.apply_cached_parts(&parts, ENGINE.kv_capacity_tokens);
+    view.cache.apply_cached_parts(
+        &[CachedPart {
             part: 30,
             tokens: 0,
         }],
@@ -724,7 +728,7 @@
     }
     let view = board.replica_mut("b").expect("listed");
     assert!(!view.cache.holds(30), "given up by its own word");
-    view.cache.place(ENGINE.kv_capacity_tokens);
+    view.cache.add_placed(ENGINE.kv_capacity_tokens);
     assert!(!view.cache.holds(1));
 }
 
@@ -733,21 +737,21 @@
     let mut board = board(&["a"]);
     place(&mut board, &prompt(1, 100));
     let report = |placed| ReplicaReport {
-        replica: name_hash("a"),
+        start_hash: name_hash("a"),
         load: Load::default(),
-        placed,
-        rests: false,
+        placed_tokens: placed,
+        is_ejected: false,
     };
-    let uncached = |board: &ReplicaBoard| {
+    let uncached = |board: &ReplicaTable| {
         let view = board.replica("a").expect("listed");
         view.cache.uncached(&prompt(1, 101))
     };
     // When the first report's tokens were placed is unknown: counting begins there.
-    board.hear(NOW, PEER, &[report(2_000_000)]);
+    board.apply_reports(NOW, PEER, &[report(2_000_000)]);
     assert_eq!(uncached(&board), 1000);
-    board.hear(NOW, PEER, &[report(2_050_000)]);
+    board.apply_reports(NOW, PEER, &[report(2_050_000)]);
     assert_eq!(uncached(&board), 1000);
-    board.hear(NOW, PEER, &[report(2_099_000)]);
+    board.apply_reports(NOW, PEER, &[report(2_099_000)]);
     assert_eq!(uncached(&board), 5000);
 }
 
@@ -758,8 +762,8 @@
         zone,
         engine: None,
         prompt: None,
-        aim: Duration::from_millis(30),
-        pause_aim: None,
+        target_latency: Duration::from_millis(30),
+        target_pause: None,
         standing: ShareStatus::Within,
         tried: &[],
         regions: None,
@@ -780,7 +784,7 @@
 
 /// How many plain requests each replica gets until one is refused.
 fn filled_with(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     request: &PlacementRequest,
 ) -> BTreeMap<Arc<str>, i32> {
     let mut counts = BTreeMap::new();
@@ -791,7 +795,7 @@
                 *counts.entry(replica).or_insert(0) += 1;
             }
             Choice::Refuse { reason, .. } => {
-                assert_eq!(reason, RefusalReason::NoRoom);
+                assert_eq!(reason, RefusalReason::NoCapacity);
                 return counts;
             }
         }
@@ -816,7 +820,7 @@
             };
             board.start(NOW, &replica, None);
         }
-        let running = board.replicas().map(|view| view.own.running);
+        let running = board.replicas().map(|view| view.own_load.running);
         assert_eq!(running.collect::<Vec<_>>(), [round; 4]);
     }
 }
@@ -826,7 +830,7 @@
     let mut board = board(&["a"]);
     let replica = entry("a", "z", UpstreamState::Ready);
     for _ in 0..100 {
-        board.learn_plain(&replica, run(200, 200));
+        board.record_plain_request(&replica, run(200, 200));
     }
     let counts = filled_with(&mut board, &plain("z"));
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [8]);
@@ -837,14 +841,14 @@
     let mut board = board(&["a"]);
     let replica = entry("a", "z", UpstreamState::Ready);
     for _ in 0..100 {
-        board.learn_plain(&replica, run(10, 10));
+        board.record_plain_request(&replica, run(10, 10));
     }
     for _ in 0..100 {
         let late = PlainRun {
             waited: Duration::from_millis(10),
             ..run(30, 20)
         };
-        board.learn_plain(&replica, late);
+        board.record_plain_request(&replica, late);
     }
     let counts = filled_with(&mut board, &plain("z"));
     // Half of 30 ms is what one takes now, and 10 ms go to the usual error: of 30 ms that
@@ -861,7 +865,7 @@
         waited: Duration::from_millis(10),
         ..run(120, 20)
     };
-    board.learn_plain(&replica, waiting);
+    board.record_plain_request(&replica, waiting);
     // 60 ms at both: nothing is let wait for an aim of 30 ms.
     let counts = filled_with(&mut board, &plain("z"));
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [8, 8]);
@@ -869,7 +873,7 @@
 
 #[test]
 fn plain_requests_leave_a_zone_whose_replicas_make_them_wait() {
-    let mut board = ReplicaBoard::new(PlacementSettings {
+    let mut board = ReplicaTable::new(PlacementSettings {
         plain_zone_penalty: Duration::from_millis(5),
         ..PlacementSettings::default()
     });
@@ -896,14 +900,14 @@
     rests: bool,
 ) -> ReplicaReport {
     ReplicaReport {
-        replica: 1,
+        start_hash: 1,
         load: Load {
             running: 1,
-            reading: tokens,
-            memory: tokens,
+            prefill_tokens: tokens,
+            kv_tokens: tokens,
         },
-        placed,
-        rests,
+        placed_tokens: placed,
+        is_ejected: rests,
     }
 }
 
@@ -913,34 +917,49 @@
     let at = |ms: u64| NOW + Duration::from_millis(ms);
     let mut peers = PeerLoads::default();
     // When the tokens of a first report were placed is unknown: counting begins.
-    assert_eq!(peers.hear(at(0), age, 1, 7, &reading(100, 100, false)), 0);
-    assert_eq!(peers.hear(at(500), age, 2, 7, &reading(20, 20, true)), 0);
-    assert_eq!(peers.hear(at(600), age, 2, 7, &reading(30, 50, true)), 30);
-    assert_eq!(peers.load(at(700), age).reading, 130);
-    assert!(peers.is_avoided(at(700), age));
+    assert_eq!(
+        peers.apply_report(at(0), age, 1, 7, &reading(100, 100, false)),
+        0
+    );
+    assert_eq!(
+        peers.apply_report(at(500), age, 2, 7, &reading(20, 20, true)),
+        0
+    );
+    assert_eq!(
+        peers.apply_report(at(600), age, 2, 7, &reading(30, 50, true)),
+        30
+    );
+    assert_eq!(peers.load(at(700), age).prefill_tokens, 130);
+    assert!(peers.is_ejected(at(700), age));
     // The first peer is silent: nothing is heard, or only the others are.
-    assert_eq!(peers.load(at(1200), age).reading, 30);
-    peers.hear(at(1300), age, 3, 7, &reading(5, 5, false));
-    assert_eq!(peers.load(at(1300), age).reading, 35);
+    assert_eq!(peers.load(at(1200), age).prefill_tokens, 30);
+    peers.apply_report(at(1300), age, 3, 7, &reading(5, 5, false));
+    assert_eq!(peers.load(at(1300), age).prefill_tokens, 35);
     assert_eq!(peers.load(at(1300), age).running, 2);
     // It comes back: what it had placed before is no news.
-    assert_eq!(peers.hear(at(1400), age, 1, 7, &reading(1, 101, false)), 1);
-    assert_eq!(peers.load(at(1400), age).reading, 36);
+    assert_eq!(
+        peers.apply_report(at(1400), age, 1, 7, &reading(1, 101, false)),
+        1
+    );
+    assert_eq!(peers.load(at(1400), age).prefill_tokens, 36);
     // Another process speaks for it, which counts from another beginning.
-    assert_eq!(peers.hear(at(1500), age, 1, 8, &reading(2, 9000, false)), 0);
     assert_eq!(
-        peers.hear(at(1600), age, 1, 8, &reading(2, 9010, false)),
+        peers.apply_report(at(1500), age, 1, 8, &reading(2, 9000, false)),
+        0
+    );
+    assert_eq!(
+        peers.apply_report(at(1600), age, 1, 8, &reading(2, 9010, false)),
         10
     );
     assert_eq!(peers.load(at(9000), age), Load::default());
-    assert!(!peers.is_avoided(at(9000), age));
+    assert!(!peers.is_ejected(at(9000), age));
 }
 
 #[test]
 fn reports_that_come_seldom_are_believed_for_longer() {
     let mut board = board(&["a"]);
-    board.set_reports(Duration::from_millis(100), in_one_zone(20));
-    assert_eq!(board.belief_age(), Duration::from_secs(1));
-    board.set_reports(Duration::from_millis(1500), in_one_zone(300));
-    assert!(board.belief_age() > Duration::from_secs(3));
+    board.set_reporting(Duration::from_millis(100), in_one_zone(20));
+    assert_eq!(board.max_report_age(), Duration::from_secs(1));
+    board.set_reporting(Duration::from_millis(1500), in_one_zone(300));
+    assert!(board.max_report_age() > Duration::from_secs(3));
 }
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -9,8 +9,8 @@
         policy::{
             Reporter, ReporterScope,
             placement::{
-                CacheNote, Choice, KeptPart, Load, PlacementRequest, PlacementSettings, PromptPart,
-                PromptShape, ReplicaBoard, ReplicaReport, SentPrompt,
+                CachedPart, Choice, Load, PartPlacement, PlacementRequest, PlacementSettings,
+                PromptPart, PromptShape, ReplicaReport, ReplicaTable, SentPrompt,
             },
             shares::ShareStatus,
         },
@@ -49,8 +49,8 @@
     })
 }
 
-fn board() -> ReplicaBoard {
-    let mut board = ReplicaBoard::new(PlacementSettings::default());
+fn board() -> ReplicaTable {
+    let mut board = ReplicaTable::new(PlacementSettings::default());
     board.set_entries(NOW, vec![start("i-a", 1000)]);
     board
 }
@@ -64,33 +64,36 @@
 }
 
 /// What the replica would have to read of the prompt.
-fn reading(board: &mut ReplicaBoard) -> u32 {
+fn reading(board: &mut ReplicaTable) -> u32 {
     let prompt = prompt();
     let request = PlacementRequest {
         service: "model",
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(&prompt),
-        aim: Duration::from_secs(10),
-        pause_aim: None,
+        target_latency: Duration::from_secs(10),
+        target_pause: None,
         standing: ShareStatus::Within,
         tried: &[],
         regions: None,
     };
     match board.choose(NOW, &request) {
-        Choice::Send { reading, .. } => reading,
+        Choice::Send {
+            prefill_tokens: reading,
+            ..
+        } => reading,
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
 }
 
-fn send(board: &mut ReplicaBoard) -> u64 {
+fn send(board: &mut ReplicaTable) -> u64 {
     let sent = SentPrompt {
         shape: &prompt(),
         engine: ENGINE,
-        aim: Duration::from_secs(10),
-        pause_aim: None,
-        reading: 5000,
-        front_ms: 0.0,
+        target_latency: Duration::from_secs(10),
+        target_pause: None,
+        prefill_tokens: 5000,
+        queue_ms: 0.0,
     };
     let sent = board.start(NOW, &"i-a".into(), Some(sent));
     sent.expect("a replica that is there")
@@ -112,7 +115,7 @@
     let mut board = board();
     let earlier = send(&mut board);
     board.set_entries(NOW, vec![start("i-a", 2000)]);
-    let load = |board: &ReplicaBoard| board.replica("i-a").expect("listed").own;
+    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").own_load;
     assert_eq!(load(&board), Load::default());
     send(&mut board);
     let there = load(&board);
@@ -128,15 +131,15 @@
     let mut board = board();
     let earlier = start("i-a", 1000);
     for _ in 0..8 {
-        board.failed(NOW, &earlier);
+        board.record_failure(NOW, &earlier);
     }
-    let rests = |board: &ReplicaBoard| board.replica("i-a").expect("listed").health.rests(NOW);
+    let rests = |board: &ReplicaTable| board.replica("i-a").expect("listed").health.is_ejected(NOW);
     assert!(rests(&board));
     board.set_entries(NOW, vec![start("i-a", 2000)]);
     assert!(!rests(&board));
     for _ in 0..8 {
-        board.failed(NOW, &earlier);
-        board.unreachable(NOW, &earlier);
+        board.record_failure(NOW, &earlier);
+        board.record_unreachable(NOW, &earlier);
     }
     assert!(
         !rests(&board),
@@ -148,53 +151,53 @@
 fn routers_that_hear_late_tell_of_the_earlier_start_only() {
     let age = Duration::from_secs(1);
     let report = |start: &UpstreamEntry| ReplicaReport {
-        replica: start.start_hash(),
+        start_hash: start.start_hash(),
         load: Load {
             running: 3,
             ..Load::default()
         },
-        placed: 700,
-        rests: true,
+        placed_tokens: 700,
+        is_ejected: true,
     };
-    let note = |start: &UpstreamEntry, part| CacheNote {
-        replica: start.start_hash(),
+    let note = |start: &UpstreamEntry, part| PartPlacement {
+        start_hash: start.start_hash(),
         part,
         shared: true,
     };
     let (earlier, later) = (start("i-a", 1000), start("i-a", 2000));
     let mut board = board();
-    board.hear(NOW, PEER, &[report(&earlier)]);
-    let load = |board: &ReplicaBoard| board.replica("i-a").expect("listed").load(NOW, age);
+    board.apply_reports(NOW, PEER, &[report(&earlier)]);
+    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").load(NOW, age);
     assert_eq!(load(&board).running, 3);
     board.set_entries(NOW, vec![later.clone()]);
     assert_eq!(load(&board).running, 0);
-    board.hear(NOW, PEER, &[report(&earlier)]);
+    board.apply_reports(NOW, PEER, &[report(&earlier)]);
     assert_eq!(load(&board).running, 0);
-    assert!(!board.replica("i-a").expect("listed").is_avoided(NOW, age));
-    board.hear_notes(
+    assert!(!board.replica("i-a").expect("listed").is_ejected(NOW, age));
+    board.apply_placements(
         NOW,
         ReporterScope::Router,
         &[note(&earlier, 1), note(&earlier, 2)],
     );
     assert_eq!(reading(&mut board), 5000);
-    board.hear(NOW, PEER, &[report(&later)]);
+    board.apply_reports(NOW, PEER, &[report(&later)]);
     assert_eq!(load(&board).running, 3);
     assert!(
         board
             .reports(NOW)
             .iter()
-            .all(|it| it.replica != earlier.start_hash())
+            .all(|it| it.start_hash != earlier.start_hash())
     );
 }
 
 #[test]
 fn its_own_word_on_what_it_keeps_holds_for_the_start_that_gave_it() {
     let mut board = board();
-    let kept = [(1, 4000), (2, 1000)].map(|(part, tokens)| KeptPart { part, tokens });
-    board.learn_kept(&start("i-a", 1000), &kept, MEMORY);
+    let kept = [(1, 4000), (2, 1000)].map(|(part, tokens)| CachedPart { part, tokens });
+    board.apply_cached_parts(&start("i-a", 1000), &kept, MEMORY);
     assert_eq!(reading(&mut board), 0);
     board.set_entries(NOW, vec![start("i-a", 2000)]);
-    board.learn_kept(&start("i-a", 1000), &kept, MEMORY);
+    board.apply_cached_parts(&start("i-a", 1000), &kept, MEMORY);
     assert_eq!(reading(&mut board), 5000);
 }
 
@@ -202,7 +205,7 @@
 fn a_replica_that_was_seen_to_end_keeps_nothing_whatever_the_list_says_yet() {
     let mut board = board();
     send(&mut board);
-    board.ended(NOW, &start("i-a", 1000));
+    board.record_exit(NOW, &start("i-a", 1000));
     assert_eq!(reading(&mut board), 5000);
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -10,7 +10,7 @@
         catalog::{UpstreamEntry, UpstreamState},
         policy::{
             Moment,
-            placement::{Choice, PlacementRequest, PlacementSettings, ReplicaBoard, WorkNumber},
+            placement::{Choice, InFlightId, PlacementRequest, PlacementSettings, ReplicaTable},
             shares::ShareStatus,
             slow_start::{SlowStartBounds, SlowStartLimit, ZoneRouters},
             stable_hash,
@@ -67,7 +67,7 @@
 struct Router {
     zone: &'static str,
     hash: u64,
-    board: ReplicaBoard,
+    board: ReplicaTable,
 }
 
 struct Fleet {
@@ -85,7 +85,7 @@
             (0..*count).map(|number| Router {
                 zone,
                 hash: stable_hash(&(*zone, number)),
-                board: ReplicaBoard::new(PlacementSettings::default()),
+                board: ReplicaTable::new(PlacementSettings::default()),
             })
         });
         let mut fleet = Self {
@@ -128,15 +128,15 @@
         &mut self,
         now: Moment,
         index: usize,
-    ) -> Option<(Arc<str>, WorkNumber)> {
+    ) -> Option<(Arc<str>, InFlightId)> {
         let router = &mut self.routers[index];
         let request = PlacementRequest {
             service: SERVICE,
             zone: router.zone,
             engine: None,
             prompt: None,
-            aim: Duration::from_millis(600),
-            pause_aim: None,
+            target_latency: Duration::from_millis(600),
+            target_pause: None,
             standing: ShareStatus::Within,
             tried: &[],
             regions: None,
@@ -155,7 +155,7 @@
         index: usize,
     ) {
         if let Some((replica, number)) = self.ask(now, index) {
-            if self.routers[index].board.still_bears(now, number) {
+            if self.routers[index].board.may_still_start(now, number) {
                 self.got.entry(replica).or_default().push(now);
             }
             self.routers[index].board.finish(number);
@@ -308,7 +308,7 @@
     let late = START + Duration::from_millis(2999);
     let left = waiting
         .iter()
-        .filter(|(index, number)| fleet.routers[*index].board.still_bears(late, *number));
+        .filter(|(index, number)| fleet.routers[*index].board.may_still_start(late, *number));
     assert!(left.count() as f64 <= PER_SECOND);
 }
 
@@ -321,9 +321,9 @@
     }
     let (_, number) = fleet.ask(START, 0).expect("a replica");
     let board = &mut fleet.routers[0].board;
-    assert!(board.still_bears(START, number));
+    assert!(board.may_still_start(START, number));
     board.set_entries(START, vec![entry("i-0", "z", SLOW_FOR)]);
-    assert!(!board.still_bears(START, number));
+    assert!(!board.may_still_start(START, number));
 }
 
 #[test]
@@ -332,7 +332,7 @@
     let entry = entry("i-0", "z", Duration::ZERO);
     let board = &mut fleet.routers[0].board;
     board.set_entries(START, vec![entry.clone()]);
-    board.ended(START, &entry);
+    board.record_exit(START, &entry);
     fleet.play(START, SLOW_FOR, |_, _| true);
     assert!(fleet.most() as f64 <= PER_SECOND, "{}", fleet.most());
     assert!(fleet.all() > 0);
@@ -348,8 +348,8 @@
         zone: "z",
         engine: None,
         prompt: None,
-        aim: Duration::from_millis(600),
-        pause_aim: None,
+        target_latency: Duration::from_millis(600),
+        target_pause: None,
         standing: ShareStatus::Within,
         tried: &[],
         regions: None,
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -11,9 +11,9 @@
         policy::{
             Moment,
             placement::{
-                Choice, PaceEvidence, PauseEvidence, PauseWatch, PlacementRequest,
-                PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaBoard,
-                ReplicaEvidence, SentPrompt, WorkNumber,
+                Choice, InFlightId, PaceEvidence, PauseEvidence, PauseWatch, PlacementRequest,
+                PlacementSettings, PromptPart, PromptShape, RefusalReason, ReplicaEvidence,
+                ReplicaTable, SentPrompt,
             },
             shares::ShareStatus,
         },
@@ -102,7 +102,7 @@
 
 struct Stream {
     kind: usize,
-    number: WorkNumber,
+    number: InFlightId,
     sent: Moment,
     begun: Moment,
     watch: Option<PauseWatch>,
@@ -120,7 +120,7 @@
 }
 
 struct World {
-    board: ReplicaBoard,
+    board: ReplicaTable,
     replicas: Vec<Replica>,
     kinds: Vec<Kind>,
     due: Vec<f64>,
@@ -136,7 +136,7 @@
         kinds: &[Kind],
         pause_aim: Option<Duration>,
     ) -> Self {
-        let mut board = ReplicaBoard::new(PlacementSettings::default());
+        let mut board = ReplicaTable::new(PlacementSettings::default());
         let entries = (0..speeds.len()).map(|index| entry(index, None));
         board.set_entries(START, entries.collect());
         let seen = Seen {
@@ -205,8 +205,8 @@
         let request = request(&shape, self.pause_aim);
         let Choice::Send {
             replica,
-            reading,
-            front_ms,
+            prefill_tokens: reading,
+            queue_ms: front_ms,
             ..
         } = self.board.choose(self.now, &request)
         else {
@@ -215,10 +215,10 @@
         let sent = SentPrompt {
             shape: &shape,
             engine: ENGINE,
-            aim,
-            pause_aim: self.pause_aim,
-            reading,
-            front_ms,
+            target_latency: aim,
+            target_pause: self.pause_aim,
+            prefill_tokens: reading,
+            queue_ms: front_ms,
         };
         let number = self.board.start(self.now, &replica, Some(sent));
         let index: usize = replica.parse().expect("an index");
@@ -279,10 +279,11 @@
             let waited = self.now - stream.since;
             if stream.part < 1.0 {
                 let watch = stream.watch.as_mut();
-                let open = watch.filter(|watch| watch.aim().is_some_and(|aim| waited > aim));
+                let open =
+                    watch.filter(|watch| watch.target_pause().is_some_and(|aim| waited > aim));
                 if let Some(watch) = open {
-                    let seen = watch.breaks(self.now);
-                    self.board.see_pauses(self.now, &entry, seen);
+                    let seen = watch.record_overrun(self.now);
+                    self.board.record_pauses(self.now, &entry, seen);
                 }
                 continue;
             }
@@ -291,8 +292,8 @@
             stream.since = self.now;
             stream.late |= waited > PAUSE_AIM;
             let watch = stream.watch.as_mut();
-            if let Some(seen) = watch.and_then(|watch| watch.event(self.now, waited)) {
-                self.board.see_pauses(self.now, &entry, seen);
+            if let Some(seen) = watch.and_then(|watch| watch.record_event(self.now, waited)) {
+                self.board.record_pauses(self.now, &entry, seen);
             }
             if stream.left == 0 {
                 ended.push(place);
@@ -303,7 +304,7 @@
             let tokens = self.kinds[stream.kind].events * STEPS as u32;
             self.board.finish(stream.number);
             self.board
-                .learn_run(self.now, &entry, tokens, self.now - stream.begun);
+                .record_stream(self.now, &entry, tokens, self.now - stream.begun);
             self.seen[stream.kind].ended += 1;
             self.seen[stream.kind].late += u32::from(stream.late);
         }
@@ -336,8 +337,8 @@
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        aim: CHAT.aim,
-        pause_aim,
+        target_latency: CHAT.aim,
+        target_pause: pause_aim,
         standing: ShareStatus::Within,
         tried: &[],
     }
@@ -448,14 +449,17 @@
     watched_s: f32,
     broken: f32,
 ) -> PauseEvidence {
-    PauseEvidence { watched_s, broken }
+    PauseEvidence {
+        watched_s,
+        late: broken,
+    }
 }
 
 /// Two replicas that have run streams, and the one to which a prompt goes that is alone.
-fn idle_board() -> (ReplicaBoard, PromptShape, usize) {
+fn idle_board() -> (ReplicaTable, PromptShape, usize) {
     let world = World::new(&[1.0, 1.0], &[CHAT], Some(PAUSE_AIM));
     let mut board = world.board;
-    board.learn_run(START, &entry(0, None), 170, Duration::from_secs(2));
+    board.record_stream(START, &entry(0, None), 170, Duration::from_secs(2));
     let shape = PromptShape {
         parts: vec![PromptPart { id: 7, tokens: 500 }],
         output_tokens: 170,
@@ -465,11 +469,11 @@
 }
 
 fn chosen(
-    board: &mut ReplicaBoard,
+    board: &mut ReplicaTable,
     now: Moment,
     shape: &PromptShape,
 ) -> usize {
-    board.refresh_beliefs(now);
+    board.refresh_estimates(now);
     match board.choose(now, &request(shape, Some(PAUSE_AIM))) {
         Choice::Send { replica, .. } => replica.parse().expect("an index"),
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
@@ -480,7 +484,7 @@
 #[test]
 fn a_replica_where_streams_paused_is_used_again_later() {
     let (mut board, shape, home) = idle_board();
-    board.see_pauses(START, &entry(home, None), pauses(20.0, 15.0));
+    board.record_pauses(START, &entry(home, None), pauses(20.0, 15.0));
     assert_ne!(chosen(&mut board, START, &shape), home);
     let later = START + Duration::from_secs(60);
     assert_eq!(chosen(&mut board, later, &shape), home);
@@ -492,21 +496,21 @@
 fn what_fellows_told_ends_with_them_and_with_the_start() {
     let (mut board, shape, home) = idle_board();
     let told = ReplicaEvidence {
-        start: entry(home, None).start_hash(),
+        start_hash: entry(home, None).start_hash(),
         pace: PaceEvidence::default(),
         pauses: pauses(20.0, 15.0),
     };
-    board.hear_evidence(START, 1, &[told]);
+    board.apply_evidence(START, 1, &[told]);
     let soon = START + Duration::from_millis(100);
     assert_ne!(chosen(&mut board, soon, &shape), home);
     let later = START + Duration::from_secs(4);
     assert_eq!(chosen(&mut board, later, &shape), home);
 
-    board.hear_evidence(later, 1, &[told]);
-    board.see_pauses(later, &entry(home, None), pauses(20.0, 15.0));
+    board.apply_evidence(later, 1, &[told]);
+    board.record_pauses(later, &entry(home, None), pauses(20.0, 15.0));
     let other = 1 - home;
     board.set_entries(later, vec![entry(home, Some(2)), entry(other, None)]);
-    board.hear_evidence(later, 1, &[told]);
+    board.apply_evidence(later, 1, &[told]);
     assert_eq!(chosen(&mut board, later, &shape), home);
 }
 
@@ -516,15 +520,15 @@
 fn a_stream_breaks_once_and_at_once() {
     let mut watch = PauseWatch::new(START, PAUSE_AIM);
     let ms = Duration::from_millis;
-    assert_eq!(watch.event(START + ms(100), ms(100)), None);
-    let seen = watch.breaks(START + ms(400));
+    assert_eq!(watch.record_event(START + ms(100), ms(100)), None);
+    let seen = watch.record_overrun(START + ms(400));
     assert_eq!(seen, pauses(0.4, 1.0));
-    assert_eq!(watch.event(START + ms(900), ms(800)), None);
+    assert_eq!(watch.record_event(START + ms(900), ms(800)), None);
     assert_eq!(watch.end(START + ms(950)), None);
     // One that stays in time hands in what was watched now and then.
     let mut watch = PauseWatch::new(START, PAUSE_AIM);
-    assert_eq!(watch.event(START + ms(250), ms(250)), None);
-    let seen = watch.event(START + ms(500), ms(250));
+    assert_eq!(watch.record_event(START + ms(250), ms(250)), None);
+    let seen = watch.record_event(START + ms(500), ms(250));
     assert_eq!(seen, Some(pauses(0.5, 0.0)));
     assert_eq!(watch.end(START + ms(600)), None);
 }
@@ -545,7 +549,7 @@
         let broken = pauses(20.0, 15.0);
         world
             .board
-            .see_pauses(world.now, &entry(index, None), broken);
+            .record_pauses(world.now, &entry(index, None), broken);
     }
     let long = PromptShape {
         parts: vec![PromptPart {
@@ -556,7 +560,7 @@
     };
     let standing = |standing| PlacementRequest {
         standing,
-        aim: Duration::from_secs(20),
+        target_latency: Duration::from_secs(20),
         ..request(&long, Some(PAUSE_AIM))
     };
     let over = ShareStatus::Over {
