--- a/src/peers/cache_events_message.rs
+++ b/src/peers/cache_events_message.rs
@@ -9,7 +9,7 @@
 /// only the evictions of prompt parts that several prompts share.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CacheEventsMessage {
-    pub zone: u32,                      // hash of the zone's name
-    pub reporter: SocketAddr,           // the router that read the events
+    pub zone: u32,                             // hash of the zone's name
+    pub reporter: SocketAddr,                  // the router that read the events
     pub replicas: Vec<(u32, CacheEventBatch)>, // by `UpstreamEntry::start_hash`
 }
--- a/src/peers/sent_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -23,7 +23,7 @@
 pub struct SentReports {
     replicas: HashMap<u32, (Moment, ReplicaReport)>, // when and what, by replica
     accounts: HashMap<u32, (Moment, AccountUsage)>,  // when and what, by account
-    notes: HashMap<PartPlacement, Moment>,               // when each was sent
+    notes: HashMap<PartPlacement, Moment>,           // when each was sent
     engines: Option<Moment>,                         // when they were sent
 }
 
--- a/src/policy/direct/placement/choosing/prefill_plan.rs
+++ b/src/policy/direct/placement/choosing/prefill_plan.rs
@@ -126,7 +126,8 @@
     engine: EngineSpec,
     tokens: u32,
 ) -> Option<f64> {
-    let can_fetch = engine.can_transfer_kv && engine.kv_bytes_per_token > 0.0 && engine.link_mbps > 0.0;
+    let can_fetch =
+        engine.can_transfer_kv && engine.kv_bytes_per_token > 0.0 && engine.link_mbps > 0.0;
     let bits = f64::from(tokens) * engine.kv_bytes_per_token * 8.0;
     can_fetch.then(|| FETCH_SETUP_MS + bits / engine.link_mbps / 1000.0)
 }
--- a/src/policy/direct/placement/replica_table/outcomes.rs
+++ b/src/policy/direct/placement/replica_table/outcomes.rs
@@ -120,7 +120,8 @@
         if let Some(view) = self.same_start(replica) {
             view.cache = PrefixCache::default();
             if let Some(limit) = limit {
-                view.slow_start.assume_restarted(now, limit.duration + MAX_ABSENCE);
+                view.slow_start
+                    .assume_restarted(now, limit.duration + MAX_ABSENCE);
             }
         }
     }
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -122,14 +122,16 @@
             match self.replicas.get_mut(&entry.id) {
                 Some(view) if view.entry.is_same_start(entry) => {
                     if !Arc::ptr_eq(&view.entry, entry) {
-                        view.slow_start.set_remaining(now, entry.slow_start_remaining);
+                        view.slow_start
+                            .set_remaining(now, entry.slow_start_remaining);
                     }
                     view.entry = entry.clone();
                 }
                 known => {
                     restarted.extend(known.map(|_| entry.id.clone()));
                     let mut view = ReplicaView::new(entry.clone());
-                    view.slow_start.set_remaining(now, entry.slow_start_remaining);
+                    view.slow_start
+                        .set_remaining(now, entry.slow_start_remaining);
                     self.replicas.insert(entry.id.clone(), view);
                 }
             }
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -24,18 +24,18 @@
     pub own_load: Load,  // in-flight load of this router
     pub health: ReplicaHealth,
     pub cache: PrefixCache,
-    pub placed_tokens: u64,                // tokens that this router has sent there
-    pub zone_placed_tokens: u64,        // tokens that all routers of the zone have sent there
-    pub last_answer: Moment,              // of the last answer to this router
-    pub plain: PlainTimes,          // of requests without a prompt
-    pub observations: ReplicaObservations,             // observed pace and pauses
-    pub pace: ReplicaPace,          // as of the last refresh of the estimates
-    pub logged_pace: f64,           // lasting pace as of the last log line
-    pub pauses: PauseRecord,        // observed by this router
-    pub pause_estimate: PauseEstimate,    // as of the last refresh of the estimates
+    pub placed_tokens: u64,      // tokens that this router has sent there
+    pub zone_placed_tokens: u64, // tokens that all routers of the zone have sent there
+    pub last_answer: Moment,     // of the last answer to this router
+    pub plain: PlainTimes,       // of requests without a prompt
+    pub observations: ReplicaObservations, // observed pace and pauses
+    pub pace: ReplicaPace,       // as of the last refresh of the estimates
+    pub logged_pace: f64,        // lasting pace as of the last log line
+    pub pauses: PauseRecord,     // observed by this router
+    pub pause_estimate: PauseEstimate, // as of the last refresh of the estimates
     pub slow_start: SlowStartState, // slow-start limit on requests of this router
-    routers: PeerLoads,             // of the other routers of the zone
-    zones: PeerLoads,               // of the other zones, one report for each
+    routers: PeerLoads,          // of the other routers of the zone
+    zones: PeerLoads,            // of the other zones, one report for each
 }
 
 impl ReplicaView {
--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -36,9 +36,7 @@
         if peer.role() == HostRole::Sidecar {
             let mut sidecars = self.sidecars.lock().expect("sidecar lock");
             match sidecars.get_mut(&peer.host) {
-                Some(view) if sighting == PeerObservation::Same => {
-                    view.reconnect(peer.leaving)
-                }
+                Some(view) if sighting == PeerObservation::Same => view.reconnect(peer.leaving),
                 _ => {
                     sidecars.insert(peer.host.clone(), SidecarView::new(peer.leaving));
                 }
--- a/src/router/router.rs
+++ b/src/router/router.rs
@@ -156,7 +156,10 @@
 
     /// Takes one retry from the retry budget. False if none is left.
     pub fn take_retry(&self) -> bool {
-        self.retry_budget.lock().expect("retry budget lock").try_take_retry()
+        self.retry_budget
+            .lock()
+            .expect("retry budget lock")
+            .try_take_retry()
     }
 
     /// Queues a request and waits until it is granted or shed. `None` if the router stops
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -714,7 +714,8 @@
         .map(|part| CachedPart { part, tokens: 4000 })
         .collect();
     let view = board.replica_mut("b").expect("listed");
-    view.cache.apply_cached_parts(&parts, ENGINE.kv_capacity_tokens);
+    view.cache
+        .apply_cached_parts(&parts, ENGINE.kv_capacity_tokens);
     view.cache.apply_cached_parts(
         &[CachedPart {
             part: 30,
