--- a/src/catalog/lapse_grace.rs
+++ b/src/catalog/lapse_grace.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records that an entry reappeared, or was removed for another reason.
-    pub fn forget(
+    pub fn remove(
         &mut self,
         id: &str,
     ) {
--- a/src/catalog/upstream_entry.rs
+++ b/src/catalog/upstream_entry.rs
@@ -19,8 +19,9 @@
 }
 
 impl UpstreamEntry {
-    /// A hash of the id and the start time, which identifies this incarnation of the replica
-    /// in messages between routers. Messages about an earlier incarnation do not match it.
+    /// A hash of the id and the start time, which identifies this incarnation (start of the
+    /// process) of the replica in messages between routers. Messages about an earlier
+    /// incarnation do not match it.
     pub fn start_hash(&self) -> u32 {
         match self.started_unix_ms {
             None => short_name(&self.id),
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -230,7 +230,7 @@
             );
             return false;
         }
-        self.lapses.forget(&record.id);
+        self.lapses.remove(&record.id);
         if !is_same {
             log::info!(
                 upstream = record.id.as_str(), revision = record.revision, from = &**from;
--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -44,7 +44,7 @@
         self.send_event_batches(events, addresses).await;
         if !shared_evictions.is_empty() {
             for zone in self.gateway.peers.other_zones() {
-                let contacts = self.contacts(now, zone);
+                let contacts = self.zone_contacts(now, zone);
                 self.send_event_batches(shared_evictions.clone(), &contacts)
                     .await;
             }
--- a/src/peers/discovery.rs
+++ b/src/peers/discovery.rs
@@ -9,7 +9,7 @@
 /// has reported.
 const STARTUP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long after the start of the process a router without peers in its zone keeps to
+/// How long after the start of the process a router without peers in its zone uses
 /// [`STARTUP_INTERVAL`].
 const STARTUP_TIME: Duration = Duration::from_secs(5);
 
--- a/src/peers/router_report.rs
+++ b/src/peers/router_report.rs
@@ -14,10 +14,10 @@
     pub caller_address: SocketAddr, // address for caller connections
     pub zone: u32,           // hash of the zone's name
     pub incarnation: u64,    // start time of the process in Unix milliseconds
-    pub sequence: u64,
-    pub is_leaving: bool,           // shutting down
-    pub busy_percent: u8,           // of the time, in which its processor had work
-    pub millicores: u16,            // processor capacity, in thousandths of a core
+    pub sequence: u64,       // increases with every report and summary of the process
+    pub is_leaving: bool,    // shutting down
+    pub busy_percent: u8,    // of the time, in which its processor had work
+    pub millicores: u16,     // processor capacity, in thousandths of a core
     pub is_store_unavailable: bool, // its recent reads of the store failed
     pub version: CatalogVersion,
     pub body: ReportBody,
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -79,9 +79,9 @@
         interval: Duration,
     ) {
         let now = self.gateway.now();
-        let forget = self.gateway.settings().peer_forget;
+        let removal_age = self.gateway.settings().peer_forget;
         let fleet = FleetSize {
-            in_zone: self.gateway.peers.live_count(now, forget) + 1,
+            in_zone: self.gateway.peers.live_count(now, removal_age) + 1,
             in_all: self.gateway.router_count(),
         };
         let routers = self.zone_routers(now);
@@ -165,7 +165,7 @@
                 let body = self.due(now, sent, all.clone());
                 self.send_summary(now, *zone, body).await;
                 if !suspects.is_empty() {
-                    let contacts = self.contacts(now, *zone);
+                    let contacts = self.zone_contacts(now, *zone);
                     self.send_suspect_reports(suspects.clone(), &contacts).await;
                 }
             }
@@ -182,7 +182,7 @@
     ) {
         let gateway = &self.gateway;
         let own = gateway.peers.own();
-        let contacts = self.contacts(now, zone);
+        let contacts = self.zone_contacts(now, zone);
         let live = gateway.peers.live_addresses(now, PEER_SILENCE_LIMIT);
         for body in body.cut() {
             let sequence = self.next_sequence();
@@ -204,7 +204,7 @@
 
     /// Where messages for another zone go: to its representative, or to a few random known
     /// routers of it while the representative is unknown.
-    pub(super) fn contacts(
+    pub(super) fn zone_contacts(
         &self,
         now: Moment,
         zone: u32,
--- a/src/peers/zone_summary.rs
+++ b/src/peers/zone_summary.rs
@@ -13,8 +13,8 @@
     pub representative: SocketAddr, // its author; also receives the summaries for its zone
     pub update_address: SocketAddr, // QUIC address that serves the author's catalog
     pub incarnation: u64,           // start time of the author's process in Unix milliseconds
-    pub sequence: u64,
-    pub routers: u32, // live ones in the zone
+    pub sequence: u64,              // increases with every report and summary of the process
+    pub routers: u32,               // live ones in the zone
     pub version: CatalogVersion,
     pub body: ReportBody,
     pub members: Vec<SocketAddr>, // some live routers of the zone
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -87,7 +87,7 @@
         part: part_id(&id),
         is_kept: sign == "+" && tokens > 0,
     });
-    let mut news = KeptNews {
+    let mut batch = KeptNews {
         epoch: short_name(&json.epoch.to_string()),
         from: from.max(1),
         next: json.next_token.saturating_add(1),
@@ -95,9 +95,9 @@
         is_again: false,
         events: events.collect(),
     };
-    news.events.sort_by_key(|event| event.number);
-    news.has_gap = is_lost || news.lacks_numbers();
-    Ok(news)
+    batch.events.sort_by_key(|event| event.number);
+    batch.has_gap = is_lost || batch.lacks_numbers();
+    Ok(batch)
 }
 
 fn parse<T: DeserializeOwned>(text: &[u8]) -> Result<T, Fault> {
