--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -47,7 +47,7 @@
 /// from the store or from peers. Older versions are ignored.
 pub struct Catalog {
     parse_config: ParseConfig,
-    state: Mutex<State>, // no other lock is taken while it is held
+    state: Mutex<State>, // no other mutex is locked while it is held
     changed: watch::Sender<CatalogVersion>,
 }
 
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -37,10 +37,10 @@
     pub(super) update_address: SocketAddr, // where the endpoint listens
     pub(super) socket: UdpSocket,
     pub(super) incarnation: u64, // start time of the process in Unix milliseconds
-    pub(super) sent: Mutex<SentState>, // no other lock is taken while it is held
+    pub(super) sent: Mutex<SentState>, // no other mutex is locked while it is held
     pub(super) newer_version: Notify, // a peer announced a newer catalog
     sequence: AtomicU64,
-    /// The source of the last catalog update. No other lock is taken while this is held.
+    /// The source of the last catalog update. No other mutex is locked while this is held.
     update_source: Mutex<Option<(SocketAddr, Connection)>>,
 }
 
--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -16,7 +16,7 @@
 /// known by their reports, some of other zones only by address and zone.
 pub struct PeerTable {
     own: RouterContact,
-    peers: Mutex<BTreeMap<SocketAddr, PeerEntry>>, // no other lock is taken while it is held
+    peers: Mutex<BTreeMap<SocketAddr, PeerEntry>>, // no other mutex is locked while it is held
 }
 
 impl PeerTable {
--- a/src/peers/router_report.rs
+++ b/src/peers/router_report.rs
@@ -6,7 +6,7 @@
 };
 
 /// Datagram with the state of one router, to the other routers of its availability zone. The
-/// figures of one report may be split over several datagrams.
+/// body of one report may be split over several datagrams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouterReport {
     pub address: SocketAddr, // where it receives datagrams of other routers
--- a/src/peers/zone_table.rs
+++ b/src/peers/zone_table.rs
@@ -12,7 +12,7 @@
 /// State of the other availability zones, by the hash of the zone's name.
 #[derive(Debug, Default)]
 pub struct ZoneTable {
-    zones: Mutex<BTreeMap<u32, ZoneEntry>>, // no other lock is taken while it is held
+    zones: Mutex<BTreeMap<u32, ZoneEntry>>, // no other mutex is locked while it is held
 }
 
 /// State of one zone, from its last summary.
