--- a/src/routing/routing_table.rs
+++ b/src/routing/routing_table.rs
@@ -84,13 +84,13 @@
         self.services.values()
     }
 
-    /// The name of the account whose `short_name` hash is `short`.
+    /// The name of the account whose name has this `name_hash`.
     pub fn account_by_hash(
         &self,
-        short: u32,
+        hash: u32,
     ) -> Option<&Arc<str>> {
         let mut names = self.accounts.values();
-        names.find(|name| short_name(name) == short)
+        names.find(|name| short_name(name) == hash)
     }
 
     /// The name of the account with this API key.
