--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -92,8 +92,7 @@
 }
 
 /// Makes one call to the store and applies its answer. Watches from the revision `reached`, or
-/// lists all items if that is none. Returns `reached` for the
-/// next call.
+/// lists all items if that is none. Returns `reached` for the next call.
 async fn call_store<S: CatalogSource>(
     catalog: &Catalog,
     source: &S,
