--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -87,7 +87,7 @@
         part: part_id(&id),
         is_cached: sign == "+" && tokens > 0,
     });
-    let mut news = CacheEventBatch {
+    let mut batch = CacheEventBatch {
         epoch: name_hash(&json.epoch.to_string()),
         from: from.max(1),
         next: json.next_token.saturating_add(1),
@@ -95,9 +95,9 @@
         is_snapshot: false,
         events: events.collect(),
     };
-    news.events.sort_by_key(|event| event.number);
-    news.has_gap = is_lost || news.has_missing_numbers();
-    Ok(news)
+    batch.events.sort_by_key(|event| event.number);
+    batch.has_gap = is_lost || batch.has_missing_numbers();
+    Ok(batch)
 }
 
 fn parse<T: DeserializeOwned>(text: &[u8]) -> Result<T, Fault> {
