--- a/src/policy/direct/placement/cache_events/cache_event_tracker.rs
+++ b/src/policy/direct/placement/cache_events/cache_event_tracker.rs
@@ -8,12 +8,12 @@
 /// request is still under way or queued. It is applied only after this time.
 const EVICTION_DELAY: Duration = Duration::from_secs(1);
 
-/// A replica without a batch for this long has no reader. It covers a few polls, each of which
-/// takes at most a second.
-const READER_TIMEOUT: Duration = Duration::from_secs(4);
+/// A replica without a batch for this long is followed by no router. It covers a few polls, each
+/// of which takes at most a second.
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Interval at which batches without changes are forwarded, to show that the replica has a
-/// reader.
+/// Interval at which batches without changes are forwarded, to show that the replica is
+/// followed.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Maximum number of recently sent parts that are remembered.
@@ -29,7 +29,7 @@
 /// Tracks the position in a replica's cache events, and evictions that are not applied yet.
 #[derive(Debug, Clone, Default)]
 pub struct CacheEventTracker {
-    follow: CacheCursor,
+    cursor: CacheCursor,
     last_batch: Option<Moment>, // when it was received
     sent: VecDeque<SentPart>,   // recently, the oldest first
     pending_evictions: VecDeque<SentPart>,
@@ -62,28 +62,28 @@
 
 impl CacheEventTracker {
     /// Position of the next event to read.
-    pub fn follow(&self) -> CacheCursor {
-        self.follow
+    pub fn cursor(&self) -> CacheCursor {
+        self.cursor
     }
 
-    /// Whether some router reads the replica's events.
+    /// Whether some router follows the replica's events.
     pub fn is_followed(
         &self,
         now: Moment,
     ) -> bool {
         let last_batch = self.last_batch;
-        last_batch.is_some_and(|at| now.saturating_sub(at) <= READER_TIMEOUT)
+        last_batch.is_some_and(|at| now.saturating_sub(at) <= FOLLOW_TIMEOUT)
     }
 
     /// Advances the position past a batch and returns its unknown events. Batches overlap
-    /// while two routers read the same replica.
+    /// while two routers follow the same replica.
     pub fn advance(
         &mut self,
         now: Moment,
         batch: &CacheEventBatch,
     ) -> UnseenEvents {
         self.last_batch = Some(now);
-        let known = self.follow;
+        let known = self.cursor;
         let is_same_epoch = known.epoch == Some(batch.epoch);
         let next = if is_same_epoch {
             known.next
@@ -105,7 +105,7 @@
             has_gap: batch.has_gap || batch.from > next || is_beyond_end,
             events: events.copied().collect(),
         };
-        self.follow = CacheCursor {
+        self.cursor = CacheCursor {
             epoch: Some(batch.epoch),
             next: if is_beyond_end {
                 batch.next
--- a/src/policy/direct/placement/choosing/plain_queue.rs
+++ b/src/policy/direct/placement/choosing/plain_queue.rs
@@ -10,15 +10,15 @@
 }
 
 impl PlainQueue {
-    /// The queue of a replica with `in_flight` requests running or waiting. `usual_ms` is the mean
+    /// The queue of a replica with `in_flight` requests running or waiting. `mean_ms` is the mean
     /// run time at the service's other replicas, for one without samples.
     pub fn new(
         view: &ReplicaView,
         in_flight: u32,
-        usual_ms: f64,
+        mean_ms: f64,
     ) -> Self {
         let work_ms = match view.plain.samples {
-            0 => usual_ms,
+            0 => mean_ms,
             _ => view.plain.work_ms,
         };
         let slots = view.entry.slots.max(1);
--- a/src/policy/direct/placement/engines/replica_evidence.rs
+++ b/src/policy/direct/placement/engines/replica_evidence.rs
@@ -7,7 +7,7 @@
 /// routers of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaEvidence {
-    pub start_hash: u32, // hash of the start
+    pub start_hash: u32, // hash of the replica's id and start time
     pub pace: PaceEvidence,
     pub pauses: PauseEvidence,
 }
--- a/src/policy/direct/placement/loads/in_flight_request.rs
+++ b/src/policy/direct/placement/loads/in_flight_request.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone)]
 pub struct InFlightRequest {
     pub replica: Arc<str>,
-    pub start_hash: u32, // hash of the replica's start
+    pub start_hash: u32, // hash of the replica's id and start time
     pub sent: Moment,
     pub is_counted: bool,    // against the slow-start limit of the replica
     pub load: Load,          // its current part of the router's load there
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -94,11 +94,11 @@
     }
 
     /// Position of the next event of the replica to read.
-    pub fn follow(&self) -> CacheCursor {
-        self.events.follow()
+    pub fn cursor(&self) -> CacheCursor {
+        self.events.cursor()
     }
 
-    /// Whether some router reads the replica's events.
+    /// Whether some router follows the replica's events.
     pub fn is_followed(
         &self,
         now: Moment,
@@ -122,18 +122,18 @@
         &self,
         is_selected: impl Fn(u64) -> bool,
     ) -> Option<CacheEventBatch> {
-        let follow = self.events.follow();
+        let cursor = self.events.cursor();
         let parts = self.last_used.keys().copied();
         let parts = parts.filter(|part| is_selected(*part) && self.holds(*part));
         let events = parts.take(MAX_SNAPSHOT_PARTS).map(|part| CacheEvent {
-            number: follow.next.saturating_sub(1),
+            number: cursor.next.saturating_sub(1),
             part,
             is_cached: true,
         });
         Some(CacheEventBatch {
-            epoch: follow.epoch?,
-            from: follow.next,
-            next: follow.next,
+            epoch: cursor.epoch?,
+            from: cursor.next,
+            next: cursor.next,
             has_gap: false,
             is_snapshot: true,
             events: events.collect(),
--- a/src/policy/direct/placement/replica_table/cache_events.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -1,4 +1,4 @@
-//! Prompt-cache events of replicas: which router reads them, and their exchange among routers.
+//! Prompt-cache events of replicas: which router follows them, and their exchange among routers.
 
 use {
     super::ReplicaTable,
@@ -16,9 +16,9 @@
 const MAX_QUEUED_BATCHES: usize = 400;
 
 impl ReplicaTable {
-    /// Whether this router is to read the cache events of a replica of its zone. One live router
+    /// Whether this router is to follow the cache events of a replica of its zone. One live router
     /// of the zone is selected by hash. Replicas that are leaving, in backoff, ejected or in a
-    /// cordoned zone are not read.
+    /// cordoned zone are not followed.
     pub fn should_follow_cache(
         &self,
         now: Moment,
@@ -46,7 +46,7 @@
         view.is_some_and(|view| view.cache.is_followed(now))
     }
 
-    /// Queues snapshots of the cached parts of the zone's replicas that this router reads, for
+    /// Queues snapshots of the cached parts of the zone's replicas that this router follows, for
     /// a router of the zone that has just started.
     pub fn resend_cached_parts(
         &mut self,
@@ -74,7 +74,7 @@
     ) -> CacheCursor {
         let view = self.replicas.get(&entry.id);
         let view = view.filter(|view| view.entry.is_same_start(entry));
-        view.map_or_else(CacheCursor::default, |view| view.cache.follow())
+        view.map_or_else(CacheCursor::default, |view| view.cache.cursor())
     }
 
     /// Applies cache events that this router read from a replica, and queues them for other
--- a/src/policy/direct/placement/replica_table/estimates.rs
+++ b/src/policy/direct/placement/replica_table/estimates.rs
@@ -14,7 +14,7 @@
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Minimum interval for each replica, many times the computing time of its refresh.
-const REFRESH_INTERVAL_PER_REPLICA: Duration = Duration::from_micros(100);
+const INTERVAL_PER_REPLICA: Duration = Duration::from_micros(100);
 
 impl ReplicaTable {
     /// Recomputes the estimates of all replicas, unless the last refresh is recent.
@@ -22,8 +22,7 @@
         &mut self,
         now: Moment,
     ) {
-        let per_replica = REFRESH_INTERVAL_PER_REPLICA;
-        let interval = REFRESH_INTERVAL.max(per_replica * self.replicas.len() as u32);
+        let interval = REFRESH_INTERVAL.max(INTERVAL_PER_REPLICA * self.replicas.len() as u32);
         if now.saturating_sub(self.refreshed) < interval {
             return;
         }
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -24,7 +24,7 @@
 pub struct ReplicaTable {
     pub(super) settings: PlacementSettings,
     pub(super) replicas: BTreeMap<Arc<str>, ReplicaView>,
-    ids_by_start: HashMap<u32, Arc<str>>, // by the hashes of their starts
+    ids_by_start: HashMap<u32, Arc<str>>, // by hash of id and start time
     pub(super) in_flight: HashMap<InFlightId, InFlightRequest>,
     pub(super) latency_models: LatencyModels,
     pub(super) typical_prompts: TypicalPrompts,
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -20,13 +20,13 @@
 pub struct ReplicaView {
     pub entry: Arc<UpstreamEntry>,
     pub id_hash: u64,    // of its id, equal at every router
-    pub start_hash: u32, // hash of its current start
+    pub start_hash: u32, // hash of its id and start time
     pub own_load: Load,  // in-flight load of this router
     pub health: ReplicaHealth,
     pub cache: PrefixCache,
     pub placed_tokens: u64,      // tokens that this router has sent there
     pub zone_placed_tokens: u64, // tokens that all routers of the zone have sent there
-    pub last_answer: Moment,     // of the last answer to this router
+    pub last_answer: Moment,     // time of the last answer to this router
     pub plain: PlainTimes,       // of requests without a prompt
     pub observations: ReplicaObservations, // observed pace and pauses
     pub pace: ReplicaPace,       // as of the last refresh of the estimates
--- a/tests/kept_parts.rs
+++ b/tests/kept_parts.rs
@@ -125,7 +125,7 @@
     let change = cache.apply_events(LATER, &other);
     assert!(!cache.holds(1));
     assert_eq!((change.unseen, change.batch.has_gap), (0, false));
-    assert_eq!(cache.follow().next, 3);
+    assert_eq!(cache.cursor().next, 3);
 }
 
 #[test]
@@ -151,7 +151,7 @@
         [1, 2, 3].map(|part| cache.holds(part)),
         [false, false, true]
     );
-    assert_eq!(cache.follow().next, 2);
+    assert_eq!(cache.cursor().next, 2);
 }
 
 #[test]
@@ -350,5 +350,5 @@
         [1, 10, 400].map(|part| cache.holds(part)),
         [false, false, true]
     );
-    assert_eq!(cache.follow().next, 9);
+    assert_eq!(cache.cursor().next, 9);
 }
