--- a/src/policy/direct/placement/cache_events/cache_event_tracker.rs
+++ b/src/policy/direct/placement/cache_events/cache_event_tracker.rs
@@ -117,7 +117,7 @@
     }
 
     /// The batch to forward to the zone's routers, of one that this router read from the
-    /// replica. Batches without changes are forwarded at [`KEEP_ALIVE_INTERVAL`] only.
+    /// replica. Batches without changes are forwarded at `KEEP_ALIVE_INTERVAL` only.
     pub fn batch_to_forward(
         &mut self,
         now: Moment,
