--- a/src/direct/events_relay.rs
+++ b/src/direct/events_relay.rs
@@ -208,7 +208,7 @@
                     self.done = true;
                     self.ended = "whole";
                     self.exchange_mut().note_replica_success();
-                    self.exchange().record_stream();
+                    self.exchange().learn_run();
                     self.exchange().note_request_success();
                     let rest = self.splitter.take_rest();
                     return Ok((!rest.is_empty()).then_some(rest));
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -193,7 +193,7 @@
 
     /// A stream came whole: how long it ran says how long others will, if one replica ran
     /// all of it.
-    pub fn record_stream(&self) {
+    pub fn learn_run(&self) {
         let run = self.run.as_ref().filter(|_| self.sent == 1);
         let begun = run.and_then(|run| Some((&run.entry, run.first_event?)));
         if let Some(((entry, begun), prompt)) = begun.zip(self.call.prompt.as_ref()) {
