--- a/src/direct/unsent_answer.rs
+++ b/src/direct/answer_buffer.rs
@@ -17,39 +17,40 @@
 
 type Piece = Result<Frame<Bytes>, io::Error>;
 
-/// The answer under way on a caller's connection: what of it was read from the replica and
-/// not taken by the caller.
+/// The part of the current answer on a caller's connection that was read from the replica and
+/// not yet written to the caller.
 ///
-/// The connection takes pieces as it can send them. While it cannot, the answer is read on
-/// within the budget, as replicas cut off what is left unread for some seconds.
-pub struct UnsentAnswer {
+/// The connection takes pieces as it can send them. While it cannot, the answer is read ahead
+/// within the memory budget, as replicas close connections on which nothing is read for some
+/// seconds.
+pub struct AnswerBuffer {
     gateway: Arc<Gateway>,
-    held: HeldBytes,         // read and not sent, by the connection's own buffer too
-    taken_at_ms: AtomicU64,  // when the caller last took some, or began to be owed some
-    state: Mutex<ReadState>, // locked before all others: reading on takes them
+    held: HeldBytes, // read and not sent yet, including the connection's write buffer
+    last_progress_ms: AtomicU64, // last write to the caller, or start of a backlog; since process start
+    state: Mutex<ReadState>,     // locked before all other locks: reading ahead takes them
 }
 
 #[derive(Default)]
 struct ReadState {
-    body: Option<ReplyBody>, // none once it is read to its end
-    read: VecDeque<Piece>,   // in advance
-    awaits_more: bool,       // the connection would send, and nothing has come
+    body: Option<ReplyBody>, // `None` once it was read to its end
+    pieces: VecDeque<Piece>, // read ahead
+    is_awaited: bool,        // the connection can send and waits for a piece
 }
 
-impl UnsentAnswer {
-    /// A connection on which nothing is answered yet.
+impl AnswerBuffer {
+    /// The buffer of a connection without an answer.
     pub fn new(gateway: Arc<Gateway>) -> Arc<Self> {
         let held = HeldBytes::new(gateway.answer_bytes.clone());
         Arc::new(Self {
             gateway,
             held,
-            taken_at_ms: AtomicU64::new(0),
+            last_progress_ms: AtomicU64::new(0),
             state: Mutex::default(),
         })
     }
 
-    /// The next answer on the connection.
-    pub fn begin(
+    /// Starts the next answer on the connection.
+    pub fn start(
         &self,
         body: ReplyBody,
     ) {
@@ -59,11 +60,11 @@
         };
     }
 
-    /// The answer is over, whole or not.
-    pub fn end(&self) {
-        let ended = std::mem::take(&mut *self.state());
-        let unsent: u64 = ended.read.iter().map(length).sum();
-        self.held.take(unsent);
+    /// Discards what is left of the answer, at its end or when it is given up.
+    pub fn clear(&self) {
+        let discarded = std::mem::take(&mut *self.state());
+        let unsent: u64 = discarded.pieces.iter().map(length).sum();
+        self.held.subtract(unsent);
     }
 
     /// The next piece for the connection to send.
@@ -72,24 +73,24 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Piece>> {
         let mut state = self.state();
-        if let Some(piece) = state.read.pop_front() {
+        if let Some(piece) = state.pieces.pop_front() {
             return Poll::Ready(Some(piece));
         }
         let polled = state.poll(context);
-        state.awaits_more = polled.is_pending();
+        state.is_awaited = polled.is_pending();
         if let Poll::Ready(Some(piece)) = &polled {
-            self.hold(length(piece));
+            self.add_held(length(piece));
         }
         polled
     }
 
-    /// Reads the answer on while the connection cannot send and the budget lasts.
-    pub fn read_on(
+    /// Reads the answer ahead while the connection cannot send and the memory budget permits.
+    pub fn read_ahead(
         &self,
         context: &mut Context<'_>,
     ) {
         let mut state = self.state();
-        if state.body.is_none() || state.awaits_more {
+        if state.body.is_none() || state.is_awaited {
             return;
         }
         let budget = self.gateway.settings().answer_memory;
@@ -97,60 +98,63 @@
             let Poll::Ready(Some(piece)) = state.poll(context) else {
                 return;
             };
-            self.hold(length(&piece));
-            state.read.push_back(piece);
+            self.add_held(length(&piece));
+            state.pieces.push_back(piece);
         }
     }
 
-    /// The caller's connection took so many bytes.
-    pub fn note_taken(
+    /// Records bytes written to the caller's connection.
+    pub fn record_written(
         &self,
         bytes: usize,
     ) {
-        self.held.take(bytes as u64);
-        self.touch();
+        self.held.subtract(bytes as u64);
+        self.record_progress();
     }
 
-    /// What is held of an answer that is given up, in bytes; none if it is not.
-    pub fn given_up(&self) -> Option<u64> {
+    /// The bytes held if the answer is to be given up, as its caller reads nothing; `None` if
+    /// it is not.
+    pub fn given_up_bytes(&self) -> Option<u64> {
         let own = self.held.own();
         if own == 0 {
             return None;
         }
-        let taken_at = Moment::from_millis(self.taken_at_ms.load(Ordering::Relaxed));
-        let untaken = self.gateway.now().saturating_sub(taken_at);
+        let last_progress = Moment::from_millis(self.last_progress_ms.load(Ordering::Relaxed));
+        let stalled = self.gateway.now().saturating_sub(last_progress);
         let budget = self.gateway.settings().answer_memory;
-        is_given_up(budget, own, self.held.others(), untaken).then_some(own)
+        is_given_up(budget, own, self.held.others(), stalled).then_some(own)
     }
 
-    /// Whether all of it was read.
-    pub fn is_read(&self) -> bool {
+    /// Whether the connection took all pieces of the answer.
+    pub fn is_finished(&self) -> bool {
         let state = self.state();
         let is_over = state.body.as_ref().is_none_or(Body::is_end_stream);
-        is_over && state.read.is_empty()
+        is_over && state.pieces.is_empty()
     }
 
-    /// How long it is, as far as that is known.
+    /// The size of the remaining answer, if known.
     pub fn size(&self) -> SizeHint {
         let state = self.state();
-        let read: u64 = state.read.iter().map(length).sum();
+        let read_ahead: u64 = state.pieces.iter().map(length).sum();
         let body = state.body.as_ref();
         let rest = body.map_or(Some(0), |body| body.size_hint().exact());
-        rest.map_or_else(SizeHint::default, |rest| SizeHint::with_exact(read + rest))
+        rest.map_or_else(SizeHint::default, |rest| {
+            SizeHint::with_exact(read_ahead + rest)
+        })
     }
 
-    fn hold(
+    fn add_held(
         &self,
         bytes: u64,
     ) {
         if self.held.add(bytes) {
-            self.touch();
+            self.record_progress();
         }
     }
 
-    fn touch(&self) {
+    fn record_progress(&self) {
         let now = self.gateway.now().as_millis() as u64;
-        self.taken_at_ms.store(now, Ordering::Relaxed);
+        self.last_progress_ms.store(now, Ordering::Relaxed);
     }
 
     fn state(&self) -> MutexGuard<'_, ReadState> {
@@ -168,7 +172,7 @@
         };
         let polled = Pin::new(body).poll_frame(context);
         if let Poll::Ready(None | Some(Err(_))) = &polled {
-            // What was taken for it is free from here on, sent or not.
+            // Releases the replica's connection and load, although pieces may still be unsent.
             self.body = None;
         }
         polled
--- a/src/direct/attempt.rs
+++ b/src/direct/attempt.rs
@@ -1,8 +1,8 @@
-//! One request sent to one replica, up to the head of its answer.
+//! Sends one request to one replica and checks the head of the answer.
 
 use {
     super::{
-        attempt_end::AttemptEnd, call::Call, gateway::Gateway, held_work::HeldWork,
+        attempt_end::AttemptEnd, call::Call, gateway::Gateway, in_flight_guard::InFlightGuard,
         live_answer::LiveAnswer, replica_call::call_replica, request_reader::header_text,
     },
     crate::{catalog::UpstreamEntry, codes::ResultCode, policy::asked_rest},
@@ -16,49 +16,49 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// The replica chosen for an attempt, with the request counted there.
-pub struct Target {
+/// The replica chosen for an attempt, and the guard that counts the request in its load.
+pub struct AttemptTarget {
     pub entry: Arc<UpstreamEntry>,
-    pub fetch_from: Option<SocketAddr>, // a replica that keeps more of the prompt
-    pub waits: Duration,                // for what is believed to be in front of it
-    pub work: HeldWork,
+    pub fetch_from: Option<SocketAddr>, // a replica that has more of the prompt cached
+    pub queue_wait: Duration,           // estimated wait behind earlier requests
+    pub in_flight: InFlightGuard,
 }
 
-/// Sends a call to a replica and waits for the head of the answer. A stream
-/// that goes on begins after `last_event`.
+/// Sends a call to a replica and waits for the head of the answer. A resumed stream
+/// continues after the event with id `last_event`.
 pub async fn send_call(
     gateway: &Arc<Gateway>,
     call: &Call,
-    target: Target,
+    target: AttemptTarget,
     last_event: Option<&str>,
 ) -> Result<LiveAnswer, AttemptEnd> {
-    let most = (call.max_connections / gateway.router_count()).max(1);
-    let mut connection = gateway.pool.take(&target.entry, most).await?;
-    if !target.work.may_be_sent(&target.entry) {
+    let max_open = (call.max_connections / gateway.router_count()).max(1);
+    let mut connection = gateway.pool.take(&target.entry, max_open).await?;
+    if !target.in_flight.may_be_sent(&target.entry) {
         gateway.pool.give_back(&target.entry.id, connection);
         return Err(AttemptEnd::Withheld);
     }
-    let request = build(gateway, call, &target, last_event)?;
+    let request = build_request(gateway, call, &target, last_event)?;
     let response = call_replica(gateway, &target.entry, &mut connection, request).await?;
     let (head, body) = response.into_parts();
-    check(gateway, call, &head)?;
+    check_answer_head(gateway, call, &head)?;
     Ok(LiveAnswer::new(
         gateway.clone(),
         head,
         body,
         connection,
-        target.work,
+        target.in_flight,
     ))
 }
 
-fn build(
+fn build_request(
     gateway: &Gateway,
     call: &Call,
-    target: &Target,
+    target: &AttemptTarget,
     last_event: Option<&str>,
 ) -> Result<Request<Full<Bytes>>, AttemptEnd> {
     let names = &gateway.dialect.names;
-    let unsent = |error: &dyn std::fmt::Display| AttemptEnd::NotSent {
+    let not_sent = |error: &dyn std::fmt::Display| AttemptEnd::NotSent {
         detail: error.to_string(),
     };
     let mut request = Request::new(Full::new(call.body.clone()));
@@ -66,23 +66,24 @@
     *request.uri_mut() = call.target.clone();
     let headers = request.headers_mut();
     *headers = call.headers.clone();
-    let left = call.time_left(gateway.now()).as_millis() as u64;
-    headers.insert(names.deadline_ms.clone(), HeaderValue::from(left));
-    let id = HeaderValue::from_str(&target.entry.id).map_err(|error| unsent(&error))?;
+    let time_left = call.time_left(gateway.now()).as_millis() as u64;
+    headers.insert(names.deadline_ms.clone(), HeaderValue::from(time_left));
+    let id = HeaderValue::from_str(&target.entry.id).map_err(|error| not_sent(&error))?;
     headers.insert(names.expected_replica.clone(), id);
     if let Some(source) = target.fetch_from {
-        let value = HeaderValue::from_str(&source.to_string()).map_err(|error| unsent(&error))?;
+        let value = HeaderValue::from_str(&source.to_string()).map_err(|error| not_sent(&error))?;
         headers.insert(names.fetch_from.clone(), value);
     }
     if let Some(event) = last_event {
-        let value = HeaderValue::from_str(event).map_err(|error| unsent(&error))?;
+        let value = HeaderValue::from_str(event).map_err(|error| not_sent(&error))?;
         headers.insert(names.last_event.clone(), value);
     }
     Ok(request)
 }
 
-/// Refuses an answer that is not the replica's answer to this request.
-fn check(
+/// Rejects refusals, statuses that callers would misread, and answers that are not proven to
+/// be this replica's answer to this request.
+fn check_answer_head(
     gateway: &Gateway,
     call: &Call,
     head: &Parts,
@@ -101,18 +102,19 @@
         });
     }
     if (gateway.dialect.promises_not_run)(head.status) {
-        // It may have run: passed on, the status would be a promise that nobody gave.
+        // Callers would take this status as a guarantee that the request did not run, which
+        // the replica did not give.
         return Err(AttemptEnd::Failed {
             status: head.status.as_u16(),
         });
     }
-    let proved = head.headers.contains_key(&names.signature)
+    let is_proven = head.headers.contains_key(&names.signature)
         && !head.headers.contains_key(CONTENT_ENCODING)
         && (echoed == call.request_id);
-    if head.status.is_success() && !proved {
+    if head.status.is_success() && !is_proven {
         return Err(unknown(
             ResultCode::AnswerUnproved,
-            "no signature, no id or an encoding".to_owned(),
+            "missing signature or request id, or encoded body".to_owned(),
         ));
     }
     Ok(())
--- a/src/direct/attempt_end.rs
+++ b/src/direct/attempt_end.rs
@@ -1,26 +1,26 @@
 use {crate::codes::ResultCode, std::time::Duration};
 
-/// How an attempt at a replica ended that brought no answer to pass on.
+/// How an attempt ended that gave no answer to relay to the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEnd {
     /// No byte of the request was sent.
     NotSent { detail: String },
-    /// No byte was sent, since the replica has just started and bears no more, or said
-    /// meanwhile that it wants none; nothing speaks against it.
+    /// No byte was sent: the replica is at its slow start limit, or announced since it was
+    /// chosen that it takes no requests. Not counted as a failure of the replica.
     Withheld,
-    /// The replica said that it did not run the request.
+    /// The replica answered that it did not run the request.
     Refused {
         status: u16,
         retry_after: Option<Duration>,
     },
-    /// The request may have run, and its replica answered with a failure.
+    /// The replica answered with an error status, and the request may have run.
     Failed { status: u16 },
-    /// The request was sent and may have run.
+    /// The request was sent, no valid answer came, and it may have run.
     Unknown { code: ResultCode, detail: String },
 }
 
 impl AttemptEnd {
-    /// The code for the caller.
+    /// The result code that the caller gets.
     pub fn code(&self) -> ResultCode {
         match self {
             Self::NotSent { .. } => ResultCode::UpstreamUnreachable,
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Whether the connection ended while the request was under way.
-    pub fn is_cut(&self) -> bool {
+    /// Whether the connection was lost while the request was in progress.
+    pub fn is_connection_lost(&self) -> bool {
         matches!(
             self,
             Self::Unknown {
@@ -42,12 +42,12 @@
         )
     }
 
-    /// Whether nothing of the attempt goes on at its replica, as far as that lives.
-    pub fn is_over_there(&self) -> bool {
-        !matches!(self, Self::Unknown { .. }) || self.is_cut()
+    /// Whether the replica, if it is alive, has stopped working on the request.
+    pub fn has_stopped_at_replica(&self) -> bool {
+        !matches!(self, Self::Unknown { .. }) || self.is_connection_lost()
     }
 
-    /// Whether it is proved that the request did not run.
+    /// Whether it is certain that the request did not run.
     pub fn did_not_run(&self) -> bool {
         !matches!(self, Self::Unknown { .. } | Self::Failed { .. })
     }
--- a/src/direct/cache_calls.rs
+++ b/src/direct/cache_calls.rs
@@ -9,16 +9,17 @@
     std::time::Duration,
 };
 
-/// How a replica is asked which parts of prompts it keeps.
+/// Builds the requests for the contents of a replica's prompt cache, and parses the answers.
 #[derive(Debug, Clone, Copy)]
 pub struct CacheCalls {
-    /// The question for all of them, but for its host.
+    /// Builds the request for all cached parts, without its `Host` header.
     pub list: fn() -> Request<Full<Bytes>>,
-    /// Reads the answer: code 82.
+    /// Parses the answer. Fails with `ResultCode::PlatformReply`.
     pub read_list: fn(&[u8]) -> Result<Vec<KeptPart>, Fault>,
-    /// The question for what changed from an event's number on, held for some time until
-    /// there is something, but for its host.
+    /// Builds the long-polling request for cache events from a number on, which the replica
+    /// answers at the first event or after the given time; without its `Host` header.
     pub events: fn(u64, Duration) -> Request<Full<Bytes>>,
-    /// Reads the answer to the question from that number on: code 82.
+    /// Parses the answer to a request for events from that number on. Fails with
+    /// `ResultCode::PlatformReply`.
     pub read_events: fn(u64, &[u8]) -> Result<KeptNews, Fault>,
 }
--- a/src/direct/kept_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -1,8 +1,8 @@
-//! Following what replicas keep, by their own word.
+//! Follows the prompt caches of replicas by the events that they report.
 
 use {
     super::{
-        cache_ask::{ask_on, prompt_replicas},
+        cache_query::{model_replicas, send_query},
         gateway::Gateway,
         upstream_connection::UpstreamConnection,
     },
@@ -21,44 +21,44 @@
     tokio::{task::JoinHandle, time::timeout},
 };
 
-/// How often it is looked which replicas to follow.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// How often the replicas to follow are selected again.
+const SELECTION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a replica may hold a call until there are events.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+/// How long a replica may hold a request until there are events.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How much longer an answer may take.
-const ANSWER_TIME: Duration = Duration::from_millis(700);
+/// Additional time for the answer to arrive.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Between two calls, so that events come together.
-const CALL_PAUSE: Duration = Duration::from_millis(200);
+/// Delay between two requests, so that one answer covers several events.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// After a call that failed.
-const RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// Delay after a request that failed.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// After an answer that says that the replica tells nothing, or nothing more.
-const REFUSED_PAUSE: Duration = Duration::from_secs(30);
+/// Delay after a replica refused to report events.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_secs(30);
 
-/// Follows the model replicas of the own availability zone for which this router is drawn,
-/// for as long as the process lives.
-pub async fn follow_kept(gateway: Arc<Gateway>) {
+/// Follows the model replicas of the own availability zone that are assigned to this router,
+/// until the task is dropped.
+pub async fn follow_caches(gateway: Arc<Gateway>) {
     let mut followed: HashMap<u32, JoinHandle<()>> = HashMap::new();
     loop {
         followed.retain(|_, task| !task.is_finished());
         if gateway.settings().follow_kept {
-            let due = prompt_replicas(&gateway).into_iter();
-            for entry in due.filter(|entry| is_due(&gateway, entry)) {
-                if let Entry::Vacant(place) = followed.entry(entry.start_name()) {
-                    place.insert(tokio::spawn(follow(gateway.clone(), entry)));
+            let replicas = model_replicas(&gateway).into_iter();
+            for entry in replicas.filter(|entry| should_follow(&gateway, entry)) {
+                if let Entry::Vacant(vacant) = followed.entry(entry.start_name()) {
+                    vacant.insert(tokio::spawn(follow(gateway.clone(), entry)));
                 }
             }
         }
         metrics::gauge!(KEPT_FOLLOWED).set(followed.len() as f64);
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(SELECTION_INTERVAL).await;
     }
 }
 
-fn is_due(
+fn should_follow(
     gateway: &Gateway,
     entry: &UpstreamEntry,
 ) -> bool {
@@ -69,23 +69,23 @@
         && gateway.board().follows(gateway.now(), entry)
 }
 
-/// Follows one start of a replica until another router is drawn for it, or it is to be left
-/// alone.
+/// Follows a replica until it restarts, is assigned to another router, or takes no more
+/// requests.
 async fn follow(
     gateway: Arc<Gateway>,
     entry: Arc<UpstreamEntry>,
 ) {
     log::info!(replica = &*entry.id; "following what a replica keeps");
     let mut connection = None;
-    while is_due(&gateway, &entry) {
-        let pause = match ask(&gateway, &entry, &mut connection).await {
+    while should_follow(&gateway, &entry) {
+        let pause = match poll_events(&gateway, &entry, &mut connection).await {
             Ok(news) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
                 let change = gateway.board().heard_kept(gateway.now(), &entry, &news);
                 if let Some(change) = change {
-                    note(&entry, &change);
+                    record_change(&entry, &change);
                 }
-                CALL_PAUSE
+                POLL_INTERVAL
             }
             Err(error) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "failed").increment(1);
@@ -94,8 +94,8 @@
                     "replica does not say what it keeps: {error}"
                 );
                 match error.code {
-                    ResultCode::PlatformReply => REFUSED_PAUSE,
-                    _ => RETRY_PAUSE,
+                    ResultCode::PlatformReply => REFUSED_RETRY_DELAY,
+                    _ => RETRY_DELAY,
                 }
             }
         };
@@ -103,7 +103,8 @@
     }
 }
 
-fn note(
+/// Counts and logs the events of one answer.
+fn record_change(
     entry: &UpstreamEntry,
     change: &KeptChange,
 ) {
@@ -132,36 +133,42 @@
     }
 }
 
-/// Asks once: code 82 where the replica refuses, 74 where it was not reached.
-async fn ask(
+/// Requests events once. Fails with `ResultCode::PeerUnreachable` if the replica was not reached,
+/// with `PlatformReply` if it refused or its answer is invalid.
+async fn poll_events(
     gateway: &Gateway,
     entry: &UpstreamEntry,
-    kept: &mut Option<UpstreamConnection>,
+    idle: &mut Option<UpstreamConnection>,
 ) -> Result<KeptNews, Fault> {
-    let answer = timeout(LONGEST_WAIT + ANSWER_TIME, call(gateway, entry, kept)).await;
+    let answer = timeout(
+        LONG_POLL_TIMEOUT + ANSWER_TIMEOUT,
+        request_events(gateway, entry, idle),
+    )
+    .await;
     answer.map_err(Fault::unreachable).flatten()
 }
 
-/// The connection is not of the pool: a call that is held would take the place of requests.
-async fn call(
+/// Uses a connection outside of the pool, as a held request would take the place of callers'
+/// requests.
+async fn request_events(
     gateway: &Gateway,
     entry: &UpstreamEntry,
-    kept: &mut Option<UpstreamConnection>,
+    idle: &mut Option<UpstreamConnection>,
 ) -> Result<KeptNews, Fault> {
     let calls = gateway.dialect.cache;
     let next = gateway.board().kept_follow(entry).next;
-    let mut connection = match kept.take().filter(UpstreamConnection::is_usable) {
+    let mut connection = match idle.take().filter(UpstreamConnection::is_usable) {
         Some(connection) => connection,
         None => {
             let opened = UpstreamConnection::open(entry.address, Arc::default()).await;
             opened.map_err(Fault::unreachable)?
         }
     };
-    let request = (calls.events)(next, LONGEST_WAIT);
-    let (status, body) = ask_on(gateway, entry, &mut connection, request).await?;
-    if connection.may_be_kept() {
-        connection.rest();
-        *kept = Some(connection);
+    let request = (calls.events)(next, LONG_POLL_TIMEOUT);
+    let (status, body) = send_query(gateway, entry, &mut connection, request).await?;
+    if connection.is_reusable() {
+        connection.mark_idle();
+        *idle = Some(connection);
     }
     match status {
         StatusCode::OK => (calls.read_events)(next, &body),
--- a/src/direct/cache_ask.rs
+++ b/src/direct/cache_query.rs
@@ -1,4 +1,4 @@
-//! Questions to replicas about what they keep.
+//! Queries to replicas about the contents of their prompt caches.
 
 use {
     super::{
@@ -14,11 +14,11 @@
     std::sync::Arc,
 };
 
-/// The largest answer that is read, in bytes.
-const LARGEST_ANSWER: usize = 1 << 20;
+/// Limit for the size of an answer.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// The replicas of services whose engines keep parts of prompts.
-pub fn prompt_replicas(gateway: &Gateway) -> Vec<Arc<UpstreamEntry>> {
+/// The replicas of services that run a model engine, which caches parts of prompts.
+pub fn model_replicas(gateway: &Gateway) -> Vec<Arc<UpstreamEntry>> {
     let Some(table) = gateway.catalog.config() else {
         return Vec::new();
     };
@@ -30,8 +30,9 @@
     replicas
 }
 
-/// Sends a question on a connection and reads the whole answer: code 74.
-pub async fn ask_on(
+/// Sends a query on a connection and reads the whole answer. Fails with
+/// `ResultCode::PeerUnreachable`.
+pub async fn send_query(
     gateway: &Gateway,
     entry: &UpstreamEntry,
     connection: &mut UpstreamConnection,
@@ -43,7 +44,7 @@
         .await
         .map_err(|end| Fault::unreachable(format!("{end:?}")))?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), LARGEST_ANSWER);
+    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
     let body = body.collect().await.map_err(Fault::unreachable)?;
     Ok((status, body.to_bytes()))
 }
--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        cache_ask::{ask_on, prompt_replicas},
+        cache_query::{model_replicas, send_query},
         gateway::Gateway,
     },
     crate::{
@@ -13,43 +13,43 @@
     tokio::time::{Instant, timeout, timeout_at},
 };
 
-/// Replicas that are asked at the same time.
-const AT_ONCE: usize = 4;
+/// Number of replicas that are queried at the same time.
+const MAX_CONCURRENT_QUERIES: usize = 4;
 
-/// How long one answer may take.
-const ANSWER_TIME: Duration = Duration::from_millis(700);
+/// Time-out for the answer of one replica.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Replicas that are listed later than this after the first ones are new, or
-/// peers have told of them by then.
-const SURVEY_TIME: Duration = Duration::from_secs(3);
+/// The survey ends this long after its first query: replicas listed later are new and have
+/// nothing cached, or peers have reported on them by then.
+const SURVEY_DURATION: Duration = Duration::from_secs(3);
 
-/// A router that starts among others waits so long for those that follow replicas to tell
-/// it what these keep: some of their reports.
-const TOLD_TIME: Duration = Duration::from_millis(300);
+/// How long a starting router waits for its peers' reports on the caches that they follow:
+/// several report intervals.
+const PEER_REPORT_WAIT: Duration = Duration::from_millis(300);
 
-/// Asks the model replicas what they keep of prompts, once, when this router starts, but
-/// for those that other routers follow and tell of. After a loss of all routers there are
-/// none that know. It holds the replicas' work up.
+/// Queries the prompt caches of the model replicas once when this router starts, as after a
+/// restart of all routers none knows their contents. Replicas on which peers report are left
+/// out, because a query delays the replica's work.
 pub async fn survey_caches(gateway: Arc<Gateway>) {
     let mut changes = gateway.catalog.subscribe();
-    let mut asked = HashSet::new();
-    let mut until = None;
+    let mut queried = HashSet::new();
+    let mut deadline = None;
     loop {
-        if until.is_none() && gateway.catalog.config().is_some() {
-            tokio::time::sleep(TOLD_TIME).await;
+        if deadline.is_none() && gateway.catalog.config().is_some() {
+            tokio::time::sleep(PEER_REPORT_WAIT).await;
         }
-        let due = due(&gateway, &mut asked);
+        let due = replicas_to_query(&gateway, &mut queried);
         if !due.is_empty() {
-            until.get_or_insert_with(|| Instant::now() + SURVEY_TIME);
-            let asking = due.into_iter().map(|entry| survey(&gateway, entry));
-            stream::iter(asking)
-                .buffer_unordered(AT_ONCE)
+            deadline.get_or_insert_with(|| Instant::now() + SURVEY_DURATION);
+            let queries = due.into_iter().map(|entry| survey(&gateway, entry));
+            stream::iter(queries)
+                .buffer_unordered(MAX_CONCURRENT_QUERIES)
                 .collect::<()>()
                 .await;
         }
-        let changed = match until {
+        let changed = match deadline {
             None => changes.changed().await,
-            Some(until) => match timeout_at(until, changes.changed()).await {
+            Some(deadline) => match timeout_at(deadline, changes.changed()).await {
                 Ok(changed) => changed,
                 Err(_) => return,
             },
@@ -60,37 +60,41 @@
     }
 }
 
-/// The model replicas not asked yet, those of the own availability zone first.
-fn due(
+/// The model replicas that were not queried yet, those of the own availability zone first.
+fn replicas_to_query(
     gateway: &Gateway,
-    asked: &mut HashSet<u32>, // starts of replicas, by short name
+    queried: &mut HashSet<u32>, // hashes of replica id and start time
 ) -> Vec<Arc<UpstreamEntry>> {
     let zone = &gateway.settings().process.zone;
-    let mut due = prompt_replicas(gateway);
+    let mut due = model_replicas(gateway);
     let board = gateway.board();
     let now = gateway.now();
-    let is_open =
+    let takes_requests =
         |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.wants_requests(now, entry);
-    // Of other zones' replicas it is told only what they gave up.
-    let is_told = |entry: &UpstreamEntry| *entry.zone == **zone && board.is_followed(now, entry);
-    due.retain(|entry| is_open(entry) && !is_told(entry) && asked.insert(entry.start_name()));
+    // Reports on replicas of other zones contain only what was evicted.
+    let is_reported =
+        |entry: &UpstreamEntry| *entry.zone == **zone && board.is_followed(now, entry);
+    due.retain(|entry| {
+        takes_requests(entry) && !is_reported(entry) && queried.insert(entry.start_name())
+    });
     drop(board);
     due.sort_by_key(|entry| *entry.zone != **zone);
     due
 }
 
+/// Queries one replica and records its cached parts.
 async fn survey(
     gateway: &Gateway,
     entry: Arc<UpstreamEntry>,
 ) {
-    let answer = timeout(ANSWER_TIME, ask(gateway, &entry)).await;
+    let answer = timeout(ANSWER_TIMEOUT, query_parts(gateway, &entry)).await;
     match answer.map_err(Fault::unreachable).flatten() {
         Ok(parts) => {
             log::info!(
                 replica = &*entry.id, parts = parts.len();
                 "replica asked what it keeps"
             );
-            learn(gateway, &entry, &parts);
+            record_cached_parts(gateway, &entry, &parts);
         }
         Err(error) => {
             log::info!(
@@ -101,7 +105,7 @@
     }
 }
 
-fn learn(
+fn record_cached_parts(
     gateway: &Gateway,
     entry: &UpstreamEntry,
     parts: &[KeptPart],
@@ -117,17 +121,19 @@
     gateway.board().learn_kept(entry, parts, memory);
 }
 
-async fn ask(
+/// Queries all cached parts of a replica. Fails with `ResultCode::PeerUnreachable` if it was not
+/// reached, with `PlatformReply` if it refused or its answer is invalid.
+async fn query_parts(
     gateway: &Gateway,
     entry: &UpstreamEntry,
 ) -> Result<Vec<KeptPart>, Fault> {
     let calls = gateway.dialect.cache;
     let mut connection = gateway
         .pool
-        .take(entry, AT_ONCE)
+        .take(entry, MAX_CONCURRENT_QUERIES)
         .await
         .map_err(|end| Fault::unreachable(format!("{end:?}")))?;
-    let (status, body) = ask_on(gateway, entry, &mut connection, (calls.list)()).await?;
+    let (status, body) = send_query(gateway, entry, &mut connection, (calls.list)()).await?;
     gateway.pool.give_back(&entry.id, connection);
     if !status.is_success() {
         return Err(Fault::new(ResultCode::PlatformReply, status));
--- a/src/direct/call.rs
+++ b/src/direct/call.rs
@@ -9,45 +9,46 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// One attempt of a caller, read whole and allowed.
+/// A caller's request, read completely, with the route and service that it was matched to.
 #[derive(Debug)]
 pub struct Call {
     pub request_id: String,
     pub method: Method,
     pub target: Uri,        // path and query
-    pub headers: HeaderMap, // as they are passed on
+    pub headers: HeaderMap, // those that replicas get
     pub body: Bytes,
-    pub _held: HeldBytes, // counted until the call is over: its body may be sent again
+    pub _body_memory: HeldBytes, // counted until the call is over, as the body may be sent again
     pub route: Arc<Route>,
     pub service: Arc<str>,
     pub engine: Option<EngineFacts>,
-    pub service_aim: Duration,  // the shortest among the service's routes
-    pub max_connections: usize, // to one replica, from all routers
+    pub shortest_target_latency: Duration, // over the service's routes
+    pub max_connections: usize,            // to one replica, over all routers
     pub account: Option<Arc<str>>,
-    pub regions: Option<AllowedRegions>, // where it may be served; anywhere if none
+    pub regions: Option<AllowedRegions>, // regions that may serve it; all if `None`
     pub prompt: Option<PromptShape>,
     pub config_version: u64,
     pub arrived: Moment,
-    pub until: Moment, // when it must be answered at the latest
+    pub deadline: Moment,
 }
 
 impl Call {
-    /// What is left of its time.
+    /// Time left until the deadline.
     pub fn time_left(
         &self,
         now: Moment,
     ) -> Duration {
-        self.until.saturating_sub(now)
+        self.deadline.saturating_sub(now)
     }
 
-    /// What it is, whatever its id.
+    /// Identifies requests of equal method, target, account and body, whatever their ids.
     pub fn digest(&self) -> RequestDigest {
         let account = self.account.as_deref().unwrap_or("");
         let target = self.target.to_string();
         RequestDigest::new(self.method.as_str(), &target, account, &self.body)
     }
 
-    /// What it asks for, in tokens.
+    /// The cost that the account is charged, in tokens; an output token counts twice. Zero
+    /// for requests without a prompt.
     pub fn tokens(&self) -> f32 {
         let prompt = self.prompt.as_ref();
         prompt.map_or(0.0, |prompt| {
--- a/src/direct/caller_body.rs
+++ b/src/direct/caller_body.rs
@@ -1,5 +1,5 @@
 use {
-    super::{reply::ReplyBody, unsent_answer::UnsentAnswer},
+    super::{answer_buffer::AnswerBuffer, reply::ReplyBody},
     bytes::Bytes,
     hyper::body::{Body, Frame, SizeHint},
     std::{
@@ -10,23 +10,24 @@
     },
 };
 
-/// The body of the answer under way on a caller's connection, as that connection sends it.
-pub struct CallerBody(Arc<UnsentAnswer>);
+/// The body of the answer that hyper writes to a caller's connection, read from that
+/// connection's buffer.
+pub struct CallerBody(Arc<AnswerBuffer>);
 
 impl CallerBody {
-    /// The connection's next answer.
+    /// Starts the connection's next answer.
     pub fn new(
-        connection: Arc<UnsentAnswer>,
+        buffer: Arc<AnswerBuffer>,
         body: ReplyBody,
     ) -> Self {
-        connection.begin(body);
-        Self(connection)
+        buffer.start(body);
+        Self(buffer)
     }
 }
 
 impl Drop for CallerBody {
     fn drop(&mut self) {
-        self.0.end();
+        self.0.clear();
     }
 }
 
@@ -42,7 +43,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.0.is_read()
+        self.0.is_finished()
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/src/direct/caller_connections.rs
+++ b/src/direct/caller_connections.rs
@@ -1,12 +1,12 @@
 use {
     super::{
+        answer_buffer::AnswerBuffer,
         caller_body::CallerBody,
         caller_port::answer_caller,
         caller_stream::CallerStream,
         gateway::Gateway,
-        hand_on::{connect_to_neighbour, pass_on},
-        sockets::watch_over_caller,
-        unsent_answer::UnsentAnswer,
+        neighbour_relay::{connect_to_neighbour, relay_to_neighbour},
+        sockets::configure_caller_socket,
     },
     crate::{
         codes::ResultCode,
@@ -30,44 +30,44 @@
     },
 };
 
-/// Connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
+/// Length of the queue of connections that wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
 
-/// How often a connection looks whether it has rested too long.
-const REST_CHECK: Duration = Duration::from_millis(500);
+/// How often a connection checks whether it should be closed.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a connection may rest while more are open than are kept.
-const CROWDED_REST: Duration = Duration::from_millis(300);
+/// Idle time-out while more connections are open than `max_connections`.
+const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The connections of callers: accepted, served, closed.
+/// Accepts, serves and closes the connections of callers.
 pub struct CallerConnections {
     gateway: Arc<Gateway>,
-    open: watch::Sender<usize>,
-    closing: watch::Sender<bool>, // idle ones close now, busy ones after their answer
+    open_count: watch::Sender<usize>,
+    closing: watch::Sender<bool>, // idle connections close now, busy ones after their answer
 }
 
 impl CallerConnections {
-    /// No connection yet.
+    /// Starts without connections.
     pub fn new(gateway: Arc<Gateway>) -> Arc<Self> {
         Arc::new(Self {
             gateway,
-            open: watch::Sender::new(0),
+            open_count: watch::Sender::new(0),
             closing: watch::Sender::new(false),
         })
     }
 
-    /// Binds the address for callers.
+    /// Binds the address on which callers connect.
     pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(ACCEPT_BACKLOG)
     }
 
-    /// Accepts until it is dropped.
+    /// Accepts connections until the task is aborted.
     pub async fn accept(
         self: Arc<Self>,
         listener: TcpListener,
@@ -75,59 +75,63 @@
         loop {
             match listener.accept().await {
                 Ok((stream, from)) => {
-                    tokio::spawn(self.clone().serve_or_hand_on(stream, from));
+                    tokio::spawn(self.clone().serve_or_forward(stream, from));
                 }
                 Err(error) => {
-                    log::warn!("accepting failed: {error}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    log::warn!("cannot accept a caller's connection: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Closes connections at rest now, and the others after their answers.
-    pub fn close_resting(&self) {
+    /// Closes idle connections now, and the others after their answers.
+    pub fn close_idle(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Waits until none is open.
+    /// Waits until no connection is open.
     pub async fn all_closed(&self) {
-        let mut open = self.open.subscribe();
-        if open.wait_for(|count| *count == 0).await.is_err() {
-            log::debug!("the counter is gone");
+        let mut open_count = self.open_count.subscribe();
+        if open_count.wait_for(|count| *count == 0).await.is_err() {
+            log::debug!("the connection counter was dropped");
         }
     }
 
-    /// Whether more connections are open than are kept.
+    /// Whether more connections are open than `max_connections`.
     fn is_crowded(&self) -> bool {
-        *self.open.borrow() > self.gateway.settings().max_connections
+        *self.open_count.borrow() > self.gateway.settings().max_connections
     }
 
-    /// Who takes a new connection over, if anyone should: none that waited here for the
-    /// processor, or comes so late in a stop that it is refused.
-    fn neighbour_for_new(&self) -> Option<SocketAddr> {
+    /// The neighbour that a new connection is forwarded to, if any. Connections stay here while
+    /// this router lags, as they have already waited for its processor, and while it refuses
+    /// requests before it stops.
+    fn neighbour_for_new_connection(&self) -> Option<SocketAddr> {
         let gateway = &self.gateway;
         let stays = gateway.processor.is_choked() || gateway.is_refusing();
         gateway
             .processor
-            .neighbour(rand::random())
+            .draw_neighbour(rand::random())
             .filter(|_| !stays)
     }
 
-    async fn serve_or_hand_on(
+    async fn serve_or_forward(
         self: Arc<Self>,
         stream: TcpStream,
         from: SocketAddr,
     ) {
-        watch_over_caller(&stream);
-        self.open.send_modify(|count| *count += 1);
-        self.gateway.crowded(self.is_crowded());
+        configure_caller_socket(&stream);
+        self.open_count.send_modify(|count| *count += 1);
+        self.gateway.set_crowded(self.is_crowded());
         let _counted = CountedConnection(self.clone());
-        let was_handed_on = self.gateway.peers.is_neighbour(from.ip());
-        if let Some(neighbour) = self.neighbour_for_new().filter(|_| !was_handed_on) {
-            let own = self.gateway.settings().callers;
+        let was_forwarded = self.gateway.peers.is_neighbour(from.ip());
+        if let Some(neighbour) = self
+            .neighbour_for_new_connection()
+            .filter(|_| !was_forwarded)
+        {
+            let own_address = self.gateway.settings().callers;
             let started = self.gateway.now();
-            match connect_to_neighbour(own, neighbour).await {
+            match connect_to_neighbour(own_address, neighbour).await {
                 Ok(connection) => {
                     let connect_ms = (self.gateway.now() - started).as_millis() as u64;
                     metrics::counter!(HANDED_ON).increment(1);
@@ -136,8 +140,8 @@
                         connect_ms = connect_ms;
                         "connection handed on"
                     );
-                    let passing = pass_on(stream, connection, self.closing.subscribe());
-                    if let Err(error) = Box::pin(passing).await {
+                    let relaying = relay_to_neighbour(stream, connection, self.closing.subscribe());
+                    if let Err(error) = Box::pin(relaying).await {
                         log::debug!("connection that was handed on: {error}");
                     }
                     return;
@@ -150,31 +154,31 @@
                 }
             }
         }
-        self.serve(stream, from, was_handed_on).await;
+        self.serve(stream, from, was_forwarded).await;
     }
 
-    /// Serves a connection. One that a router in between handed on ends with its answer
-    /// once that router stops, which would cut a later one.
+    /// Serves a connection. A connection that another router forwards is closed after its
+    /// answer once that router is stopping, as its exit would cut off a later answer.
     async fn serve(
         self: &Arc<Self>,
         stream: TcpStream,
         from: SocketAddr,
-        was_handed_on: bool,
+        was_forwarded: bool,
     ) {
-        let in_between = was_handed_on.then(|| from.ip());
-        let activity = Arc::new(Activity::new(&self.gateway));
-        let answer = UnsentAnswer::new(self.gateway.clone());
+        let forwarding_router = was_forwarded.then(|| from.ip());
+        let activity = Arc::new(ConnectionActivity::new(&self.gateway));
+        let buffer = AnswerBuffer::new(self.gateway.clone());
         let gateway = self.gateway.clone();
-        let (noted, unsent) = (activity.clone(), answer.clone());
+        let (service_activity, service_buffer) = (activity.clone(), buffer.clone());
         let service = service_fn(move |request| {
-            let busy = noted.begin();
-            let (gateway, unsent) = (gateway.clone(), unsent.clone());
-            let ends_with_answer = stops(&gateway, in_between);
-            // Boxed, so that a connection at rest holds no room for it.
+            let busy = service_activity.start_request();
+            let (gateway, buffer) = (gateway.clone(), service_buffer.clone());
+            let closes_after_answer = is_stopping(&gateway, forwarding_router);
+            // Boxed, so that an idle connection does not reserve memory for this future.
             Box::pin(async move {
-                let answer = answer_caller(gateway, request, ends_with_answer).await;
+                let answer = answer_caller(gateway, request, closes_after_answer).await;
                 drop(busy);
-                answer.map(|response| response.map(|body| CallerBody::new(unsent, body)))
+                answer.map(|response| response.map(|body| CallerBody::new(buffer, body)))
             })
         });
         let limits = self.gateway.catalog.config().map(|table| table.limits);
@@ -183,7 +187,7 @@
             .timer(TokioTimer::new())
             .header_read_timeout(None)
             .max_buf_size(limits.max_header_bytes.max(8192) * 2)
-            .serve_connection(CallerStream::new(stream, answer.clone()), service);
+            .serve_connection(CallerStream::new(stream, buffer.clone()), service);
         tokio::pin!(connection);
         let mut closing = self.closing.subscribe();
         let mut is_closing = false;
@@ -191,7 +195,7 @@
             let driven = poll_fn(|context| {
                 let ended = connection.as_mut().poll(context);
                 if ended.is_pending() {
-                    answer.read_on(context);
+                    buffer.read_ahead(context);
                 }
                 ended
             });
@@ -202,19 +206,19 @@
                     }
                     return;
                 }
-                asked = closing.wait_for(|closing| *closing), if !is_closing => {
-                    if asked.is_err() {
+                changed = closing.wait_for(|closing| *closing), if !is_closing => {
+                    if changed.is_err() {
                         return;
                     }
                     is_closing = true;
                     connection.as_mut().graceful_shutdown();
                 }
-                () = tokio::time::sleep(REST_CHECK) => {
-                    if let Some(held) = answer.given_up() {
-                        return log_unread(from, held);
+                () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {
+                    if let Some(held_bytes) = buffer.given_up_bytes() {
+                        return log_unread(from, held_bytes);
                     }
-                    let rested = activity.rested(&self.gateway, self.is_crowded());
-                    if !is_closing && (rested || stops(&self.gateway, in_between)) {
+                    let is_idle = activity.is_idle_too_long(&self.gateway, self.is_crowded());
+                    if !is_closing && (is_idle || is_stopping(&self.gateway, forwarding_router)) {
                         is_closing = true;
                         connection.as_mut().graceful_shutdown();
                     }
@@ -224,86 +228,93 @@
     }
 }
 
-/// An answer whose caller took nothing of it is given up.
+/// Counts and logs an answer that is given up, as its caller does not read it.
 fn log_unread(
     from: SocketAddr,
-    held: u64,
+    held_bytes: u64,
 ) {
     metrics::counter!(UNREAD_ANSWERS).increment(1);
     log::info!(
         caller = from.to_string().as_str(),
         code = ResultCode::AnswerUnread.number(),
-        held_bytes = held;
+        held_bytes = held_bytes;
         "answer given up: {}", ResultCode::AnswerUnread.meaning()
     );
 }
 
-/// Whether the router that handed a connection on stops.
-fn stops(
+/// Whether the router that forwards a connection here is stopping.
+fn is_stopping(
     gateway: &Gateway,
-    in_between: Option<IpAddr>,
+    forwarding_router: Option<IpAddr>,
 ) -> bool {
-    in_between.is_some_and(|address| gateway.peers.is_leaving(address))
+    forwarding_router.is_some_and(|address| gateway.peers.is_leaving(address))
 }
 
+/// Counts a connection as open until it is dropped.
 struct CountedConnection(Arc<CallerConnections>);
 
 impl Drop for CountedConnection {
     fn drop(&mut self) {
-        self.0.open.send_modify(|count| *count -= 1);
-        self.0.gateway.crowded(self.0.is_crowded());
+        self.0.open_count.send_modify(|count| *count -= 1);
+        self.0.gateway.set_crowded(self.0.is_crowded());
     }
 }
 
-/// When a connection was last busy.
-struct Activity {
+/// Tracks whether a connection is busy, and when it last was.
+struct ConnectionActivity {
     gateway: Arc<Gateway>,
-    busy: AtomicUsize,
-    last_ms: AtomicUsize, // since the process started
+    requests: AtomicUsize,     // in progress
+    last_busy_ms: AtomicUsize, // since the process started
 }
 
-struct Busy(Arc<Activity>);
+/// Counts a request in progress until it is dropped.
+struct BusyGuard(Arc<ConnectionActivity>);
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.touch();
-        self.0.busy.fetch_sub(1, Ordering::Relaxed);
+        self.0.requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Activity {
+impl ConnectionActivity {
     fn new(gateway: &Arc<Gateway>) -> Self {
         let now = gateway.now().as_millis() as usize;
         Self {
             gateway: gateway.clone(),
-            busy: AtomicUsize::new(0),
-            last_ms: AtomicUsize::new(now),
+            requests: AtomicUsize::new(0),
+            last_busy_ms: AtomicUsize::new(now),
         }
     }
 
-    fn begin(self: &Arc<Self>) -> Busy {
+    fn start_request(self: &Arc<Self>) -> BusyGuard {
         self.touch();
-        self.busy.fetch_add(1, Ordering::Relaxed);
-        Busy(self.clone())
+        self.requests.fetch_add(1, Ordering::Relaxed);
+        BusyGuard(self.clone())
     }
 
     fn touch(&self) {
         let now = self.gateway.now().as_millis() as usize;
-        self.last_ms.store(now, Ordering::Relaxed);
+        self.last_busy_ms.store(now, Ordering::Relaxed);
     }
 
-    /// Whether it has rested longer than the limit in force, or than a crowd
-    /// leaves it.
-    fn rested(
+    /// Whether the connection has been idle for longer than the configured time-out, or than
+    /// `CROWDED_IDLE_TIMEOUT` if `crowded`.
+    fn is_idle_too_long(
         &self,
         gateway: &Gateway,
         crowded: bool,
     ) -> bool {
         let limits = gateway.catalog.config().map(|table| table.limits);
-        let usual = limits.unwrap_or_default().idle_timeout;
-        let most = if crowded { CROWDED_REST } else { usual }.as_millis() as usize;
-        let rested = (gateway.now().as_millis() as usize)
-            .saturating_sub(self.last_ms.load(Ordering::Relaxed));
-        self.busy.load(Ordering::Relaxed) == 0 && rested > most
+        let configured = limits.unwrap_or_default().idle_timeout;
+        let timeout = if crowded {
+            CROWDED_IDLE_TIMEOUT
+        } else {
+            configured
+        }
+        .as_millis() as usize;
+        let idle = (gateway.now().as_millis() as usize)
+            .saturating_sub(self.last_busy_ms.load(Ordering::Relaxed));
+        self.requests.load(Ordering::Relaxed) == 0 && idle > timeout
     }
 }
--- a/src/direct/caller_port.rs
+++ b/src/direct/caller_port.rs
@@ -20,11 +20,12 @@
     std::{convert::Infallible, sync::Arc},
 };
 
-/// Answers one request of a caller; its connection may have to end with the answer.
+/// Answers one request of a caller. With `closes_connection`, or if the router sheds callers,
+/// the answer closes its connection.
 pub async fn answer_caller(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
-    ends_connection: bool,
+    closes_connection: bool,
 ) -> Result<Response<ReplyBody>, Infallible> {
     let arrived = gateway.now();
     let request_id = header_text(request.headers(), &gateway.dialect.names.request_id).to_owned();
@@ -35,7 +36,7 @@
         }
         Ok(call) => answer_call(&gateway, Arc::new(call)).await,
     };
-    if ends_connection || gateway.closes_connections() {
+    if closes_connection || gateway.closes_connections() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
     }
@@ -84,7 +85,7 @@
     metrics::counter!(REQUESTS, "code" => code, "ran" => error.ran.to_string()).increment(1);
 }
 
-/// Logs a request that was refused as it was read.
+/// Logs a request that was refused before it became a call.
 fn log_refused(
     gateway: &Gateway,
     request_id: &str,
@@ -109,7 +110,7 @@
     );
 }
 
-/// Logs a call that ended without an answer, with what its account's standing was judged by.
+/// Logs a call that ended without an answer, with the usage figures of its account.
 fn log_unanswered(
     gateway: &Gateway,
     call: &Call,
@@ -137,8 +138,8 @@
     );
 }
 
-/// Logs how old the configuration is by which a request is refused, and how old the
-/// store's last answer here.
+/// Logs the age of the configuration that led to a refusal, and the time since the store last
+/// answered this router.
 fn log_configuration(
     gateway: &Gateway,
     request_id: &str,
--- a/src/direct/caller_stream.rs
+++ b/src/direct/caller_stream.rs
@@ -1,5 +1,5 @@
 use {
-    super::unsent_answer::UnsentAnswer,
+    super::answer_buffer::AnswerBuffer,
     hyper::rt::{Read, ReadBufCursor, Write},
     hyper_util::rt::TokioIo,
     std::{
@@ -11,17 +11,17 @@
     tokio::net::TcpStream,
 };
 
-/// A caller's connection that counts what the caller took.
+/// A caller's connection that reports the bytes written to it to the answer buffer.
 pub struct CallerStream {
     stream: TokioIo<TcpStream>,
-    answer: Arc<UnsentAnswer>,
+    answer: Arc<AnswerBuffer>,
 }
 
 impl CallerStream {
-    /// Counts for `answer` what is written to `stream`.
+    /// Reports bytes written to `stream` to `answer`.
     pub fn new(
         stream: TcpStream,
-        answer: Arc<UnsentAnswer>,
+        answer: Arc<AnswerBuffer>,
     ) -> Self {
         Self {
             stream: TokioIo::new(stream),
@@ -29,12 +29,12 @@
         }
     }
 
-    fn note(
+    fn record(
         &self,
         written: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &written {
-            self.answer.note_taken(*bytes);
+            self.answer.record_written(*bytes);
         }
         written
     }
@@ -57,7 +57,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.note(written)
+        self.record(written)
     }
 
     fn poll_write_vectored(
@@ -66,7 +66,7 @@
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.note(written)
+        self.record(written)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -4,31 +4,31 @@
     hyper::{HeaderMap, StatusCode, header::HeaderName},
 };
 
-/// What the headers are called that callers and replicas speak.
+/// Names of the headers that callers and replicas use.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    pub request_id: HeaderName, // of one attempt of a caller; echoed by replicas
+    pub request_id: HeaderName, // id of the caller's request; replicas echo it
     pub deadline_ms: HeaderName, // how long the caller waits, in milliseconds
-    pub key: HeaderName,        // of the account; never shown to replicas
-    pub account: HeaderName,    // its name, for the replica
-    pub expected_replica: HeaderName, // the id that the replica must have
-    pub not_run: HeaderName,    // a replica's word that it did not run a request
-    pub signature: HeaderName,  // a replica's proof that an answer is its own
-    pub last_event: HeaderName, // where a stream goes on
-    pub fetch_from: HeaderName, // a replica that keeps more of the prompt
-    pub system: Vec<HeaderName>, // a caller's own are not passed on
+    pub key: HeaderName,        // the account's secret key; not sent to replicas
+    pub account: HeaderName,    // the account's name, set for replicas
+    pub expected_replica: HeaderName, // id of the replica that the request is meant for
+    pub not_run: HeaderName,    // set by a replica that did not run the request
+    pub signature: HeaderName,  // set by a replica on its own answers
+    pub last_event: HeaderName, // id of the event after which a stream resumes
+    pub fetch_from: HeaderName, // address of a replica that has more of the prompt cached
+    pub system: Vec<HeaderName>, // set by the system only; removed from callers' requests
 }
 
-/// How callers and replicas are spoken to.
+/// The protocol that callers and replicas use: header names and readers.
 #[derive(Debug, Clone)]
 pub struct Dialect {
     pub names: HeaderNames,
-    /// What a request says of its prompt.
+    /// Reads the shape of a request's prompt.
     pub prompt: fn(&HeaderMap) -> Option<PromptShape>,
-    /// Whether a status tells a caller that its request did not run and never will.
+    /// Whether callers take a status as a guarantee that the request did not run.
     pub promises_not_run: fn(StatusCode) -> bool,
-    /// What the head of an answer says of its replica.
+    /// Reads what a replica announces about itself in the head of an answer.
     pub notice: fn(StatusCode, &HeaderMap) -> ReplicaNotice,
-    /// How a replica is asked what it keeps.
+    /// Requests for the contents of a replica's prompt cache.
     pub cache: CacheCalls,
 }
--- a/src/direct/event_splitter.rs
+++ b/src/direct/event_splitter.rs
@@ -1,25 +1,25 @@
 use bytes::{Bytes, BytesMut};
 
-/// Cuts a stream into whole events, so that a caller never gets a part of one
-/// from a replica that breaks off.
+/// Splits a stream of server-sent events into whole events, so that a caller never gets a
+/// partial event from a replica that fails.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
-    searched: usize, // bytes of the rest that hold no end
+    partial: BytesMut, // bytes after the last whole event
+    scanned: usize,    // bytes of `partial` that were searched for the end of an event
     last_id: Option<String>,
 }
 
 impl EventSplitter {
-    /// Takes bytes in and gives the events that are whole now, in one piece.
+    /// Appends bytes and returns the events that are complete now, concatenated.
     pub fn push(
         &mut self,
         bytes: &[u8],
     ) -> Option<Bytes> {
-        self.rest.extend_from_slice(bytes);
-        let end = self.last_end()?;
-        let events = self.rest.split_to(end).freeze();
-        self.searched = 0;
-        self.note_ids(&events);
+        self.partial.extend_from_slice(bytes);
+        let end = self.last_event_end()?;
+        let events = self.partial.split_to(end).freeze();
+        self.scanned = 0;
+        self.record_last_id(&events);
         Some(events)
     }
 
@@ -28,34 +28,34 @@
         self.last_id.as_deref()
     }
 
-    /// What came after the last whole event.
+    /// Takes the bytes after the last whole event.
     pub fn take_rest(&mut self) -> Bytes {
-        self.searched = 0;
-        self.rest.split().freeze()
+        self.scanned = 0;
+        self.partial.split().freeze()
     }
 
-    /// Forgets a part of an event, since another replica goes on.
+    /// Discards the bytes after the last whole event, as another replica resumes the stream.
     pub fn drop_rest(&mut self) {
-        self.rest.clear();
-        self.searched = 0;
+        self.partial.clear();
+        self.scanned = 0;
     }
 
-    /// The end of the last whole event in what is there.
-    fn last_end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
-        let fresh = &self.rest[from..];
+    /// The position after the last whole event in `partial`.
+    fn last_event_end(&mut self) -> Option<usize> {
+        let from = self.scanned.saturating_sub(3);
+        let unscanned = &self.partial[from..];
         let mut found = None;
-        for index in 0..fresh.len() {
-            let tail = &fresh[..=index];
+        for index in 0..unscanned.len() {
+            let tail = &unscanned[..=index];
             if tail.ends_with(b"\n\n") || tail.ends_with(b"\n\r\n") {
                 found = Some(from + index + 1);
             }
         }
-        self.searched = self.rest.len();
+        self.scanned = self.partial.len();
         found
     }
 
-    fn note_ids(
+    fn record_last_id(
         &mut self,
         events: &[u8],
     ) {
--- a/src/direct/events_relay.rs
+++ b/src/direct/events_relay.rs
@@ -3,10 +3,10 @@
         attempt_end::AttemptEnd,
         event_splitter::EventSplitter,
         exchange::Exchange,
-        late_wait::wait_while_alive,
         live_answer::LiveAnswer,
-        reply::{ReplyBody, copy_head, cut, replica_reply},
+        reply::{ReplyBody, copy_head, cut_error, replica_reply},
         stream_watch::StreamWatch,
+        wait_while_alive::wait_while_alive,
     },
     crate::{codes::ResultCode, ops::STREAMS},
     bytes::Bytes,
@@ -17,23 +17,23 @@
     tokio::time::timeout,
 };
 
-/// The least silence between events after which another replica is tried.
-const LEAST_GAP: Duration = Duration::from_millis(1300);
+/// Minimum time without an event after which a stream is resumed at another replica.
+const MIN_RESUME_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// The longest pause that is in time, where the route names none.
-const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
+/// The target pause where the route sets none.
+const DEFAULT_TARGET_PAUSE: Duration = Duration::from_millis(200);
 
-/// A stream of events on its way to a caller, from one replica after another.
+/// Relays a stream of events to a caller, and resumes it at another replica if one fails.
 pub struct EventsRelay {
-    exchange: Option<Exchange>, // none once it is given back
+    exchange: Option<Exchange>, // `None` once it is returned by `start_reply`
     answer: LiveAnswer,
     splitter: EventSplitter,
-    done: bool,
-    resumed: bool,                 // and nothing has come since
-    first_after: Option<Duration>, // from the call's arrival to its first event
-    longest_pause: Duration,       // that the replica made
-    watch: Option<StreamWatch>,    // of its pauses, where its route says how long they may be
-    ended: &'static str,           // how, for the log
+    is_done: bool,
+    has_resumed: bool, // at another replica, without an event since
+    first_event_after: Option<Duration>, // time from the call's arrival to its first event
+    longest_pause: Duration, // between events, while the replica was waited for
+    pause_watch: Option<StreamWatch>, // if the route sets a target pause
+    outcome: &'static str, // `whole`, `cut`, or `left` if the caller disconnected; for log and metric
 }
 
 impl Drop for EventsRelay {
@@ -41,14 +41,14 @@
         let Some(exchange) = &self.exchange else {
             return;
         };
-        metrics::counter!(STREAMS, "how" => self.ended).increment(1);
+        metrics::counter!(STREAMS, "how" => self.outcome).increment(1);
         let took = exchange.gateway.now().saturating_sub(exchange.call.arrived);
         log::info!(
             request_id = exchange.call.request_id.as_str(),
-            replica = &**self.answer.work.replica(),
+            replica = &**self.answer.in_flight.replica(),
             last_event = self.splitter.last_id().unwrap_or(""),
-            how = self.ended,
-            first_ms = self.first_after.unwrap_or(took).as_millis() as u64,
+            how = self.outcome,
+            first_ms = self.first_event_after.unwrap_or(took).as_millis() as u64,
             longest_pause_ms = self.longest_pause.as_millis() as u64,
             ms = took.as_millis() as u64;
             "stream ended"
@@ -57,7 +57,7 @@
 }
 
 impl EventsRelay {
-    /// A stream whose head has come.
+    /// A relay for an answer whose head was received.
     pub fn new(
         exchange: Exchange,
         answer: LiveAnswer,
@@ -66,73 +66,75 @@
             exchange: Some(exchange),
             answer,
             splitter: EventSplitter::default(),
-            done: false,
-            resumed: false,
-            first_after: None,
+            is_done: false,
+            has_resumed: false,
+            first_event_after: None,
             longest_pause: Duration::ZERO,
-            watch: None,
-            ended: "left",
+            pause_watch: None,
+            outcome: "left",
         }
     }
 
-    /// Waits for the first event, then answers with it and all that follow.
-    /// Gives the exchange back if none comes.
-    pub async fn first(
+    /// Waits for the first event, then returns a response that streams it and all later ones.
+    /// Returns the exchange if no event arrives.
+    pub async fn start_reply(
         mut self,
         limit: Duration,
     ) -> Result<Response<ReplyBody>, (Exchange, AttemptEnd)> {
         let gateway = self.exchange().gateway.clone();
-        let replica = self.answer.work.replica().clone();
-        let left = self.exchange().time_left();
-        let first = wait_while_alive(&gateway, &replica, limit, left, self.piece()).await;
-        let first = first.unwrap_or_else(|| Err(silent(limit)));
+        let replica = self.answer.in_flight.replica().clone();
+        let time_left = self.exchange().time_left();
+        let first =
+            wait_while_alive(&gateway, &replica, limit, time_left, self.read_events()).await;
+        let first = first.unwrap_or_else(|| Err(timed_out(limit)));
         let first = match first {
             Ok(first) => first,
             Err(end) => {
-                let exchange = self.exchange.take().expect("given back once");
+                let exchange = self.exchange.take().expect("exchange taken twice");
                 return Err((exchange, end));
             }
         };
-        self.answer.work.first_token();
+        self.answer.in_flight.record_first_token();
         let arrived = self.exchange().call.arrived;
-        self.first_after = Some(gateway.now().saturating_sub(arrived));
-        self.watch_pauses();
+        self.first_event_after = Some(gateway.now().saturating_sub(arrived));
+        self.start_pause_watch();
         let head = copy_head(&self.answer.head);
         let pieces = stream::unfold((first, self), |(first, mut relay)| async move {
             if let Some(first) = first {
                 return Some((Ok(Frame::data(first)), (None, relay)));
             }
-            let piece = relay.next().await?;
+            let piece = relay.next_events().await?;
             Some((piece.map(Frame::data), (None, relay)))
         });
         let body = StreamBody::new(pieces).boxed_unsync();
         Ok(replica_reply(head, body, None))
     }
 
-    /// The next events for the caller, from whichever replica; none at the end.
-    async fn next(&mut self) -> Option<Result<Bytes, io::Error>> {
+    /// The next events for the caller, resuming the stream if its replica fails; `None` at the
+    /// end.
+    async fn next_events(&mut self) -> Option<Result<Bytes, io::Error>> {
         loop {
-            if self.done {
+            if self.is_done {
                 return None;
             }
-            let left = self.exchange().time_left();
+            let time_left = self.exchange().time_left();
             let limit = if self.may_resume() {
-                self.longest_gap().min(left)
+                self.resume_timeout().min(time_left)
             } else {
-                left
+                time_left
             };
-            match self.watched_piece(limit).await {
+            match self.read_events_within(limit).await {
                 Ok(Some(events)) => {
-                    if std::mem::take(&mut self.resumed) {
-                        self.answer.work.first_token();
+                    if std::mem::take(&mut self.has_resumed) {
+                        self.answer.in_flight.record_first_token();
                     }
                     return Some(Ok(events));
                 }
                 Ok(None) => return None,
                 Err(end) => {
                     if let Err(error) = self.resume(&end).await {
-                        self.done = true;
-                        self.ended = "cut";
+                        self.is_done = true;
+                        self.outcome = "cut";
                         return Some(Err(error));
                     }
                 }
@@ -140,76 +142,79 @@
         }
     }
 
-    /// The next whole events, awaited up to `limit`. Only time in which the replica is
-    /// waited for is a pause of it: a caller that reads slowly makes none.
-    async fn watched_piece(
+    /// The next whole events, awaited up to `limit`. Pauses are measured only while waiting for
+    /// the replica, so that a caller that reads slowly adds none.
+    async fn read_events_within(
         &mut self,
         limit: Duration,
     ) -> Result<Option<Bytes>, AttemptEnd> {
         let since = self.exchange().gateway.now();
-        // Taken out while the replica is waited for; dropped with this wait, it hands in
-        // what was seen.
-        let mut watch = self.watch.take();
-        let aim = watch.as_ref().and_then(StreamWatch::aim);
+        // Taken out for the wait: if this future is dropped, the watch is dropped with it and
+        // reports what it measured.
+        let mut watch = self.pause_watch.take();
+        let target_pause = watch.as_ref().and_then(StreamWatch::target_pause);
         let outcome = {
-            let piece = self.piece();
-            tokio::pin!(piece);
-            let first = aim.unwrap_or(limit).min(limit);
-            match (timeout(first, &mut piece).await, &mut watch) {
+            let events = self.read_events();
+            tokio::pin!(events);
+            let first = target_pause.unwrap_or(limit).min(limit);
+            match (timeout(first, &mut events).await, &mut watch) {
                 (Ok(outcome), _) => outcome,
                 (Err(_), Some(watch)) if first < limit => {
-                    watch.breaks();
-                    let left = limit.saturating_sub(first);
-                    timeout(left, &mut piece)
+                    watch.record_overrun();
+                    let remaining = limit.saturating_sub(first);
+                    timeout(remaining, &mut events)
                         .await
-                        .unwrap_or_else(|_| Err(silent(limit)))
+                        .unwrap_or_else(|_| Err(timed_out(limit)))
                 }
-                (Err(_), _) => Err(silent(limit)),
+                (Err(_), _) => Err(timed_out(limit)),
             }
         };
-        if self.first_after.is_some() {
+        if self.first_event_after.is_some() {
             let waited = self.exchange().gateway.now().saturating_sub(since);
             self.longest_pause = self.longest_pause.max(waited);
         }
         match (&outcome, &mut watch) {
-            (Ok(Some(_)), Some(watch)) => watch.event(since),
-            (Ok(Some(_)), None) => self.watch_pauses(),
+            (Ok(Some(_)), Some(watch)) => watch.record_event(since),
+            (Ok(Some(_)), None) => self.start_pause_watch(),
             _ => {}
         }
-        self.watch = self.watch.take().or(watch);
+        self.pause_watch = self.pause_watch.take().or(watch);
         outcome
     }
 
-    /// Watches the pauses of the present replica's events from now on.
-    fn watch_pauses(&mut self) {
+    /// Starts to measure the pauses between the current replica's events.
+    fn start_pause_watch(&mut self) {
         let exchange = self.exchange();
         let gateway = exchange.gateway.clone();
-        let entry = exchange.run.as_ref().map(|run| run.entry.clone());
-        let aim = exchange.call.route.pause_aim;
-        self.watch = entry
-            .zip(aim)
-            .map(|(entry, aim)| StreamWatch::new(gateway, entry, aim));
+        let entry = exchange
+            .last_attempt
+            .as_ref()
+            .map(|attempt| attempt.entry.clone());
+        let target_pause = exchange.call.route.pause_aim;
+        self.pause_watch = entry
+            .zip(target_pause)
+            .map(|(entry, target)| StreamWatch::new(gateway, entry, target));
     }
 
-    /// The next whole events of the present replica; none at its clean end.
-    async fn piece(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
-        if self.done {
+    /// The next whole events of the current replica; `None` if its stream ended cleanly.
+    async fn read_events(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
+        if self.is_done {
             return Ok(None);
         }
         loop {
-            match self.answer.chunk().await? {
+            match self.answer.next_chunk().await? {
                 Some(chunk) => {
                     if let Some(events) = self.splitter.push(&chunk) {
-                        self.exchange_mut().note_event();
+                        self.exchange_mut().record_event();
                         return Ok(Some(events));
                     }
                 }
                 None => {
-                    self.done = true;
-                    self.ended = "whole";
-                    self.exchange_mut().note_replica_success();
-                    self.exchange().learn_run();
-                    self.exchange().note_request_success();
+                    self.is_done = true;
+                    self.outcome = "whole";
+                    self.exchange_mut().record_replica_success();
+                    self.exchange().record_stream_duration();
+                    self.exchange().record_request_success();
                     let rest = self.splitter.take_rest();
                     return Ok((!rest.is_empty()).then_some(rest));
                 }
@@ -218,57 +223,61 @@
     }
 
     fn exchange(&self) -> &Exchange {
-        self.exchange.as_ref().expect("held until given back")
+        self.exchange.as_ref().expect("exchange already taken")
     }
 
     fn exchange_mut(&mut self) -> &mut Exchange {
-        self.exchange.as_mut().expect("held until given back")
+        self.exchange.as_mut().expect("exchange already taken")
     }
 
     fn may_resume(&self) -> bool {
         self.exchange().may_repeat() && self.splitter.last_id().is_some()
     }
 
-    fn longest_gap(&self) -> Duration {
-        let pause = self
+    /// How long to wait for an event before the stream is resumed at another replica.
+    fn resume_timeout(&self) -> Duration {
+        let target_pause = self
             .exchange()
             .call
             .route
             .pause_aim
-            .unwrap_or(DEFAULT_PAUSE);
-        (pause * 5).max(LEAST_GAP)
+            .unwrap_or(DEFAULT_TARGET_PAUSE);
+        (target_pause * 5).max(MIN_RESUME_TIMEOUT)
     }
 
-    /// Goes on at another replica after the last whole event.
+    /// Resumes the stream at another replica after the last whole event.
     async fn resume(
         &mut self,
         end: &AttemptEnd,
     ) -> Result<(), io::Error> {
-        let resumable = self.may_resume();
+        let may_resume = self.may_resume();
         let ended = self.exchange_mut().end_attempt(end).await;
         if let Err(error) = ended {
-            return Err(cut(error.code));
+            return Err(cut_error(error.code));
         }
-        if !resumable {
-            return Err(cut(end.code()));
+        if !may_resume {
+            return Err(cut_error(end.code()));
         }
-        // Closes the connection first: no two replicas may work on one request.
-        self.answer.abandon();
-        self.watch = None;
+        // The connection is closed first, so that no two replicas work on one request.
+        self.answer.close();
+        self.pause_watch = None;
         self.splitter.drop_rest();
         let last = self.splitter.last_id().map(str::to_owned);
-        let begun = self.exchange_mut().begin(last.as_deref()).await;
-        let begun = begun.map_err(|error| cut(error.code))?;
-        if begun.answer.head.status != 200 {
-            return Err(cut(format!("resumed with {}", begun.answer.head.status)));
+        let started = self.exchange_mut().start_answer(last.as_deref()).await;
+        let started = started.map_err(|error| cut_error(error.code))?;
+        if started.answer.head.status != 200 {
+            return Err(cut_error(format!(
+                "replica resumed the stream with status {}",
+                started.answer.head.status
+            )));
         }
-        self.answer = begun.answer;
-        self.resumed = true;
+        self.answer = started.answer;
+        self.has_resumed = true;
         Ok(())
     }
 }
 
-fn silent(limit: Duration) -> AttemptEnd {
+fn timed_out(limit: Duration) -> AttemptEnd {
     AttemptEnd::Unknown {
         code: ResultCode::UpstreamTimeout,
         detail: format!("no event in {} ms", limit.as_millis()),
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -1,8 +1,8 @@
 use {
     super::{
         attempt::send_call, attempt_end::AttemptEnd, call::Call, events_relay::EventsRelay,
-        gateway::Gateway, late_wait::wait_while_alive, live_answer::LiveAnswer,
-        plain_relay::plain_reply, reply::ReplyBody, sent_run::SentRun, unanswered::Unanswered,
+        gateway::Gateway, live_answer::LiveAnswer, plain_relay::plain_reply, reply::ReplyBody,
+        sent_attempt::SentAttempt, unanswered::Unanswered, wait_while_alive::wait_while_alive,
     },
     crate::{
         codes::{ErrorAnswer, ResultCode},
@@ -12,45 +12,46 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Attempts that end before a byte is sent count for no replica, but end too.
-pub(super) const MAX_UNSENT: u32 = 4;
+/// Attempts that fail before a byte is sent do not count towards the route's attempts, and
+/// have their own limit.
+pub(super) const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
-/// An attempt with less time than this is not made.
-pub(super) const LEAST_TIME: Duration = Duration::from_millis(30);
+/// No attempt is started with less time left than this.
+pub(super) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(30);
 
-/// The final answer leaves this much before the caller's time is over.
+/// The final answer is sent this long before the caller's deadline.
 const ANSWER_MARGIN: Duration = Duration::from_millis(15);
 
-/// When to come back after a replica refused without saying when.
-pub(super) const REFUSED_RETRY: Duration = Duration::from_millis(300);
+/// Retry-After where a replica refused without giving one.
+pub(super) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// The least time that a first event gets before another replica is tried.
-const LEAST_FIRST_EVENT: Duration = Duration::from_millis(900);
+/// Minimum wait for the first event of a stream before another replica is tried.
+const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// One call on its way to an answer: attempt by attempt.
+/// Processes one call: sends it to one replica after another until one answers.
 pub struct Exchange {
     pub gateway: Arc<Gateway>,
     pub call: Arc<Call>,
-    pub(super) tried: Vec<Arc<str>>, // replicas that it went to
-    pub(super) sent: u32,            // attempts of which something was sent
-    pub(super) unsent: u32,          // attempts that ended before
-    pub(super) may_have_run: bool,   // some attempt's outcome is unknown
-    pub(super) granted: f32,         // tokens that its account was charged
-    pub(super) share: Option<AccountShare>, // of its account, when it was last placed
-    pub(super) run: Option<SentRun>, // the last attempt
-    pub(super) ends: u32,            // attempts under which a replica ended
-    pub(super) checked_after: Option<u32>, // so many, when it was last looked whether it is held back
-    failure: Option<Response<ReplyBody>>,  // a replica's own, if nothing better comes
+    pub(super) tried: Vec<Arc<str>>, // ids of the replicas chosen so far
+    pub(super) sent_attempts: u32,   // of which at least a byte was sent
+    pub(super) unsent_attempts: u32, // that failed before
+    pub(super) may_have_run: bool,   // the outcome of some attempt is unknown
+    pub(super) charged_tokens: f32,  // zero until the account is charged
+    pub(super) share: Option<AccountShare>, // of the account, at the last placement
+    pub(super) last_attempt: Option<SentAttempt>,
+    pub(super) crashes: u32, // attempts during which the replica crashed
+    pub(super) checked_at_crashes: Option<u32>, // `crashes` at the last check for a held back request
+    failure: Option<Response<ReplyBody>>, // a replica's error answer, relayed if no attempt succeeds
 }
 
-/// An answer that has begun, and what its replica was expected to take.
-pub struct Begun {
+/// An answer whose head was received, and the time that remains for its body.
+pub struct StartedAnswer {
     pub answer: LiveAnswer,
-    pub limit: Duration, // for the first piece
+    pub timeout: Duration, // until the first event, or the whole plain answer
 }
 
 impl Exchange {
-    /// A call that has not been sent anywhere.
+    /// An exchange for a call that was not sent yet.
     pub fn new(
         gateway: Arc<Gateway>,
         call: Arc<Call>,
@@ -59,31 +60,31 @@
             gateway,
             call,
             tried: Vec::new(),
-            sent: 0,
-            unsent: 0,
+            sent_attempts: 0,
+            unsent_attempts: 0,
             may_have_run: false,
-            granted: 0.0,
+            charged_tokens: 0.0,
             share: None,
-            run: None,
-            ends: 0,
-            checked_after: None,
+            last_attempt: None,
+            crashes: 0,
+            checked_at_crashes: None,
             failure: None,
         }
     }
 
-    /// Brings the call to its answer.
+    /// Sends the call until it is answered or no attempt is left.
     pub async fn run(mut self) -> Result<Response<ReplyBody>, Unanswered> {
         self.gateway.count_request(&self.call.service);
-        self.ask();
+        self.record_demand();
         loop {
-            let begun = match self.begin(None).await {
-                Ok(begun) => begun,
+            let started = match self.start_answer(None).await {
+                Ok(started) => started,
                 Err(error) => return self.unanswered(error),
             };
-            let is_events = self.call.route.kind.is_stream() && begun.answer.head.status == 200;
+            let is_events = self.call.route.kind.is_stream() && started.answer.head.status == 200;
             let outcome = if is_events {
-                let relay = EventsRelay::new(self, begun.answer);
-                match relay.first(begun.limit).await {
+                let relay = EventsRelay::new(self, started.answer);
+                match relay.start_reply(started.timeout).await {
                     Ok(response) => return Ok(response),
                     Err((exchange, end)) => {
                         self = exchange;
@@ -91,7 +92,7 @@
                     }
                 }
             } else {
-                match plain_reply(&mut self, begun).await {
+                match plain_reply(&mut self, started).await {
                     Ok(response) => return Ok(response),
                     Err(end) => end,
                 }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The failure that a replica gave, or else why there is no answer.
+    /// The error answer of a replica if there is one, otherwise the router's own error.
     fn unanswered(
         self,
         error: ErrorAnswer,
@@ -111,31 +112,31 @@
         self.failure.ok_or(Unanswered { error, share })
     }
 
-    /// Keeps a replica's failure for the caller, if nothing better comes.
-    pub fn keep_failure(
+    /// Sets the replica's error answer that is relayed if no later attempt succeeds.
+    pub fn set_failure(
         &mut self,
         failure: Response<ReplyBody>,
     ) {
         self.failure = Some(failure);
     }
 
-    /// Sends the call on until a replica begins to answer.
-    pub async fn begin(
+    /// Sends the call to replicas until one starts to answer.
+    pub async fn start_answer(
         &mut self,
         last_event: Option<&str>,
-    ) -> Result<Begun, ErrorAnswer> {
+    ) -> Result<StartedAnswer, ErrorAnswer> {
         loop {
             self.check_suspect()?;
-            let (target, expected) = self.choose()?;
+            let (target, expected) = self.choose_replica()?;
             let replica = target.entry.id.clone();
-            let limit = self.limit(expected);
-            let started = self.gateway.now();
-            self.run = Some(SentRun::new(
+            let limit = self.attempt_timeout(expected);
+            let sent_at = self.gateway.now();
+            self.last_attempt = Some(SentAttempt::new(
                 self.gateway.clone(),
                 self.call.clone(),
                 target.entry.clone(),
                 expected,
-                target.waits,
+                target.queue_wait,
             ));
             let sending = send_call(&self.gateway, &self.call, target, last_event);
             let waited =
@@ -146,94 +147,97 @@
                     detail: format!("no answer in {} ms", limit.as_millis()),
                 })
             });
-            self.note_sent(&replica, &outcome);
+            self.count_attempt(&replica, &outcome);
             match outcome {
                 Ok(answer) => {
-                    let spent = self.gateway.now().saturating_sub(started);
-                    let limit = limit.saturating_sub(spent);
-                    return Ok(Begun { answer, limit });
+                    let spent = self.gateway.now().saturating_sub(sent_at);
+                    let timeout = limit.saturating_sub(spent);
+                    return Ok(StartedAnswer { answer, timeout });
                 }
                 Err(end) => self.end_attempt(&end).await?,
             }
         }
     }
 
-    /// Whether the call may be sent once more after an unknown outcome.
+    /// Whether the call may be sent again after an attempt with unknown outcome.
     pub fn may_repeat(&self) -> bool {
         self.call.route.kind.may_repeat()
-            && self.sent < self.call.route.max_attempts
-            && self.time_left() > LEAST_TIME
+            && self.sent_attempts < self.call.route.max_attempts
+            && self.time_left() > MIN_ATTEMPT_TIME
     }
 
-    /// What is left until the final answer must leave.
+    /// Time left until the final answer must be sent.
     pub fn time_left(&self) -> Duration {
-        let left = self.call.time_left(self.gateway.now());
-        left.saturating_sub(ANSWER_MARGIN)
+        let time_left = self.call.time_left(self.gateway.now());
+        time_left.saturating_sub(ANSWER_MARGIN)
     }
 
-    /// The replica of the last attempt answered whole.
-    pub fn note_replica_success(&mut self) {
-        if let Some(run) = &mut self.run {
-            run.is_over();
-            self.gateway.board().succeeded(&run.entry);
+    /// Records that the replica of the last attempt answered completely.
+    pub fn record_replica_success(&mut self) {
+        if let Some(attempt) = &mut self.last_attempt {
+            attempt.finish();
+            self.gateway.board().succeeded(&attempt.entry);
         }
     }
 
-    /// The same, with an answer that is no stream: what it took tells how quick the
-    /// replica is, and how far off what was expected.
-    pub fn note_plain_success(&mut self) {
+    /// Records the same for an answer that is not a stream; its duration also updates the
+    /// estimates of the replica's speed and of the error of the expected duration.
+    pub fn record_plain_success(&mut self) {
         let now = self.gateway.now();
-        if let Some(run) = &mut self.run {
-            run.is_over();
+        if let Some(attempt) = &mut self.last_attempt {
+            attempt.finish();
             let mut board = self.gateway.board();
-            board.succeeded(&run.entry);
-            board.learn_plain(&run.entry, run.plain(now));
+            board.succeeded(&attempt.entry);
+            board.learn_plain(&attempt.entry, attempt.plain_run(now));
         }
     }
 
-    /// A stream came whole: how long it ran says how long others will, if one replica ran
-    /// all of it.
-    pub fn learn_run(&self) {
-        let run = self.run.as_ref().filter(|_| self.sent == 1);
-        let begun = run.and_then(|run| Some((&run.entry, run.first_event?)));
-        if let Some(((entry, begun), prompt)) = begun.zip(self.call.prompt.as_ref()) {
+    /// Updates the estimate of stream durations after a complete stream that a single
+    /// replica generated.
+    pub fn record_stream_duration(&self) {
+        let attempt = self
+            .last_attempt
+            .as_ref()
+            .filter(|_| self.sent_attempts == 1);
+        let started = attempt.and_then(|attempt| Some((&attempt.entry, attempt.first_event_at?)));
+        if let Some(((entry, started), prompt)) = started.zip(self.call.prompt.as_ref()) {
             let now = self.gateway.now();
-            let took = now.saturating_sub(begun);
+            let took = now.saturating_sub(started);
             let mut board = self.gateway.board();
             board.learn_run(now, entry, prompt.output_tokens, took);
         }
     }
 
-    /// An event of the last attempt came whole.
-    pub fn note_event(&mut self) {
+    /// Records that an event of the last attempt arrived completely.
+    pub fn record_event(&mut self) {
         let now = self.gateway.now();
-        if let Some(run) = &mut self.run {
-            run.first_event.get_or_insert(now);
+        if let Some(attempt) = &mut self.last_attempt {
+            attempt.first_event_at.get_or_insert(now);
         }
     }
 
-    /// How long an attempt may take before another replica is tried, or the
-    /// caller is answered.
-    fn limit(
+    /// How long an attempt may take before another replica is tried or the caller gets an
+    /// error.
+    fn attempt_timeout(
         &self,
         expected: Duration,
     ) -> Duration {
-        let left = self.time_left();
-        let again =
-            self.call.route.kind.may_repeat() && self.sent + 1 < self.call.route.max_attempts;
-        if !again {
-            return left;
+        let time_left = self.time_left();
+        let may_retry = self.call.route.kind.may_repeat()
+            && self.sent_attempts + 1 < self.call.route.max_attempts;
+        if !may_retry {
+            return time_left;
         }
-        let aim = self.call.route.aim;
-        let patience = if self.call.route.kind.is_stream() {
-            (aim + expected * 2).max(LEAST_FIRST_EVENT)
+        let target_latency = self.call.route.aim;
+        let timeout = if self.call.route.kind.is_stream() {
+            (target_latency + expected * 2).max(MIN_FIRST_EVENT_TIMEOUT)
         } else {
-            aim * 2 + expected
+            target_latency * 2 + expected
         };
-        patience.min(left)
+        timeout.min(time_left)
     }
 
-    fn note_sent<T>(
+    fn count_attempt<T>(
         &mut self,
         replica: &str,
         outcome: &Result<T, AttemptEnd>,
@@ -242,13 +246,13 @@
             outcome,
             Err(AttemptEnd::NotSent { .. } | AttemptEnd::Withheld)
         ) {
-            self.unsent += 1;
+            self.unsent_attempts += 1;
         } else {
-            self.sent += 1;
+            self.sent_attempts += 1;
         }
         log::debug!(
             request_id = self.call.request_id.as_str(), replica = replica;
-            "sent {} unsent {}", self.sent, self.unsent
+            "attempts: {} sent, {} not sent", self.sent_attempts, self.unsent_attempts
         );
     }
 }
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -1,10 +1,10 @@
-//! Where a call goes, and what its account is charged for it.
+//! Chooses the replica for a call, and charges the call to its account.
 
 use {
     super::{
-        attempt::Target,
-        exchange::{Exchange, REFUSED_RETRY},
-        held_work::HeldWork,
+        attempt::AttemptTarget,
+        exchange::{DEFAULT_RETRY_AFTER, Exchange},
+        in_flight_guard::InFlightGuard,
     },
     crate::{
         codes::{ErrorAnswer, ResultCode},
@@ -19,13 +19,13 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Peers are told at once of a request that reads this many tokens or more: what
-/// they send before they know of it waits behind it.
-const URGENT_READING: u32 = 1000;
+/// Requests with at least this many prefill tokens are reported to peers immediately: what
+/// peers send to the replica before they know of them has to wait for the prefill.
+const URGENT_PREFILL_TOKENS: u32 = 1000;
 
 impl Exchange {
-    /// Asks the board for a replica and counts the call there.
-    pub(super) fn choose(&mut self) -> Result<(Target, Duration), ErrorAnswer> {
+    /// Chooses a replica and adds the call to its load. Returns the expected duration with it.
+    pub(super) fn choose_replica(&mut self) -> Result<(AttemptTarget, Duration), ErrorAnswer> {
         let now = self.gateway.now();
         let call = self.call.clone();
         self.share = self.account_share();
@@ -37,7 +37,7 @@
             zone: &zone,
             engine: call.engine,
             prompt: call.prompt.as_ref(),
-            aim: call.service_aim,
+            aim: call.shortest_target_latency,
             pause_aim: call.route.pause_aim,
             standing,
             tried: &self.tried,
@@ -45,7 +45,7 @@
         };
         board.refresh_beliefs(now);
         let choice = board.choose(now, &request);
-        self.count_room(now, &choice, standing);
+        self.record_capacity(now, &choice, standing);
         match choice {
             Choice::Refuse {
                 reason,
@@ -78,21 +78,21 @@
                 let fetch_from = source.map(|view| view.entry.address);
                 drop(board);
                 let (Some(number), Some(entry)) = (number, entry) else {
-                    return Err(self.refusal(RefusalReason::NoReplica, REFUSED_RETRY));
+                    return Err(self.refusal(RefusalReason::NoReplica, DEFAULT_RETRY_AFTER));
                 };
-                if reading >= URGENT_READING {
+                if reading >= URGENT_PREFILL_TOKENS {
                     self.gateway.report_wanted.notify_one();
                 }
                 self.log_sent(&replica, reading, front_ms, pauses_ms, fetch_from, expected);
-                let work = HeldWork::new(self.gateway.clone(), number, replica.clone());
+                let in_flight = InFlightGuard::new(self.gateway.clone(), number, replica.clone());
                 self.tried.push(replica);
-                self.grant();
+                self.charge_account();
                 Ok((
-                    Target {
+                    AttemptTarget {
                         entry,
                         fetch_from,
-                        waits: Duration::from_secs_f64(front_ms / 1000.0),
-                        work,
+                        queue_wait: Duration::from_secs_f64(front_ms / 1000.0),
+                        in_flight,
                     },
                     expected,
                 ))
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Whether a prompt of an account that is not over its share found room says what the
-    /// replicas make.
-    fn count_room(
+    /// Records whether a prompt was placed or refused for lack of capacity, for the estimate
+    /// of the replicas' total throughput. Requests of accounts over their share do not count.
+    fn record_capacity(
         &self,
         now: Moment,
         choice: &Choice,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// One line for the decision, with what decided it.
+    /// Logs a placement with the figures that it was based on.
     fn log_sent(
         &self,
         replica: &str,
@@ -131,14 +131,14 @@
         expected: Duration,
     ) {
         let tokens = self.call.prompt.as_ref().map_or(0, PromptShape::tokens);
-        let other = if fetch_from.is_some() {
+        let saved_kind = if fetch_from.is_some() {
             "fetched"
         } else {
             "kept"
         };
         metrics::counter!(PROMPT_TOKENS, "kind" => "read").increment(u64::from(reading));
         let saved = u64::from(tokens.saturating_sub(reading));
-        metrics::counter!(PROMPT_TOKENS, "kind" => other).increment(saved);
+        metrics::counter!(PROMPT_TOKENS, "kind" => saved_kind).increment(saved);
         let fetch_from = fetch_from.map_or_else(String::new, |address| address.to_string());
         let origin = self.gateway.catalog.upstream_origin(replica);
         let share = self.share.unwrap_or_default();
@@ -158,7 +158,7 @@
             pauses_ms = pauses_ms as u64,
             fetch_from = fetch_from.as_str(),
             expected_ms = expected.as_millis() as u64,
-            attempt = self.sent + self.unsent + 1,
+            attempt = self.sent_attempts + self.unsent_attempts + 1,
             config = self.call.config_version,
             upstreams_at = self.gateway.catalog.version().upstreams,
             upstream_at = origin.as_ref().map_or(0, |origin| origin.revision),
@@ -174,7 +174,7 @@
         reason: RefusalReason,
         retry_after: Duration,
     ) -> ErrorAnswer {
-        self.take_back();
+        self.refund_account();
         if self.may_have_run {
             return ErrorAnswer::new(ResultCode::OutcomeUnknown);
         }
@@ -193,7 +193,8 @@
         self.call.account.as_deref().map(short_name)
     }
 
-    pub(super) fn ask(&self) {
+    /// Adds the call to what its account asked for.
+    pub(super) fn record_demand(&self) {
         if let Some(account) = self.account() {
             let now = self.gateway.now();
             self.gateway.shares().ask(now, account, self.call.tokens());
@@ -203,26 +204,28 @@
     fn account_share(&self) -> Option<AccountShare> {
         let account = self.account()?;
         let now = self.gateway.now();
-        let asking = self.call.tokens();
-        Some(self.gateway.shares().share(now, account, asking))
+        let asked = self.call.tokens();
+        Some(self.gateway.shares().share(now, account, asked))
     }
 
-    /// Charges the account, once.
-    pub(super) fn grant(&mut self) {
-        if self.granted > 0.0 {
+    /// Charges the account for the call; later calls of this method have no effect.
+    pub(super) fn charge_account(&mut self) {
+        if self.charged_tokens > 0.0 {
             return;
         }
         if let Some(account) = self.account() {
-            self.granted = self.call.tokens();
+            self.charged_tokens = self.call.tokens();
             let now = self.gateway.now();
-            self.gateway.shares().give(now, account, self.granted);
+            self.gateway
+                .shares()
+                .give(now, account, self.charged_tokens);
         }
     }
 
-    /// Charges it back: it got nothing.
-    pub(super) fn take_back(&mut self) {
+    /// Refunds the charge of a call that got no answer.
+    pub(super) fn refund_account(&mut self) {
         if let Some(account) = self.account() {
-            let tokens = std::mem::take(&mut self.granted);
+            let tokens = std::mem::take(&mut self.charged_tokens);
             self.gateway.shares().take_back(account, tokens);
         }
     }
--- a/src/direct/exchange_end.rs
+++ b/src/direct/exchange_end.rs
@@ -1,10 +1,10 @@
-//! How an attempt ended: what it says of its replica, whether another follows, and what
-//! the caller is told.
+//! The end of an attempt that brought no answer: records it for the replica, and decides
+//! whether another attempt follows or which error the caller gets.
 
 use {
     super::{
         attempt_end::AttemptEnd,
-        exchange::{Exchange, LEAST_TIME, MAX_UNSENT, REFUSED_RETRY},
+        exchange::{DEFAULT_RETRY_AFTER, Exchange, MAX_UNSENT_ATTEMPTS, MIN_ATTEMPT_TIME},
     },
     crate::{
         codes::{ErrorAnswer, Ran, ResultCode},
@@ -15,75 +15,81 @@
 };
 
 impl Exchange {
-    /// Takes in how an attempt ended: the error for the caller unless another
-    /// attempt may follow.
+    /// Ends the last attempt. Returns the error for the caller unless another attempt may
+    /// follow.
     pub async fn end_attempt(
         &mut self,
         end: &AttemptEnd,
     ) -> Result<(), ErrorAnswer> {
-        self.note_evidence(end);
-        if let Some(run) = self.run.as_mut().filter(|_| end.is_over_there()) {
-            run.is_over();
+        self.record_evidence(end);
+        if let Some(attempt) = self
+            .last_attempt
+            .as_mut()
+            .filter(|_| end.has_stopped_at_replica())
+        {
+            attempt.finish();
         }
         self.may_have_run |= !end.did_not_run();
-        let replica_ended = end.is_cut() && self.has_replica_ended().await;
-        let held_back = replica_ended && self.note_replica_end();
-        let goes_on = !held_back && self.goes_on(end);
-        self.log_end(end, replica_ended, goes_on);
-        if goes_on {
+        let has_exited = end.is_connection_lost() && self.has_replica_exited().await;
+        let is_held_back = has_exited && self.record_crash();
+        let tries_again = !is_held_back && self.tries_again(end);
+        self.log_end(end, has_exited, tries_again);
+        if tries_again {
             return Ok(());
         }
-        self.take_back();
+        self.refund_account();
         Err(self.error(end))
     }
 
-    /// Whether the replica of the last attempt has ended.
-    async fn has_replica_ended(&mut self) -> bool {
-        let Some(run) = &self.run else {
+    /// Whether the process of the last attempt's replica has exited.
+    async fn has_replica_exited(&mut self) -> bool {
+        let Some(attempt) = &self.last_attempt else {
             return false;
         };
         let gateway = &self.gateway;
         gateway
-            .end_checks
-            .has_ended(&gateway.pool, &run.entry)
+            .exit_checks
+            .has_exited(&gateway.pool, &attempt.entry)
             .await
     }
 
-    /// One line for an attempt that brought no answer.
+    /// Logs an attempt that brought no answer.
     fn log_end(
         &self,
         end: &AttemptEnd,
-        replica_ended: bool,
-        goes_on: bool,
+        has_exited: bool,
+        tries_again: bool,
     ) {
         let now = self.gateway.now();
         let age = |since: Moment| now.saturating_sub(since).as_millis() as u64;
-        let run = self.run.as_ref();
+        let attempt = self.last_attempt.as_ref();
         log::info!(
             request_id = self.call.request_id.as_str(),
             request = self.call.digest().to_string().as_str(),
             code = end.code().number(),
             replica = self.tried.last().map_or("", |id| id),
-            replica_ended = replica_ended,
-            sent_ms = run.map(|run| age(run.sent)),
-            first_event_ms = run.and_then(|run| run.first_event).map(age),
-            sent = self.sent,
-            again = goes_on;
+            replica_ended = has_exited,
+            sent_ms = attempt.map(|attempt| age(attempt.sent_at)),
+            first_event_ms = attempt.and_then(|attempt| attempt.first_event_at).map(age),
+            sent = self.sent_attempts,
+            again = tries_again;
             "attempt ended: {end:?}"
         );
     }
 
-    fn goes_on(
+    /// Whether another attempt follows. Takes it from the service's retry budget unless the
+    /// request was not sent.
+    fn tries_again(
         &self,
         end: &AttemptEnd,
     ) -> bool {
-        let in_time = self.time_left() > LEAST_TIME;
-        let more = self.sent < self.call.route.max_attempts;
+        let has_time = self.time_left() > MIN_ATTEMPT_TIME;
+        let has_attempts = self.sent_attempts < self.call.route.max_attempts;
         match end {
             AttemptEnd::NotSent { .. } | AttemptEnd::Withheld => {
-                in_time && self.unsent < MAX_UNSENT
+                has_time && self.unsent_attempts < MAX_UNSENT_ATTEMPTS
             }
-            AttemptEnd::Refused { .. } => in_time && more && self.take_retry("refused"),
+            AttemptEnd::Refused { .. } => has_time && has_attempts && self.take_retry("refused"),
             AttemptEnd::Failed { .. } => self.may_repeat() && self.take_retry("failure"),
             AttemptEnd::Unknown { .. } => self.may_repeat() && self.take_retry("unknown"),
         }
@@ -91,15 +97,16 @@
 
     fn take_retry(
         &self,
-        why: &'static str,
+        reason: &'static str,
     ) -> bool {
         let taken = self.gateway.take_retry(&self.call.service);
         if taken {
-            metrics::counter!(RETRIES, "why" => why).increment(1);
+            metrics::counter!(RETRIES, "why" => reason).increment(1);
         }
         taken
     }
 
+    /// The error for the caller after the last attempt.
     fn error(
         &self,
         end: &AttemptEnd,
@@ -116,34 +123,35 @@
                 ..ErrorAnswer::new(code)
             };
         }
-        error.retry_after(self.wait_after(end))
+        error.retry_after(self.retry_after(end))
     }
 
-    /// When the caller should come back. The rest that one replica asked for is no matter of
-    /// a caller that others may serve.
-    fn wait_after(
+    /// Retry-After for the caller. Where one replica asked for a backoff, the caller waits
+    /// only until the first replica of the service takes requests again.
+    fn retry_after(
         &self,
         end: &AttemptEnd,
     ) -> Duration {
         match end {
             AttemptEnd::Refused { status: 503, .. } => {
                 let board = self.gateway.board();
-                let rest = board.all_rest_for(self.gateway.now(), &self.call.service);
-                rest.unwrap_or_default().max(REFUSED_RETRY)
+                let backoff = board.all_rest_for(self.gateway.now(), &self.call.service);
+                backoff.unwrap_or_default().max(DEFAULT_RETRY_AFTER)
             }
-            AttemptEnd::Refused { retry_after, .. } => retry_after.unwrap_or(REFUSED_RETRY),
-            _ => REFUSED_RETRY,
+            AttemptEnd::Refused { retry_after, .. } => retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
+            _ => DEFAULT_RETRY_AFTER,
         }
     }
 
-    fn note_evidence(
+    /// Records in the replica's health how the attempt ended.
+    fn record_evidence(
         &self,
         end: &AttemptEnd,
     ) {
-        let Some(run) = &self.run else {
+        let Some(attempt) = &self.last_attempt else {
             return;
         };
-        let replica = &*run.entry;
+        let replica = &*attempt.entry;
         let now = self.gateway.now();
         let mut board = self.gateway.board();
         match end {
@@ -156,7 +164,7 @@
         }
         drop(board);
         if end.code() == ResultCode::UpstreamTimeout {
-            self.gateway.pool.forget_resting(&replica.id);
+            self.gateway.pool.close_idle(&replica.id);
         }
     }
 }
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -1,9 +1,10 @@
-//! What a call's attempts say of its request, and what is known of it.
+//! Requests during which replicas crash: records the crashes, and refuses calls whose request
+//! is held back because of them.
 
 use {
     super::{
         call::Call,
-        exchange::{Exchange, REFUSED_RETRY},
+        exchange::{DEFAULT_RETRY_AFTER, Exchange},
         gateway::Gateway,
     },
     crate::{
@@ -18,55 +19,55 @@
 };
 
 impl Exchange {
-    /// Refuses the call while its request is held back: replicas ended under it, at this
-    /// router or others. Looked at before the first attempt and after each that ended its
-    /// replica; one that is let through for a trial may go to another replica meanwhile.
+    /// Refuses the call while its request is held back, as replicas crashed while they ran it
+    /// for this router or others. Checked before the first attempt and after each crash, not
+    /// between: a request that was let through as a trial may be sent to another replica.
     pub(super) fn check_suspect(&mut self) -> Result<(), ErrorAnswer> {
-        if self.checked_after == Some(self.ends) {
+        if self.checked_at_crashes == Some(self.crashes) {
             return Ok(());
         }
-        self.checked_after = Some(self.ends);
+        self.checked_at_crashes = Some(self.crashes);
         let now = self.gateway.now();
         let mut suspects = self.gateway.suspects();
         if !suspects.holds_any() {
             return Ok(());
         }
         let request = self.call.digest();
-        let Some(left) = suspects.held_back(now, request) else {
+        let Some(remaining) = suspects.held_back(now, request) else {
             return Ok(());
         };
         drop(suspects);
         log::info!(
             request_id = self.call.request_id.as_str(),
             request = request.to_string().as_str(),
-            left_ms = left.as_millis() as u64;
+            left_ms = remaining.as_millis() as u64;
             "request is held back"
         );
-        Err(self.held_back(left))
+        Err(self.held_back(remaining))
     }
 
-    /// Notes that the replica of the last attempt ended under the request, unless it was
-    /// to end. Whether the request is held back from now on.
-    pub(super) fn note_replica_end(&mut self) -> bool {
-        let Some(run) = &self.run else {
+    /// Records that the replica of the last attempt crashed while it ran the request. Returns
+    /// whether the request is held back from now on.
+    pub(super) fn record_crash(&mut self) -> bool {
+        let Some(attempt) = &self.last_attempt else {
             return false;
         };
-        let ended = run.ended(self.gateway.now());
-        match self.gateway.note_run_end(&ended) {
+        let interrupted = attempt.interrupted(self.gateway.now());
+        match self.gateway.record_interrupted(&interrupted) {
             None => false,
             Some(is_held_back) => {
-                self.ends += 1;
+                self.crashes += 1;
                 is_held_back
             }
         }
     }
 
-    /// A replica answered the request with a success, whole.
-    pub(super) fn note_request_success(&self) {
+    /// Records that a replica answered the request completely and with a success.
+    pub(super) fn record_request_success(&self) {
         let request = self.call.digest();
         let now = self.gateway.now();
-        let excused = self.gateway.suspects().answered(now, request);
-        if excused {
+        let is_cleared = self.gateway.suspects().answered(now, request);
+        if is_cleared {
             log::info!(
                 request_id = self.call.request_id.as_str(),
                 request = request.to_string().as_str();
@@ -77,62 +78,64 @@
 
     fn held_back(
         &mut self,
-        left: Duration,
+        remaining: Duration,
     ) -> ErrorAnswer {
-        self.take_back();
+        self.refund_account();
         if self.may_have_run {
             return ErrorAnswer::new(ResultCode::OutcomeUnknown);
         }
-        ErrorAnswer::new(ResultCode::HeldBack).retry_after(left.max(REFUSED_RETRY))
+        ErrorAnswer::new(ResultCode::HeldBack).retry_after(remaining.max(DEFAULT_RETRY_AFTER))
     }
 }
 
-/// A run that was under way when its replica ended, or that was left shortly before.
-pub struct EndedRun {
+/// An attempt that was in progress when its replica crashed, or was abandoned shortly before.
+pub struct InterruptedAttempt {
     pub call: Arc<Call>,
     pub entry: Arc<UpstreamEntry>,
-    pub sent: Moment,
-    pub first_event: Option<Moment>,
-    pub ended: Moment,
+    pub sent_at: Moment,
+    pub first_event_at: Option<Moment>,
+    pub interrupted_at: Moment,
 }
 
 impl Gateway {
-    /// Notes that a replica ended under a run, unless it was to end. Whether its request is
-    /// held back from now on; none if the end speaks against nobody.
-    pub(super) fn note_run_end(
+    /// Records that a replica exited while it ran the request, which counts against the request
+    /// unless the exit was planned. Returns whether the request is held back from now on; `None`
+    /// if the exit was planned.
+    pub(super) fn record_interrupted(
         &self,
-        run: &EndedRun,
+        attempt: &InterruptedAttempt,
     ) -> Option<bool> {
         let now = self.now();
-        let was_to_end = {
+        let was_planned = {
             let mut board = self.board();
-            board.ended(now, &run.entry);
-            // A planned end speaks against no request, also while the list does not know yet.
-            board.is_to_end(now, &run.entry)
+            board.ended(now, &attempt.entry);
+            // The replica may have announced its exit before the upstream list shows it.
+            board.is_to_end(now, &attempt.entry)
         };
-        if was_to_end {
+        if was_planned {
             return None;
         }
-        let replica = run.entry.start_name();
+        let replica = attempt.entry.start_name();
         let end = RunEnd::seen(
             rand::random(),
             replica,
-            run.sent,
-            run.first_event,
-            run.ended,
+            attempt.sent_at,
+            attempt.first_event_at,
+            attempt.interrupted_at,
         );
-        let request = run.call.digest();
-        let account = run.call.account.as_deref().map_or(0, short_name);
+        let request = attempt.call.digest();
+        let account = attempt.call.account.as_deref().map_or(0, short_name);
         let hold = self.suspects().ended(now, request, account, end);
         self.report_wanted.notify_one();
         if let Some(hold) = &hold {
-            log_held_back(now, request, hold, &run.call.request_id, "here");
+            log_held_back(now, request, hold, &attempt.call.request_id, "here");
         }
         Some(hold.is_some())
     }
 }
 
-/// One line for a request that is held back from now on; `from` says who saw the end.
+/// Logs that a request is held back from now on. `from` is `here`, or the address of the peer
+/// that reported the crash.
 pub fn log_held_back(
     now: Moment,
     request: RequestDigest,
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        dialect::Dialect, end_checks::EndChecks, left_runs::LeftRuns,
+        abandoned_attempts::AbandonedAttempts, dialect::Dialect, exit_checks::ExitChecks,
         processor_state::ProcessorState, store_reading::StoreReading, upstream_pool::UpstreamPool,
     },
     crate::{
@@ -26,10 +26,11 @@
     tokio::sync::Notify,
 };
 
-/// The shared tables of a router that carries requests itself.
+/// The shared state of a router in the direct form.
 ///
-/// Lock order: a connection's `UnsentAnswer`, `board`, `shares`, `retries`, then leaf locks (suspects, left runs,
-/// standstill, catalog, pool, peers). None is held across an await.
+/// Lock order: a connection's `AnswerBuffer`, `board`, `shares`, `retries`, then leaf locks,
+/// under which no other lock is taken (suspects, abandoned attempts, suspension, catalog,
+/// pool, peers). None is held across an await.
 pub struct Gateway {
     settings: RwLock<Arc<DirectSettings>>, // a leaf lock
     pub dialect: Dialect,
@@ -38,28 +39,28 @@
     pub audit: AuditTrail,
     pub catalog: Arc<Catalog>,
     pub pool: UpstreamPool,
-    pub end_checks: EndChecks,
-    pub(super) left_runs: LeftRuns,
-    pub peers: PeerTable, // the routers of the own zone, and some others
+    pub exit_checks: ExitChecks,
+    pub(super) abandoned_attempts: AbandonedAttempts,
+    pub peers: PeerTable, // the routers of the own zone, and some of others
     pub zones: ZoneTable, // the other zones
     pub processor: ProcessorState,
-    pub reading: StoreReading,                // of the store
-    pub report_wanted: Notify,                // peers should be told before the regular time
-    pub(super) answer_bytes: Arc<AtomicU64>,  // held for callers' connections
-    pub(super) request_bytes: Arc<AtomicU64>, // held of requests
+    pub reading: StoreReading, // whether this router reads the store, and whether it answers
+    pub report_wanted: Notify, // wakes the task that reports to peers before the regular interval
+    pub(super) answer_bytes: Arc<AtomicU64>, // buffered answers
+    pub(super) request_bytes: Arc<AtomicU64>, // buffered request bodies
     board: Mutex<ReplicaBoard>,
     shares: Mutex<ShareBook>,
     retries: Mutex<RetryWindow>,
     suspects: Mutex<SuspectBook>,  // a leaf lock
-    standstill: Mutex<Standstill>, // a leaf lock
+    suspension: Mutex<Standstill>, // a leaf lock
     stopping: AtomicBool,
-    refusing: AtomicBool, // stops, and takes no more requests
-    placing: AtomicBool,  // the board follows a configuration and a list
-    crowded: AtomicBool,  // more connections of callers than are kept
+    refusing: AtomicBool,          // stopping, and refuses requests
+    placement_started: AtomicBool, // a configuration and an upstream list were loaded
+    crowded: AtomicBool,           // more callers' connections are open than `max_connections`
 }
 
 impl Gateway {
-    /// A router that knows nothing yet.
+    /// A router without configuration, replicas or peers' reports.
     pub fn new(
         settings: DirectSettings,
         dialect: Dialect,
@@ -80,13 +81,13 @@
         Self {
             dialect,
             incarnation: Uptime::new_incarnation(),
-            standstill: Mutex::new(Standstill::new(settings.process.pause_limit, uptime.now())),
+            suspension: Mutex::new(Standstill::new(settings.process.pause_limit, uptime.now())),
             uptime,
             audit: AuditTrail::new(&settings.process.host, settings.operator.audit_entries),
             catalog,
             pool: UpstreamPool::default(),
-            end_checks: EndChecks::default(),
-            left_runs: LeftRuns::default(),
+            exit_checks: ExitChecks::default(),
+            abandoned_attempts: AbandonedAttempts::default(),
             peers: PeerTable::new(own, &settings.seeds),
             zones: ZoneTable::default(),
             processor: ProcessorState::default(),
@@ -100,7 +101,7 @@
             suspects: Mutex::new(SuspectBook::new(settings.let_through.clone())),
             stopping: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
-            placing: AtomicBool::new(false),
+            placement_started: AtomicBool::new(false),
             crowded: AtomicBool::new(false),
             settings: RwLock::new(Arc::new(settings)),
         }
@@ -111,8 +112,7 @@
         self.settings.read().expect("settings lock").clone()
     }
 
-    /// Puts changed settings in force, but for addresses, which a running
-    /// process keeps.
+    /// Applies changed settings, except addresses, which a running process cannot change.
     pub fn change_settings(
         &self,
         settings: DirectSettings,
@@ -136,45 +136,46 @@
         self.uptime.now()
     }
 
-    /// Whether the process stood still and what it knows is not confirmed yet. Connections
-    /// at rest and upstreams kept for a moment are given up when that is noticed.
+    /// Whether the process was suspended and its state is not confirmed since. When a suspension
+    /// is detected, idle connections are closed, and upstreams that were still used for a grace
+    /// period after their leases ran out are dropped.
     pub fn is_unconfirmed(&self) -> bool {
         let now = self.now();
-        let (pause, is_unconfirmed) = {
-            let mut standstill = self.standstill.lock().expect("standstill lock");
-            (standstill.look(now), standstill.is_unconfirmed(now))
+        let (detected, is_unconfirmed) = {
+            let mut suspension = self.suspension.lock().expect("suspension lock");
+            (suspension.look(now), suspension.is_unconfirmed(now))
         };
-        if let Some(pause) = pause {
+        if let Some(duration) = detected {
             metrics::counter!(PAUSES).increment(1);
-            log::warn!(pause_ms = pause.as_millis() as u64; "the process stood still");
-            self.pool.forget_all_resting();
+            log::warn!(pause_ms = duration.as_millis() as u64; "the process stood still");
+            self.pool.close_all_idle();
             self.catalog.end_lapses();
         }
         is_unconfirmed
     }
 
-    /// Another router has come no further than this one: what is known here is confirmed.
+    /// Confirms the state held since a suspension: another router has no newer catalog.
     pub fn confirm_known(&self) {
-        let mut standstill = self.standstill.lock().expect("standstill lock");
-        standstill.confirm(self.now());
+        let mut suspension = self.suspension.lock().expect("suspension lock");
+        suspension.confirm(self.now());
     }
 
-    /// The replicas and what is at them.
+    /// The replicas and the load at each.
     pub fn board(&self) -> MutexGuard<'_, ReplicaBoard> {
         self.board.lock().expect("board lock")
     }
 
-    /// What accounts asked for and got.
+    /// What accounts asked for and were given.
     pub fn shares(&self) -> MutexGuard<'_, ShareBook> {
         self.shares.lock().expect("shares lock")
     }
 
-    /// Requests under which replicas ended.
+    /// Requests during which replicas crashed.
     pub fn suspects(&self) -> MutexGuard<'_, SuspectBook> {
         self.suspects.lock().expect("suspects lock")
     }
 
-    /// Counts a first attempt at a service.
+    /// Counts a call towards the retry budget of its service.
     pub fn count_request(
         &self,
         service: &str,
@@ -183,7 +184,7 @@
         retries.request(self.now(), service);
     }
 
-    /// Takes a repeat from the service's budget.
+    /// Takes a retry from the service's budget. Returns false if the budget is used up.
     pub fn take_retry(
         &self,
         service: &str,
@@ -193,14 +194,13 @@
         retries.take(self.now(), service, routers)
     }
 
-    /// Routers in the fleet as far as known, this one too; never fewer than
-    /// there are seeds.
+    /// Number of known routers in the fleet, including this one; at least the number of seeds.
     pub fn router_count(&self) -> usize {
         let settings = self.settings();
         let now = self.now();
-        let near = self.peers.alive(now, settings.peer_forget) + 1;
-        let far = self.zones.routers(now, settings.peer_forget);
-        (near + far).max(settings.seeds.len())
+        let own_zone = self.peers.alive(now, settings.peer_forget) + 1;
+        let other_zones = self.zones.routers(now, settings.peer_forget);
+        (own_zone + other_zones).max(settings.seeds.len())
     }
 
     /// Whether the process has begun to stop.
@@ -208,12 +208,12 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Begins to stop.
+    /// Starts the stop: the router is no longer ready.
     pub fn begin_stopping(&self) {
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// The least time after which callers that are refused should come back.
+    /// The least Retry-After for refused callers.
     pub fn least_retry(&self) -> Duration {
         self.processor.least_retry(self.settings().most_busy)
     }
@@ -228,45 +228,46 @@
         self.refusing.load(Ordering::SeqCst)
     }
 
-    /// Whether more connections of callers are open than are kept.
-    pub fn crowded(
+    /// Sets whether more callers' connections are open than `max_connections`.
+    pub fn set_crowded(
         &self,
         crowded: bool,
     ) {
         self.crowded.store(crowded, Ordering::Relaxed);
     }
 
-    /// Whether answers should end their connections.
+    /// Whether answers should close their connections, so that callers reconnect elsewhere.
     pub fn closes_connections(&self) -> bool {
-        let sheds = self.processor.is_paused() || self.processor.hands_on();
-        self.is_stopping() || sheds || self.crowded.load(Ordering::Relaxed)
+        let sheds_callers = self.processor.is_paused() || self.processor.is_forwarding();
+        self.is_stopping() || sheds_callers || self.crowded.load(Ordering::Relaxed)
     }
 
-    /// Whether others of the zone should read the store.
+    /// Whether this router cannot read the store, so that another of the zone should.
     pub fn is_store_lost(&self) -> bool {
         let apply = self.settings().catalog_pace.apply;
         self.reading.is_lost(self.now(), apply)
     }
 
-    /// Requests are placed by a configuration and a list from now on.
-    pub(super) fn begin_placing(&self) {
-        self.placing.store(true, Ordering::Relaxed);
+    /// Records that a configuration and an upstream list are loaded, so that requests can be
+    /// placed.
+    pub(super) fn start_placement(&self) {
+        self.placement_started.store(true, Ordering::Relaxed);
     }
 
-    /// Whether requests are placed by a configuration and a list.
-    pub(super) fn is_placing(&self) -> bool {
-        self.placing.load(Ordering::Relaxed)
+    /// Whether a configuration and an upstream list were loaded.
+    pub(super) fn is_placement_started(&self) -> bool {
+        self.placement_started.load(Ordering::Relaxed)
     }
 
-    /// Whether callers should be sent here.
+    /// Whether the load balancer should send callers here.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && !self.processor.is_paused() && self.version_in_use().knows_both()
     }
 
-    /// How far the catalog had come when requests were first placed by it, and has come
-    /// since; nothing before.
+    /// The version of the catalog by which requests are placed; the default version before
+    /// placement started.
     pub fn version_in_use(&self) -> CatalogVersion {
-        match self.is_placing() {
+        match self.is_placement_started() {
             true => self.catalog.version(),
             false => CatalogVersion::default(),
         }
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -1,4 +1,4 @@
-//! What goes on beside requests: following the catalog, and tidying up.
+//! Background tasks: applying catalog changes, and periodic clean-up.
 
 use {
     super::gateway::Gateway,
@@ -16,27 +16,28 @@
     tokio::time::{Instant, timeout},
 };
 
-/// How long a router that starts, and knows all but the cordons, waits for these before it
-/// is ready: where only routers of a build that knows none tell it, and the store is away.
+/// How long a starting router waits for the cordons once it has the rest of the catalog. They
+/// may not come at all: the store may be unreachable, and peers may run a build without
+/// cordons.
 const CORDON_WAIT: Duration = Duration::from_secs(1);
 
-/// Lines a second of replicas whose pace has changed; the others follow.
-const PACE_LINES: usize = 4;
+/// Maximum number of log lines a second about changed paces; the rest is logged later.
+const MAX_PACE_LINES: usize = 4;
 
 impl Gateway {
-    /// Keeps the board and the pool in step with the list of replicas.
+    /// Applies each change of the catalog to the replica table, shares and connection pool.
     pub async fn follow_catalog(self: Arc<Self>) {
         let mut changes = self.catalog.subscribe();
-        let mut known = 0;
+        let mut config_version = 0;
         let mut knows_both_since: Option<Instant> = None;
         loop {
             let version = self.catalog.version();
-            if version.config != known {
-                known = version.config;
-                let revision = Some(Revision(known));
-                let detail = format!("configuration {known} in force");
+            if version.config != config_version {
+                config_version = version.config;
+                let revision = Some(Revision(config_version));
+                let detail = format!("configuration {config_version} in force");
                 self.audit.record("config_accepted", revision, None, detail);
-                self.warn_of_regions();
+                self.warn_of_missing_regions();
             }
             if let Some(table) = self.catalog.config() {
                 self.shares().set_capacity(table.limits.tokens_per_s);
@@ -50,36 +51,36 @@
                 board.set_entries(now, entries.clone())
             };
             for replica in &restarted {
-                log::info!(replica = &**replica; "replica started again: all of it is new");
+                log::info!(replica = &**replica; "replica restarted; its load, health and cache state are reset");
             }
             let cordoned = self.catalog.cordoned();
-            warn_of_unknown(&cordoned, &entries);
+            report_unknown_cordons(&cordoned, &entries);
             metrics::gauge!(CORDONED).set(cordoned.len() as f64);
             self.board().set_cordoned(cordoned);
             if version.knows_both() {
                 let since = *knows_both_since.get_or_insert_with(Instant::now);
                 if self.catalog.knows_cordons() || since.elapsed() >= CORDON_WAIT {
-                    self.begin_placing();
+                    self.start_placement();
                 }
             }
-            self.pool.keep_only(|id| {
+            self.pool.retain_listed(|id| {
                 let is_listed = entries.iter().any(|entry| &*entry.id == id);
                 is_listed && !restarted.iter().any(|replica| &**replica == id)
             });
-            // Until requests are placed, the wait for cordons may end without a change.
-            let longest = match self.is_placing() {
+            // Before placement starts, the wait for cordons may end without a catalog change.
+            let timeout_after = match self.is_placement_started() {
                 true => Duration::MAX,
                 false => CORDON_WAIT,
             };
-            if let Ok(Err(_)) = timeout(longest, changes.changed()).await {
+            if let Ok(Err(_)) = timeout(timeout_after, changes.changed()).await {
                 return;
             }
         }
     }
 
-    /// Routes or accounts that are bound to regions are served nowhere while the settings name
-    /// none.
-    fn warn_of_regions(&self) {
+    /// Warns if the configuration restricts routes or accounts to regions while the settings
+    /// assign no zone to a region: their requests are refused.
+    fn warn_of_missing_regions(&self) {
         let names_regions = self
             .catalog
             .config()
@@ -89,7 +90,7 @@
         }
     }
 
-    /// What replicas of each service bear while they start, by the configuration in force.
+    /// The slow start limits of each service, by the current configuration.
     fn start_limits(&self) -> HashMap<Arc<str>, StartLimit> {
         let bounds = self.settings().start_bounds;
         let Some(table) = self.catalog.config() else {
@@ -102,34 +103,34 @@
         limits.collect()
     }
 
-    /// Closes connections that have rested too long, and forgets old suspects.
-    pub async fn tidy(self: Arc<Self>) {
+    /// Once a second: closes unusable connections, forgets old suspects and logs changed paces.
+    pub async fn run_cleanup(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            self.pool.tidy();
+            self.pool.close_unusable();
             self.suspects().forget_old(self.now());
             self.log_paces();
         }
     }
 
-    /// One line for each replica that is lastingly quicker or slower than was logged.
+    /// Logs replicas whose long-term pace differs from the one last logged.
     fn log_paces(&self) {
-        let news = self.board().pace_news(self.now(), PACE_LINES);
-        for news in news {
+        let changes = self.board().pace_news(self.now(), MAX_PACE_LINES);
+        for change in changes {
             log::info!(
-                replica = &*news.replica,
-                pace = news.pace.lasting,
-                pace_now = news.pace.now,
-                before = news.before,
-                samples = news.samples;
+                replica = &*change.replica,
+                pace = change.pace.lasting,
+                pace_now = change.pace.now,
+                before = change.before,
+                samples = change.samples;
                 "a replica is believed to be quicker or slower than before"
             );
         }
     }
 }
 
-/// A cordon of a zone without replicas is either early or a wrong name.
-fn warn_of_unknown(
+/// Reports cordons of zones without replicas: early, or with a misspelt name.
+fn report_unknown_cordons(
     cordoned: &BTreeSet<String>,
     entries: &[Arc<UpstreamEntry>],
 ) {
@@ -138,6 +139,6 @@
     let unknown: Vec<&str> = unknown.map(String::as_str).collect();
     metrics::gauge!(CORDONS_UNKNOWN).set(unknown.len() as f64);
     for zone in unknown {
-        log::debug!(zone = zone; "a zone is cordoned that has no replicas");
+        log::debug!(zone = zone; "cordoned zone has no replicas");
     }
 }
--- a/src/direct/held_bytes.rs
+++ b/src/direct/held_bytes.rs
@@ -3,7 +3,7 @@
     atomic::{AtomicU64, Ordering},
 };
 
-/// Bytes that one holder has, counted in a total of all holders until it is dropped.
+/// The bytes that one holder buffers, added to a total over all holders until it is dropped.
 #[derive(Debug)]
 pub struct HeldBytes {
     own: AtomicU64,
@@ -17,7 +17,7 @@
 }
 
 impl HeldBytes {
-    /// Nothing yet.
+    /// A holder of no bytes.
     pub fn new(total: Arc<AtomicU64>) -> Self {
         Self {
             own: AtomicU64::new(0),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// So many more. Whether there were none before.
+    /// Adds bytes. Returns whether the holder had none before.
     pub fn add(
         &self,
         bytes: u64,
@@ -34,8 +34,8 @@
         self.own.fetch_add(bytes, Ordering::Relaxed) == 0
     }
 
-    /// So many less, but for those that were never counted.
-    pub fn take(
+    /// Subtracts bytes, at most as many as were added.
+    pub fn subtract(
         &self,
         bytes: u64,
     ) {
@@ -47,12 +47,12 @@
         self.total.fetch_sub(before.min(bytes), Ordering::Relaxed);
     }
 
-    /// What this holder has.
+    /// The bytes of this holder.
     pub fn own(&self) -> u64 {
         self.own.load(Ordering::Relaxed)
     }
 
-    /// What all others have.
+    /// The bytes of all other holders.
     pub fn others(&self) -> u64 {
         self.total
             .load(Ordering::Relaxed)
--- a/src/direct/held_work.rs
+++ b/src/direct/in_flight_guard.rs
@@ -4,15 +4,15 @@
     std::sync::Arc,
 };
 
-/// A request that counts at its replica for as long as this lives.
-pub struct HeldWork {
+/// Counts a request in its replica's load until it is dropped.
+pub struct InFlightGuard {
     gateway: Arc<Gateway>,
     number: WorkNumber,
     replica: Arc<str>,
 }
 
-impl HeldWork {
-    /// Counts a request that the board has started.
+impl InFlightGuard {
+    /// Guards a request that was already added to the replica's load under `number`.
     pub fn new(
         gateway: Arc<Gateway>,
         number: WorkNumber,
@@ -25,12 +25,13 @@
         }
     }
 
-    /// The replica's id.
+    /// The id of the replica.
     pub fn replica(&self) -> &Arc<str> {
         &self.replica
     }
 
-    /// Whether its request may still be sent to a replica.
+    /// Whether the request may still be sent to `replica`: a replica may have restarted or
+    /// announced its end since it was chosen.
     pub fn may_be_sent(
         &self,
         replica: &UpstreamEntry,
@@ -40,11 +41,11 @@
         board.may_be_sent(now, self.number, replica)
     }
 
-    /// Its first token came.
-    pub fn first_token(&self) {
+    /// Records that the first token arrived.
+    pub fn record_first_token(&self) {
         let now = self.gateway.now();
-        let news = self.gateway.board().first_token(now, self.number);
-        if let Some(times) = news {
+        let changed = self.gateway.board().first_token(now, self.number);
+        if let Some(times) = changed {
             log::info!(
                 replica = &*self.replica,
                 fixed_ms = times.fixed_ms as u64,
@@ -56,7 +57,7 @@
     }
 }
 
-impl Drop for HeldWork {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.gateway.board().finish(self.number);
     }
--- a/src/direct/live_answer.rs
+++ b/src/direct/live_answer.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        attempt_end::AttemptEnd, gateway::Gateway, held_work::HeldWork,
+        attempt_end::AttemptEnd, gateway::Gateway, in_flight_guard::InFlightGuard,
         upstream_connection::UpstreamConnection,
     },
     crate::codes::ResultCode,
@@ -10,43 +10,44 @@
     std::sync::Arc,
 };
 
-/// An answer whose head has come, with the connection it comes on. Dropping it
-/// before its end closes the connection, so that the replica stops its work.
+/// An answer whose head was received, with its connection. Dropping it before the end of
+/// the body closes the connection, so that the replica stops working on the request.
 pub struct LiveAnswer {
     pub head: Parts,
-    pub work: HeldWork,
+    pub in_flight: InFlightGuard,
     gateway: Arc<Gateway>,
     body: Incoming,
-    connection: Option<UpstreamConnection>, // none once it is given back
+    connection: Option<UpstreamConnection>, // `None` once it is returned to the pool or closed
 }
 
 impl LiveAnswer {
-    /// An answer that has begun.
+    /// An answer of which only the head was read.
     pub fn new(
         gateway: Arc<Gateway>,
         head: Parts,
         body: Incoming,
         connection: UpstreamConnection,
-        work: HeldWork,
+        in_flight: InFlightGuard,
     ) -> Self {
         Self {
             head,
-            work,
+            in_flight,
             gateway,
             body,
             connection: Some(connection),
         }
     }
 
-    /// The next bytes of the body; none at its whole end. Code 51 if it is cut.
-    pub async fn chunk(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
+    /// The next bytes of the body; `None` at its end. Fails with
+    /// `ResultCode::AnswerCut` if the connection is lost before.
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, AttemptEnd> {
         loop {
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         self.gateway
                             .board()
-                            .heard(self.gateway.now(), self.work.replica());
+                            .heard(self.gateway.now(), self.in_flight.replica());
                         return Ok(Some(data));
                     }
                 }
@@ -57,22 +58,24 @@
                     });
                 }
                 None => {
-                    self.end();
+                    self.return_connection();
                     return Ok(None);
                 }
             }
         }
     }
 
-    /// Closes the connection, so that the replica stops.
-    pub fn abandon(&mut self) {
+    /// Closes the connection, so that the replica stops working on the request.
+    pub fn close(&mut self) {
         self.connection = None;
     }
 
-    /// The answer was read whole: its connection may serve another request.
-    fn end(&mut self) {
+    /// Returns the connection to the pool once the body was read to its end.
+    fn return_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
-            self.gateway.pool.give_back(self.work.replica(), connection);
+            self.gateway
+                .pool
+                .give_back(self.in_flight.replica(), connection);
         }
     }
 }
--- a/src/direct/mod.rs
+++ b/src/direct/mod.rs
@@ -1,10 +1,13 @@
-//! The router that carries requests to the replicas itself: from a caller's
-//! connection, by a route, to a replica that the board chooses, and back.
+//! The direct form of the router: accepts callers' connections, sends each request to a
+//! replica chosen by the placement policy, and relays the answer.
 
+mod abandoned_attempts;
+mod answer_buffer;
 mod attempt;
 mod attempt_end;
-mod cache_ask;
 mod cache_calls;
+mod cache_follow;
+mod cache_query;
 mod cache_survey;
 mod call;
 mod caller_body;
@@ -12,22 +15,19 @@
 mod caller_port;
 mod caller_stream;
 mod dialect;
-mod end_checks;
 mod event_splitter;
 mod events_relay;
 mod exchange;
 mod exchange_choice;
 mod exchange_end;
 mod exchange_suspects;
+mod exit_checks;
 mod gateway;
 mod gateway_tasks;
-mod hand_on;
 mod held_bytes;
-mod held_work;
-mod kept_follow;
-mod late_wait;
-mod left_runs;
+mod in_flight_guard;
 mod live_answer;
+mod neighbour_relay;
 mod plain_relay;
 mod processor_state;
 mod processor_watch;
@@ -35,18 +35,18 @@
 mod replica_call;
 mod reply;
 mod request_reader;
-mod sent_run;
+mod sent_attempt;
 mod serve;
 mod settings_watch;
 mod sockets;
 mod status;
-mod store_duty;
 mod store_reading;
 mod stream_watch;
 mod unanswered;
-mod unsent_answer;
 mod upstream_connection;
 mod upstream_pool;
+mod wait_while_alive;
+mod zone_reader_role;
 
 pub use {
     cache_calls::CacheCalls,
--- a/src/direct/hand_on.rs
+++ b/src/direct/neighbour_relay.rs
@@ -1,11 +1,11 @@
-//! Handing callers' connections on to a neighbour, where this router is short of
-//! processor and others of its zone are not.
+//! Forwards callers' connections to a neighbour, a less busy router of the same zone, while
+//! this router is short of processor time.
 //!
-//! The balancer spreads callers by a hash: one caller that asks for more than a
-//! small host bears meets the same host again and again, also when it is refused.
+//! The load balancer spreads callers by a hash, so a caller that sends more than a small host
+//! can serve reaches the same host again and again, also after refusals.
 
 use {
-    super::sockets::watch_over,
+    super::sockets::configure_outgoing_socket,
     crate::codes::{ErrorAnswer, ResultCode},
     std::{io, net::SocketAddr, time::Duration},
     tokio::{
@@ -16,42 +16,41 @@
     },
 };
 
-/// How long the connection to the neighbour may take: some hundred round trips
-/// inside a zone.
-const CONNECT_TIME: Duration = Duration::from_millis(100);
+/// Time-out for connecting to the neighbour: about a hundred round trips inside a zone.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Bytes that are passed on at once.
-const BUFFER: usize = 8 * 1024;
+/// Size of the relay buffer of each direction.
+const BUFFER_BYTES: usize = 8 * 1024;
 
-/// While the router stops, a connection that was silent this long is at rest: longer
-/// than streams pause.
-const QUIET: Duration = Duration::from_millis(2500);
+/// While the router stops, a connection without traffic for this long counts as idle: longer
+/// than the pauses within streams.
+const STOPPING_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Connects to a neighbour, from this router's own address, by which the neighbour
-/// knows that the callers were handed on already.
+/// Connects to a neighbour from this router's own address, by which the neighbour sees that the
+/// connection was forwarded already.
 pub async fn connect_to_neighbour(
-    own: SocketAddr,
+    own_address: SocketAddr,
     neighbour: SocketAddr,
 ) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
-    socket.bind(SocketAddr::new(own.ip(), 0))?;
-    let stream = timeout(CONNECT_TIME, socket.connect(neighbour)).await??;
-    watch_over(&stream);
+    socket.bind(SocketAddr::new(own_address.ip(), 0))?;
+    let stream = timeout(CONNECT_TIMEOUT, socket.connect(neighbour)).await??;
+    configure_outgoing_socket(&stream);
     Ok(stream)
 }
 
-/// Passes bytes on until one end closes. A caller whose neighbour is gone before its
-/// answer began is told so.
-pub async fn pass_on(
+/// Relays bytes in both directions until one end closes. If the neighbour closes between a
+/// request and its answer, the caller gets an error answer.
+pub async fn relay_to_neighbour(
     mut caller: TcpStream,
     mut neighbour: TcpStream,
     mut closing: watch::Receiver<bool>,
 ) -> io::Result<()> {
-    let mut from_caller = vec![0; BUFFER];
-    let mut from_neighbour = vec![0; BUFFER];
+    let mut from_caller = vec![0; BUFFER_BYTES];
+    let mut from_neighbour = vec![0; BUFFER_BYTES];
     let mut awaits_answer = false;
     if caller.ready(Interest::READABLE).await?.is_read_closed() {
-        // It left while its request waited here: nobody is to run that.
+        // The caller disconnected while its request waited here: it must not be run.
         return Ok(());
     }
     loop {
@@ -68,7 +67,7 @@
             read = neighbour.read(&mut from_neighbour) => {
                 let count = read.unwrap_or(0);
                 if count == 0 && awaits_answer {
-                    return caller.write_all(lost_answer().as_bytes()).await;
+                    return caller.write_all(lost_answer_response().as_bytes()).await;
                 }
                 if count == 0 {
                     return Ok(());
@@ -81,16 +80,16 @@
                     return Ok(());
                 }
             }
-            () = tokio::time::sleep(QUIET), if is_closing && !awaits_answer => {
+            () = tokio::time::sleep(STOPPING_IDLE_TIMEOUT), if is_closing && !awaits_answer => {
                 return Ok(());
             }
         }
     }
 }
 
-/// What a caller gets whose request went to a neighbour that is gone: it may have
-/// run.
-fn lost_answer() -> String {
+/// The answer for a caller whose request was relayed to a neighbour that closed the connection:
+/// the request may have run.
+fn lost_answer_response() -> String {
     let error = ErrorAnswer::new(ResultCode::OutcomeUnknown);
     let body = error.to_json("");
     format!(
--- a/src/direct/plain_relay.rs
+++ b/src/direct/plain_relay.rs
@@ -1,9 +1,9 @@
 use {
     super::{
         attempt_end::AttemptEnd,
-        exchange::{Begun, Exchange},
+        exchange::{Exchange, StartedAnswer},
         live_answer::LiveAnswer,
-        reply::{ReplyBody, copy_head, cut, replica_reply, whole_body},
+        reply::{ReplyBody, copy_head, cut_error, full_body, replica_reply},
     },
     crate::codes::ResultCode,
     bytes::{Bytes, BytesMut},
@@ -14,86 +14,88 @@
     tokio::time::timeout,
 };
 
-/// Answers up to this size are taken whole before the caller gets any of them,
-/// so that a cut one becomes a plain error or is tried again.
-const KEPT_ANSWER: usize = 256 << 10;
+/// Answers up to this size are buffered completely before any byte is sent to the caller, so
+/// that a truncated one can be retried or answered with an error.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 << 10;
 
-/// Answers a call with a replica's answer that is no stream of events.
+/// Relays a replica's answer that is not a stream of events. Fails, so that the call may be
+/// retried, if the answer is truncated, late, or a server error that was buffered.
 pub async fn plain_reply(
     exchange: &mut Exchange,
-    begun: Begun,
+    started: StartedAnswer,
 ) -> Result<Response<ReplyBody>, AttemptEnd> {
-    let mut answer = begun.answer;
-    let (kept, is_whole) = match timeout(begun.limit, read_start(&mut answer)).await {
+    let mut answer = started.answer;
+    let (buffered, is_whole) = match timeout(started.timeout, read_buffered(&mut answer)).await {
         Ok(outcome) => outcome?,
-        Err(_) => return Err(too_late(begun.limit)),
+        Err(_) => return Err(timed_out(started.timeout)),
     };
     let status = answer.head.status;
-    let failed = status.is_server_error();
-    if !failed {
-        exchange.note_plain_success();
+    let is_failure = status.is_server_error();
+    if !is_failure {
+        exchange.record_plain_success();
     }
     if is_whole && status.is_success() {
-        exchange.note_request_success();
+        exchange.record_request_success();
     }
     if is_whole {
-        let length = (exchange.call.method != hyper::Method::HEAD).then_some(kept.len());
-        let reply = replica_reply(answer.head, whole_body(kept), length);
-        if !failed {
+        let length = (exchange.call.method != hyper::Method::HEAD).then_some(buffered.len());
+        let reply = replica_reply(answer.head, full_body(buffered), length);
+        if !is_failure {
             return Ok(reply);
         }
-        exchange.keep_failure(reply);
+        exchange.set_failure(reply);
         return Err(AttemptEnd::Failed {
             status: status.as_u16(),
         });
     }
-    let left = exchange.time_left();
-    Ok(long_reply(answer, kept, left))
+    let time_left = exchange.time_left();
+    Ok(streamed_reply(answer, buffered, time_left))
 }
 
-fn too_late(limit: Duration) -> AttemptEnd {
+fn timed_out(limit: Duration) -> AttemptEnd {
     AttemptEnd::Unknown {
         code: ResultCode::UpstreamTimeout,
         detail: format!("no whole answer in {} ms", limit.as_millis()),
     }
 }
 
-/// Reads an answer to its end, or until it is too long to be kept.
-async fn read_start(answer: &mut LiveAnswer) -> Result<(Bytes, bool), AttemptEnd> {
-    let mut kept = BytesMut::new();
-    while kept.len() <= KEPT_ANSWER {
-        match answer.chunk().await? {
-            Some(chunk) => kept.extend_from_slice(&chunk),
-            None => return Ok((kept.freeze(), true)),
+/// Reads an answer to its end, or until it exceeds the buffer. Returns the bytes and whether
+/// they are the whole answer.
+async fn read_buffered(answer: &mut LiveAnswer) -> Result<(Bytes, bool), AttemptEnd> {
+    let mut buffered = BytesMut::new();
+    while buffered.len() <= MAX_BUFFERED_ANSWER_BYTES {
+        match answer.next_chunk().await? {
+            Some(chunk) => buffered.extend_from_slice(&chunk),
+            None => return Ok((buffered.freeze(), true)),
         }
     }
-    Ok((kept.freeze(), false))
+    Ok((buffered.freeze(), false))
 }
 
-/// Passes a long answer on as it comes.
-fn long_reply(
+/// Streams an answer that exceeds the buffer to the caller, until `time_left` is over.
+fn streamed_reply(
     answer: LiveAnswer,
-    kept: Bytes,
-    left: Duration,
+    buffered: Bytes,
+    time_left: Duration,
 ) -> Response<ReplyBody> {
     let head = copy_head(&answer.head);
     let length = head
         .headers
         .get(CONTENT_LENGTH)
         .and_then(|value| value.to_str().ok()?.parse().ok());
-    let until = tokio::time::Instant::now() + left;
+    let deadline = tokio::time::Instant::now() + time_left;
     let pieces = stream::unfold(
-        (Some(kept), answer),
+        (Some(buffered), answer),
         move |(first, mut answer)| async move {
             if let Some(first) = first {
                 return Some((Ok(Frame::data(first)), (None, answer)));
             }
-            let next = tokio::time::timeout_at(until, answer.chunk()).await;
+            let next = tokio::time::timeout_at(deadline, answer.next_chunk()).await;
             let piece: Result<_, io::Error> = match next {
                 Ok(Ok(Some(chunk))) => Ok(Frame::data(chunk)),
                 Ok(Ok(None)) => return None,
-                Ok(Err(end)) => Err(cut(format!("{end:?}"))),
-                Err(_) => Err(cut("out of time")),
+                Ok(Err(end)) => Err(cut_error(format!("{end:?}"))),
+                Err(_) => Err(cut_error("deadline exceeded")),
             };
             Some((piece, (None, answer)))
         },
--- a/src/direct/processor_watch.rs
+++ b/src/direct/processor_watch.rs
@@ -5,76 +5,79 @@
     tokio::runtime::{Handle, RuntimeMetrics},
 };
 
-/// How often the processor is looked at.
-const TICK: Duration = Duration::from_millis(20);
+/// How often lag and busy time are sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Over what time it is judged how busy the router is: whether callers should go
-/// elsewhere, and whether their connections are handed on meanwhile.
+/// Averaging time of the busy share that decides whether callers are sent elsewhere.
 const BUSY_WINDOW: Duration = Duration::from_millis(500);
-const QUICK_WINDOW: Duration = Duration::from_millis(100);
 
-/// Connections are handed on to neighbours that are this many times less busy: where
-/// all are alike, passing bytes on helps nobody.
-const LESS_BUSY: f64 = 2.0;
+/// Averaging time of the busy share that decides whether connections are forwarded to
+/// neighbours.
+const FORWARDING_WINDOW: Duration = Duration::from_millis(100);
 
-/// Neighbours with work for less than this part of their time take callers over in
-/// any case.
-const IDLE: f64 = 0.25;
+/// Connections are forwarded to neighbours that are this many times less busy: between equally
+/// busy routers, relaying only adds work.
+const MIN_BUSY_RATIO: f64 = 2.0;
 
-/// Once begun, connections are handed on for this long at least: a caller that asks
-/// for much goes on to.
-const HAND_ON_TIME: Duration = Duration::from_millis(300);
+/// Neighbours that are busy for less than this share of their time are eligible in any case.
+const IDLE_BUSY_SHARE: f64 = 0.25;
 
-/// A router this many times as busy as the others on average lets callers go.
-const BUSIER: f64 = 1.5;
+/// Minimum time for which connections are forwarded, as a caller that sends much usually
+/// continues to.
+const MIN_FORWARDING_TIME: Duration = Duration::from_millis(300);
 
-/// Watches whether this process gets enough of its processor: whether requests
-/// must be refused, and whether callers should go elsewhere for a while.
+/// Callers are sent elsewhere by a router that is this many times as busy as the others on
+/// average.
+const PAUSE_BUSY_RATIO: f64 = 1.5;
+
+/// Samples whether this process gets enough processor time, and decides whether requests are
+/// refused, callers are sent elsewhere, and connections are forwarded to neighbours.
 pub struct ProcessorWatch {
     gateway: Arc<Gateway>,
     runtime: RuntimeMetrics,
     lag: LagGauge,
-    busy: BusyGauge,
-    quick: BusyGauge,
+    busy: BusyGauge,            // over `BUSY_WINDOW`
+    short_term_busy: BusyGauge, // over `FORWARDING_WINDOW`
     pause: OverloadPause,
-    handing_until: Moment, // connections are handed on until then
+    forwarding_until: Moment,
 }
 
 impl ProcessorWatch {
-    /// Watches the runtime that it is called in.
+    /// Watches the Tokio runtime of the caller. Panics outside of a runtime.
     pub fn new(gateway: Arc<Gateway>) -> Self {
         Self {
             gateway,
             runtime: Handle::current().metrics(),
             lag: LagGauge::default(),
             busy: BusyGauge::new(BUSY_WINDOW),
-            quick: BusyGauge::new(QUICK_WINDOW),
+            short_term_busy: BusyGauge::new(FORWARDING_WINDOW),
             pause: OverloadPause::default(),
-            handing_until: Moment::ZERO,
+            forwarding_until: Moment::ZERO,
         }
     }
 
-    /// Watches for as long as the process lives.
+    /// Samples until the task is dropped.
     pub async fn run(mut self) {
         loop {
             let before = self.gateway.now();
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
             let now = self.gateway.now();
             self.gateway.is_unconfirmed();
-            self.look(now, now.saturating_sub(before));
+            self.sample(now, now.saturating_sub(before));
         }
     }
 
-    fn look(
+    /// Takes one sample, `step` after the one before, and updates the processor's state.
+    fn sample(
         &mut self,
         now: Moment,
         step: Duration,
     ) {
-        self.lag.sample(step.saturating_sub(TICK));
-        let worked = self.worked();
-        self.busy.sample(step, worked);
-        self.quick.sample(step, worked);
-        self.hand_on(now);
+        self.lag.sample(step.saturating_sub(SAMPLE_INTERVAL));
+        let busy_time = self.mean_busy_time();
+        self.busy.sample(step, busy_time);
+        self.short_term_busy.sample(step, busy_time);
+        self.update_forwarding(now);
         self.gateway.processor.set_busy(self.busy.share());
         let lag_ms = self.lag.lag().as_millis() as u64;
         let busy = format!("{:.2}", self.busy.share());
@@ -94,48 +97,50 @@
         }
     }
 
-    /// Hands connections on from now on, or not any more.
-    fn hand_on(
+    /// Starts or stops forwarding connections to neighbours.
+    fn update_forwarding(
         &mut self,
         now: Moment,
     ) {
         let settings = self.gateway.settings();
-        let own = self.quick.share();
-        if settings.hand_on < 1.0 && own >= settings.hand_on {
-            self.handing_until = now + HAND_ON_TIME;
+        let own_busy = self.short_term_busy.share();
+        if settings.hand_on < 1.0 && own_busy >= settings.hand_on {
+            self.forwarding_until = now + MIN_FORWARDING_TIME;
         }
-        let neighbours = if now < self.handing_until {
-            let most = (own / LESS_BUSY).max(IDLE);
-            self.gateway.peers.neighbours(now, settings.peer_age, most)
+        let neighbours = if now < self.forwarding_until {
+            let max_busy = (own_busy / MIN_BUSY_RATIO).max(IDLE_BUSY_SHARE);
+            self.gateway
+                .peers
+                .neighbours(now, settings.peer_age, max_busy)
         } else {
             Vec::new()
         };
         let count = neighbours.len();
         if self.gateway.processor.set_neighbours(neighbours) {
             log::info!(
-                busy = format!("{:.2}", self.quick.share()).as_str(), neighbours = count;
+                busy = format!("{:.2}", self.short_term_busy.share()).as_str(), neighbours = count;
                 "connections are handed on, or not any more"
             );
         }
     }
 
-    /// Whether this router is busy while others have time to spare: callers that
-    /// are sent elsewhere are served better only then.
+    /// Whether this router is busy while others are less so: only then are callers served better
+    /// elsewhere.
     fn is_busier_than_others(
         &self,
         now: Moment,
     ) -> bool {
         let settings = self.gateway.settings();
-        let own = self.busy.share();
+        let own_busy = self.busy.share();
         let others = self.gateway.peers.mean_busy(now, settings.peer_age);
-        let spare = others.is_some_and(|percent| own > percent / 100.0 * BUSIER);
-        own > settings.most_busy && spare
+        let is_busier = others.is_some_and(|percent| own_busy > percent / 100.0 * PAUSE_BUSY_RATIO);
+        own_busy > settings.most_busy && is_busier
     }
 
-    /// The time that the runtime's threads have worked, on average.
-    fn worked(&self) -> Duration {
+    /// The time that the runtime's threads have been busy since the start, on average.
+    fn mean_busy_time(&self) -> Duration {
         let workers = self.runtime.num_workers();
-        let worked = (0..workers).map(|worker| self.runtime.worker_total_busy_duration(worker));
-        worked.sum::<Duration>() / workers.max(1) as u32
+        let busy = (0..workers).map(|worker| self.runtime.worker_total_busy_duration(worker));
+        busy.sum::<Duration>() / workers.max(1) as u32
     }
 }
--- a/src/direct/ready_port.rs
+++ b/src/direct/ready_port.rs
@@ -9,13 +9,14 @@
     std::sync::Arc,
 };
 
-/// The port where the balancer asks whether to send callers here.
+/// Answers the load balancer's health checks: 200 if this router is ready for callers.
 #[derive(Clone)]
 struct ReadyPort {
     gateway: Arc<Gateway>,
 }
 
-/// The server for the balancer, ready to launch.
+/// The server for the load balancer's health checks, ready to launch. Fails if the
+/// configured address or path is unusable.
 pub async fn ready_server(gateway: Arc<Gateway>) -> Result<Rocket<Ignite>, rocket::Error> {
     let config = quiet_config(gateway.settings().ready);
     let path = gateway.settings().ready_path.clone();
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -10,9 +10,9 @@
     hyper::{Request, Response, body::Incoming},
 };
 
-/// Sends a request to a replica and waits for the head of the answer. Whatever is sent
-/// there goes this way: what the replica says of itself in the head is kept before anyone
-/// sees the answer.
+/// Sends a request to a replica and waits for the head of the answer. All requests to
+/// replicas go through here, so that a replica's notice about itself is recorded before the
+/// answer is used.
 pub async fn call_replica(
     gateway: &Gateway,
     replica: &UpstreamEntry,
@@ -21,11 +21,11 @@
 ) -> Result<Response<Incoming>, AttemptEnd> {
     let response = connection.send(request).await?;
     let notice = (gateway.dialect.notice)(response.status(), response.headers());
-    hear(gateway, replica, notice);
+    apply_notice(gateway, replica, notice);
     Ok(response)
 }
 
-fn hear(
+fn apply_notice(
     gateway: &Gateway,
     replica: &UpstreamEntry,
     notice: ReplicaNotice,
@@ -33,15 +33,15 @@
     if notice.is_empty() {
         return;
     }
-    let is_news =
-        gateway
-            .board()
-            .hear_notice(gateway.now(), Uptime::unix_millis(), replica, notice);
-    if !is_news {
+    let is_new = gateway
+        .board()
+        .hear_notice(gateway.now(), Uptime::unix_millis(), replica, notice);
+    if !is_new {
         return;
     }
     if notice.leaves {
-        // An answer on a connection that a fellow handed on tells that one nothing.
+        // Other routers learn it early: a router that forwarded the caller's connection here
+        // relays the answer without reading it.
         gateway.report_wanted.notify_one();
     }
     metrics::counter!(NOTICES, "says" => notice.kind()).increment(1);
--- a/src/direct/reply.rs
+++ b/src/direct/reply.rs
@@ -11,13 +11,12 @@
     std::{fmt, io},
 };
 
-/// The body of an answer to a caller. Its error cuts the connection, so that a
-/// cut answer never looks whole.
+/// The body of an answer to a caller. An error closes the connection, so that a truncated
+/// answer never looks complete.
 pub type ReplyBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Headers that concern one connection only, beside those that `Connection`
-/// names.
-const CONNECTION_HEADERS: &[&str] = &[
+/// Headers that apply to one connection only, besides those named in `Connection`.
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -27,8 +26,8 @@
     "upgrade",
 ];
 
-/// Takes out what concerns one connection only.
-pub fn drop_connection_headers(headers: &mut HeaderMap) {
+/// Removes the headers that apply to one connection only.
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -39,25 +38,26 @@
     for name in &named {
         headers.remove(name);
     }
-    for name in CONNECTION_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(*name);
     }
 }
 
-/// A body that is all there.
-pub fn whole_body(bytes: Bytes) -> ReplyBody {
+/// A body whose bytes are all available.
+pub fn full_body(bytes: Bytes) -> ReplyBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A replica's answer for a caller: its status and headers as they are.
+/// A replica's answer for a caller, with status and headers as the replica sent them, but for
+/// hop-by-hop headers. `length` sets the content length.
 pub fn replica_reply(
     mut head: Parts,
     body: ReplyBody,
     length: Option<usize>,
 ) -> Response<ReplyBody> {
-    drop_connection_headers(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     if let Some(length) = length {
         head.headers
             .insert(CONTENT_LENGTH, HeaderValue::from(length));
@@ -68,7 +68,7 @@
     response
 }
 
-/// Status and headers of an answer whose body is still to be read.
+/// A copy of the status and headers of an answer whose body is still being read.
 pub fn copy_head(head: &Parts) -> Parts {
     let mut copy = Response::new(()).into_parts().0;
     copy.status = head.status;
@@ -76,14 +76,14 @@
     copy
 }
 
-/// The product's own answer: a numbered error.
+/// The router's own error answer, with the result code as JSON.
 pub fn error_reply(
     gateway: &Gateway,
     error: &ErrorAnswer,
     request_id: &str,
 ) -> Response<ReplyBody> {
     let body = error.to_json(request_id);
-    let mut response = Response::new(whole_body(body.into()));
+    let mut response = Response::new(full_body(body.into()));
     *response.status_mut() =
         StatusCode::from_u16(error.status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -100,7 +100,7 @@
     response
 }
 
-/// An error that cuts a body.
-pub fn cut(detail: impl fmt::Display) -> io::Error {
+/// An error that ends a body early and closes its connection.
+pub fn cut_error(detail: impl fmt::Display) -> io::Error {
     io::Error::other(detail.to_string())
 }
--- a/src/direct/request_reader.rs
+++ b/src/direct/request_reader.rs
@@ -1,5 +1,7 @@
 use {
-    super::{call::Call, gateway::Gateway, held_bytes::HeldBytes, reply::drop_connection_headers},
+    super::{
+        call::Call, gateway::Gateway, held_bytes::HeldBytes, reply::remove_hop_by_hop_headers,
+    },
     crate::{
         codes::{ErrorAnswer, ResultCode},
         policy::{Moment, memory::MemoryBudget},
@@ -16,24 +18,24 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// When to come back to a router that has no configuration yet.
-const NO_CONFIG_RETRY: Duration = Duration::from_millis(500);
+/// Retry-After of a router that has no configuration yet.
+const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When to come back, to another router, after this one stops.
-const STOPPING_RETRY: Duration = Duration::from_millis(50);
+/// Retry-After of a router that stops; the caller reconnects to another.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// When to come back to a router that stood still: others tell it of changes within a few
-/// of their reports.
-const UNCONFIRMED_RETRY: Duration = Duration::from_millis(200);
+/// Retry-After of a router that was suspended: its peers report newer catalogs within a few
+/// report intervals.
+const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// When to come back to a router that holds as much of requests as it may: bodies come and
-/// go within less.
-const BODIES_HELD_RETRY: Duration = Duration::from_millis(500);
+/// Retry-After of a router whose memory for request bodies is used up: most bodies are held for
+/// a shorter time.
+const BODIES_HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How long a body may take.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Time-out for reading a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The text of a header; empty if there is none.
+/// The text of a header; empty if it is missing or not ASCII.
 pub fn header_text<'h>(
     headers: &'h HeaderMap,
     name: &HeaderName,
@@ -42,23 +44,24 @@
     value.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-/// Reads a caller's request whole and finds out whether and where it may go.
+/// Reads a caller's request completely and determines its route, account and service. Returns
+/// the error for the caller if it is refused.
 pub async fn read_call(
     gateway: &Gateway,
     request: Request<Incoming>,
     arrived: Moment,
 ) -> Result<Call, ErrorAnswer> {
     if gateway.is_refusing() {
-        return Err(ErrorAnswer::new(ResultCode::Stopping).retry_after(STOPPING_RETRY));
+        return Err(ErrorAnswer::new(ResultCode::Stopping).retry_after(STOPPING_RETRY_AFTER));
     }
     if gateway.is_unconfirmed() {
-        return Err(ErrorAnswer::new(ResultCode::Unconfirmed).retry_after(UNCONFIRMED_RETRY));
+        return Err(ErrorAnswer::new(ResultCode::Unconfirmed).retry_after(UNCONFIRMED_RETRY_AFTER));
     }
     if gateway.processor.is_choked() {
         return Err(ErrorAnswer::new(ResultCode::RouterBusy).retry_after(gateway.least_retry()));
     }
     let table = gateway.catalog.config().ok_or_else(|| {
-        ErrorAnswer::new(ResultCode::NoConfiguration).retry_after(NO_CONFIG_RETRY)
+        ErrorAnswer::new(ResultCode::NoConfiguration).retry_after(NO_CONFIG_RETRY_AFTER)
     })?;
     let (head, body) = request.into_parts();
     check_size(&table, &head)?;
@@ -71,34 +74,34 @@
         .ok_or_else(|| ErrorAnswer::new(ResultCode::NoReplica))?
         .clone();
     let names = &gateway.dialect.names;
-    let deadline: Option<f64> = header_text(&head.headers, &names.deadline_ms).parse().ok();
-    let patience = deadline.map_or(route.timeout, |ms| {
+    let deadline_ms: Option<f64> = header_text(&head.headers, &names.deadline_ms).parse().ok();
+    let timeout = deadline_ms.map_or(route.timeout, |ms| {
         Duration::from_secs_f64(ms.clamp(0.0, 3_600_000.0) / 1000.0)
     });
     let details = table.service(&service);
     Ok(Call {
         request_id: header_text(&head.headers, &names.request_id).to_owned(),
         method: head.method,
-        target: target(&head.uri),
+        target: path_and_query(&head.uri),
         engine: details.and_then(|service| service.engine),
         max_connections: details.map_or(1, |service| service.max_connections),
-        service_aim: table.shortest_aim(&service).unwrap_or(route.aim),
+        shortest_target_latency: table.shortest_aim(&service).unwrap_or(route.aim),
         prompt: (gateway.dialect.prompt)(&head.headers),
-        headers: passed_on(gateway, head.headers, account.as_deref()),
+        headers: forwarded_headers(gateway, head.headers, account.as_deref()),
         body,
-        _held: held,
+        _body_memory: held,
         service,
         regions: table.regions(&route, account.as_deref()),
         account,
         config_version: table.version,
         arrived,
-        until: arrived + patience.min(route.timeout),
+        deadline: arrived + timeout.min(route.timeout),
         route,
     })
 }
 
-/// Line ends and separators of a header's line.
-const HEADER_EXTRA: usize = 4;
+/// Bytes of a header line besides name and value: the separator `: ` and the line end.
+const HEADER_LINE_OVERHEAD: usize = 4;
 
 fn check_size(
     table: &RoutingTable,
@@ -107,7 +110,7 @@
     let line = head.method.as_str().len() + head.uri.to_string().len();
     let headers = head.headers.iter();
     let size: usize = headers
-        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_EXTRA)
+        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD)
         .sum();
     if line + size > table.limits.max_header_bytes {
         return Err(ErrorAnswer::new(ResultCode::HeaderTooLarge));
@@ -148,23 +151,23 @@
     body: Incoming,
     held: &HeldBytes,
 ) -> Result<Bytes, ErrorAnswer> {
-    let most = table.limits.max_body_bytes;
+    let max_bytes = table.limits.max_body_bytes;
     let declared: Option<u64> = header_text(headers, &CONTENT_LENGTH).parse().ok();
-    if declared.is_some_and(|length| length > most as u64) {
+    if declared.is_some_and(|length| length > max_bytes as u64) {
         return Err(ErrorAnswer::new(ResultCode::BodyTooLarge));
     }
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     let budget = gateway.settings().request_memory;
-    let reading = read_held(Limited::new(body, most), budget, held);
-    tokio::time::timeout(BODY_TIME, reading)
+    let reading = read_within_budget(Limited::new(body, max_bytes), budget, held);
+    tokio::time::timeout(BODY_TIMEOUT, reading)
         .await
         .unwrap_or_else(|_| Err(ErrorAnswer::new(ResultCode::BodyLate)))
 }
 
-/// Reads a body to its end while the budget permits what is held of it.
-async fn read_held(
+/// Reads a body to its end, as long as the memory budget permits.
+async fn read_within_budget(
     mut body: Limited<Incoming>,
     budget: MemoryBudget,
     held: &HeldBytes,
@@ -177,7 +180,9 @@
         };
         held.add(piece.len() as u64);
         if !budget.permits(held.own(), held.others()) {
-            return Err(ErrorAnswer::new(ResultCode::BodiesHeld).retry_after(BODIES_HELD_RETRY));
+            return Err(
+                ErrorAnswer::new(ResultCode::BodiesHeld).retry_after(BODIES_HELD_RETRY_AFTER)
+            );
         }
         pieces.push(piece);
     }
@@ -194,20 +199,20 @@
     ErrorAnswer::new(ResultCode::BadBody).detail(format!("the body was cut: {error}"))
 }
 
-/// Path and query only.
-fn target(uri: &Uri) -> Uri {
-    let path = uri.path_and_query().cloned();
-    path.map(Uri::from).unwrap_or_default()
+/// The path and query of a URI.
+fn path_and_query(uri: &Uri) -> Uri {
+    let path_and_query = uri.path_and_query().cloned();
+    path_and_query.map(Uri::from).unwrap_or_default()
 }
 
-/// The headers that a replica gets, but for those that change by attempt.
-fn passed_on(
+/// The headers that replicas get, without those set for each attempt.
+fn forwarded_headers(
     gateway: &Gateway,
     mut headers: HeaderMap,
     account: Option<&str>,
 ) -> HeaderMap {
     let names = &gateway.dialect.names;
-    drop_connection_headers(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove(EXPECT);
     for name in &names.system {
--- a/src/direct/serve.rs
+++ b/src/direct/serve.rs
@@ -1,8 +1,8 @@
 use {
     super::{
-        cache_survey::survey_caches, caller_connections::CallerConnections, gateway::Gateway,
-        kept_follow::follow_kept, processor_watch::ProcessorWatch, ready_port::ready_server,
-        settings_watch::watch_settings, store_duty::StoreDuty,
+        cache_follow::follow_caches, cache_survey::survey_caches,
+        caller_connections::CallerConnections, gateway::Gateway, processor_watch::ProcessorWatch,
+        ready_port::ready_server, settings_watch::watch_settings, zone_reader_role::ZoneReaderRole,
     },
     crate::{
         catalog::{Catalog, follow_source},
@@ -21,13 +21,13 @@
     },
 };
 
-/// Before the kill, this much is left for the process's own end.
-const END_MARGIN: Duration = Duration::from_millis(300);
+/// Part of the stop's grace period that is reserved for the exit of the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long late connections are still taken, for a refusal that says so.
-const REFUSING_TIME: Duration = Duration::from_millis(500);
+/// How long requests are refused, with an answer, before connections are no longer accepted.
+const REFUSAL_PERIOD: Duration = Duration::from_millis(500);
 
-/// The command line of a router that carries requests itself.
+/// The command line of a router in the direct form.
 pub fn main() -> ExitCode {
     run_process(
         "archmast-router --direct",
@@ -50,7 +50,7 @@
 
 async fn run(settings: DirectSettings) -> Result<(), Report<StartError>> {
     let failed = || StartError(ResultCode::StartFailed);
-    // Before anything listens: until then the signal ends the process.
+    // Registered before anything listens: an unhandled SIGHUP ends the process.
     let hangup = signal(SignalKind::hangup()).change_context_lazy(failed)?;
     let catalog = Arc::new(Catalog::new(parse_config, parse_replica));
     catalog.keep_out(settings.own_addresses());
@@ -66,12 +66,12 @@
         .await
         .change_context_lazy(failed)?;
     let connections = CallerConnections::new(gateway.clone());
-    let duty = Arc::new(StoreDuty::new(gateway.clone()));
-    tokio::spawn(follow_source(catalog, store, duty, pace));
+    let reader_role = Arc::new(ZoneReaderRole::new(gateway.clone()));
+    tokio::spawn(follow_source(catalog, store, reader_role, pace));
     tokio::spawn(gateway.clone().follow_catalog());
-    tokio::spawn(gateway.clone().tidy());
+    tokio::spawn(gateway.clone().run_cleanup());
     tokio::spawn(survey_caches(gateway.clone()));
-    tokio::spawn(follow_kept(gateway.clone()));
+    tokio::spawn(follow_caches(gateway.clone()));
     tokio::spawn(ProcessorWatch::new(gateway.clone()).run());
     link.clone().start();
     tokio::spawn(watch_settings(
@@ -102,14 +102,14 @@
     log::info!("stopping: not ready from now on");
     gateway.begin_stopping();
     gateway.report_wanted.notify_one();
-    let end = tokio::time::Instant::now() + settings.grace.saturating_sub(END_MARGIN);
+    let deadline = tokio::time::Instant::now() + settings.grace.saturating_sub(EXIT_MARGIN);
     tokio::time::sleep(settings.balancer_lag).await;
-    // What still comes would not be done in time: it is refused, "not run".
+    // New requests could not be completed in time: they are refused as not run.
     gateway.refuse_new();
-    tokio::time::sleep(REFUSING_TIME).await;
+    tokio::time::sleep(REFUSAL_PERIOD).await;
     accepting.abort();
-    connections.close_resting();
-    let in_time = tokio::time::timeout_at(end, connections.all_closed()).await;
+    connections.close_idle();
+    let in_time = tokio::time::timeout_at(deadline, connections.all_closed()).await;
     log::info!(all_answered = in_time.is_ok(); "router stopped");
     Ok(())
 }
--- a/src/direct/sockets.rs
+++ b/src/direct/sockets.rs
@@ -6,47 +6,49 @@
     tokio::net::TcpStream,
 };
 
-/// Bytes that stay unacknowledged this long mean that the other end is gone.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2500);
-
-/// A caller may read nothing for some time; until its window opens it acknowledges nothing
-/// new, as one that is gone.
-const CALLER_UNACKNOWLEDGED: Duration = Duration::from_secs(10);
-
-/// What the kernel holds for the other end beyond what is on its way, in bytes.
-const UNSENT: u32 = 128 << 10;
-
-/// A silent connection is probed after this long, this often, this many times.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
-
-/// Sets a connection to a replica up so that a host that is gone without a word is noticed.
-pub fn watch_over(stream: &TcpStream) {
-    set_up(stream, UNACKNOWLEDGED);
+/// TCP_USER_TIMEOUT of outgoing connections: the peer is considered dead once sent bytes are
+/// unacknowledged for this long.
+const OUTGOING_USER_TIMEOUT: Duration = Duration::from_millis(2500);
+
+/// TCP_USER_TIMEOUT of callers' connections. Longer, as a caller that reads nothing for a
+/// while keeps its window closed and acknowledges nothing new either.
+const CALLER_USER_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// TCP_NOTSENT_LOWAT: bytes that the kernel buffers beyond those in flight.
+const NOTSENT_LOWAT_BYTES: u32 = 128 << 10;
+
+/// Keep-alive probes of idle connections: time before the first, interval, and number.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: u32 = 2;
+
+/// Sets the options of a connection to a replica or another router, so that a host that
+/// vanishes without closing it is detected.
+pub fn configure_outgoing_socket(stream: &TcpStream) {
+    configure(stream, OUTGOING_USER_TIMEOUT);
 }
 
-/// The same for a caller's connection.
-pub fn watch_over_caller(stream: &TcpStream) {
-    set_up(stream, CALLER_UNACKNOWLEDGED);
+/// Sets the same options for a caller's connection, with a longer time-out.
+pub fn configure_caller_socket(stream: &TcpStream) {
+    configure(stream, CALLER_USER_TIMEOUT);
 }
 
-fn set_up(
+fn configure(
     stream: &TcpStream,
-    unacknowledged: Duration,
+    user_timeout: Duration,
 ) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
-    let outcomes = [
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    let results = [
         stream.set_nodelay(true),
         socket.set_tcp_keepalive(&keepalive),
-        socket.set_tcp_user_timeout(Some(unacknowledged)),
-        socket.set_tcp_notsent_lowat(UNSENT),
+        socket.set_tcp_user_timeout(Some(user_timeout)),
+        socket.set_tcp_notsent_lowat(NOTSENT_LOWAT_BYTES),
     ];
-    for error in outcomes.into_iter().filter_map(Result::err) {
-        log::debug!("socket option: {error}");
+    for error in results.into_iter().filter_map(Result::err) {
+        log::debug!("cannot set socket option: {error}");
     }
 }
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -1,4 +1,4 @@
-//! What a router says of itself that carries requests itself.
+//! The status page and gauges of a router in the direct form.
 
 use {
     super::gateway::Gateway,
@@ -13,8 +13,8 @@
     std::{collections::BTreeMap, sync::atomic::Ordering},
 };
 
-/// Replicas whose pace is beyond this are counted as slow.
-const SLOW: f64 = 1.5;
+/// Replicas whose pace exceeds this are counted as slow; 1 is the pace expected of the engine.
+const SLOW_PACE: f64 = 1.5;
 
 impl StatusSource for Gateway {
     fn status(&self) -> ProcessStatus {
@@ -29,7 +29,7 @@
             .filter(|view| view.health.rests(now))
             .count();
         metrics::gauge!(RESTING).set(resting as f64);
-        let slow = self.board().slower_than(SLOW);
+        let slow = self.board().slower_than(SLOW_PACE);
         metrics::gauge!(SLOW_REPLICAS).set(slow as f64);
         metrics::gauge!(REVISION).set(version.config as f64);
         let store_age = self.reading.answer_age(now);
@@ -87,6 +87,7 @@
 }
 
 impl Gateway {
+    /// Sets the gauges of the division among accounts.
     fn measure_shares(&self) {
         let now = self.now();
         let (division, accounts) = self.shares().shares(now);
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The requests that are held back here.
+    /// The requests that this router holds back.
     fn held_status(&self) -> Vec<HeldStatus> {
         let now = self.now();
         let table = self.catalog.config();
--- a/src/direct/store_reading.rs
+++ b/src/direct/store_reading.rs
@@ -6,49 +6,48 @@
     },
 };
 
-/// A router that could not read the store leaves that to others of its zone for this
-/// long.
-const STORE_LOST: Duration = Duration::from_secs(10);
+/// After a failed read of the store, another router of the zone should read it for this long.
+const STORE_FAILURE_PERIOD: Duration = Duration::from_secs(10);
 
-/// Whether this router reads the store for its zone, and how that goes.
+/// Whether this router reads the store, and when the store last answered or failed.
 pub struct StoreReading {
-    reading: AtomicBool,
-    begun: Mark,    // when it last began to read
-    answered: Mark, // when the store last answered
-    failed: Mark,   // when it last did not; never if it did since
+    is_reading: AtomicBool,
+    started: AtomicMoment,  // when this router last started to read
+    answered: AtomicMoment, // when the store last answered
+    failed: AtomicMoment,   // when a call last failed; unset by an answer
 }
 
 impl Default for StoreReading {
     fn default() -> Self {
         Self {
-            reading: AtomicBool::new(true),
-            begun: Mark::default(),
-            answered: Mark::default(),
-            failed: Mark::default(),
+            is_reading: AtomicBool::new(true),
+            started: AtomicMoment::default(),
+            answered: AtomicMoment::default(),
+            failed: AtomicMoment::default(),
         }
     }
 }
 
 impl StoreReading {
-    /// Whether this router reads.
+    /// Whether this router reads the store.
     pub fn is_own(&self) -> bool {
-        self.reading.load(Ordering::Relaxed)
+        self.is_reading.load(Ordering::Relaxed)
     }
 
-    /// Notes whether it does. Whether that is new.
+    /// Sets whether this router reads the store. Returns whether that changed.
     pub fn set_own(
         &self,
         now: Moment,
         reading: bool,
     ) -> bool {
-        let is_new = self.reading.swap(reading, Ordering::Relaxed) != reading;
-        if is_new && reading {
-            self.begun.set(now);
+        let has_changed = self.is_reading.swap(reading, Ordering::Relaxed) != reading;
+        if has_changed && reading {
+            self.started.set(now);
         }
-        is_new
+        has_changed
     }
 
-    /// Notes whether the store answered a call.
+    /// Records whether the store answered a call.
     pub fn went(
         &self,
         now: Moment,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// How long ago the store last answered here; none if it never did.
+    /// Time since the store last answered this router; `None` if it never did.
     pub fn answer_age(
         &self,
         now: Moment,
@@ -70,30 +69,34 @@
         self.answered.age(now)
     }
 
-    /// Whether the store answers here: it has, and the last call to it did not fail.
+    /// Whether the store has answered this router and the last call did not fail.
     pub fn is_answered(&self) -> bool {
         self.answered.is_set() && !self.failed.is_set()
     }
 
-    /// Whether others should read the store: it could not be read here of late, or
-    /// has been silent for longer than `apply`, whatever became of the call.
+    /// Whether another router should read the store: a call failed in the last
+    /// `STORE_FAILURE_PERIOD`, or no answer came for longer than `apply`, also if a call is
+    /// still in progress.
     pub fn is_lost(
         &self,
         now: Moment,
         apply: Duration,
     ) -> bool {
-        let failed = self.failed.age(now).is_some_and(|age| age <= STORE_LOST);
-        let since = self.begun.age(now).unwrap_or(now);
-        let silent = self.answer_age(now).unwrap_or(now).min(since);
+        let failed = self
+            .failed
+            .age(now)
+            .is_some_and(|age| age <= STORE_FAILURE_PERIOD);
+        let reading_for = self.started.age(now).unwrap_or(now);
+        let silent = self.answer_age(now).unwrap_or(now).min(reading_for);
         failed || (self.is_own() && silent > apply)
     }
 }
 
-/// A moment that may not have been yet, in milliseconds since the start; 0 is never.
+/// An optional moment in milliseconds since process start; 0 if unset.
 #[derive(Default)]
-struct Mark(AtomicU64);
+struct AtomicMoment(AtomicU64);
 
-impl Mark {
+impl AtomicMoment {
     fn set(
         &self,
         now: Moment,
--- a/src/direct/stream_watch.rs
+++ b/src/direct/stream_watch.rs
@@ -11,8 +11,8 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Watches the pauses of one stream at one replica; what was seen is evidence of how the
-/// replica works.
+/// Measures the pauses of one stream at one replica, and reports them as evidence of the
+/// replica's performance.
 pub struct StreamWatch {
     gateway: Arc<Gateway>,
     entry: Arc<UpstreamEntry>,
@@ -21,19 +21,19 @@
 
 impl Drop for StreamWatch {
     fn drop(&mut self) {
-        let left = self.watch.end(self.gateway.now());
-        self.hand_in(left);
+        let evidence = self.watch.end(self.gateway.now());
+        self.report(evidence);
     }
 }
 
 impl StreamWatch {
-    /// A stream whose first event came.
+    /// Starts after an event of the stream.
     pub fn new(
         gateway: Arc<Gateway>,
         entry: Arc<UpstreamEntry>,
-        pause_aim: Duration,
+        target_pause: Duration,
     ) -> Self {
-        let watch = PauseWatch::new(gateway.now(), pause_aim);
+        let watch = PauseWatch::new(gateway.now(), target_pause);
         Self {
             gateway,
             entry,
@@ -41,47 +41,47 @@
         }
     }
 
-    /// The longest pause that is in time, while none came over it.
-    pub fn aim(&self) -> Option<Duration> {
+    /// The target pause until a pause exceeds it, `None` afterwards.
+    pub fn target_pause(&self) -> Option<Duration> {
         self.watch.aim()
     }
 
-    /// An event came that was waited for since then.
-    pub fn event(
+    /// Records an event that was waited for from `since` on.
+    pub fn record_event(
         &mut self,
         since: Moment,
     ) {
         let now = self.gateway.now();
-        let seen = self.watch.event(now, now.saturating_sub(since));
-        self.hand_in(seen);
+        let evidence = self.watch.event(now, now.saturating_sub(since));
+        self.report(evidence);
     }
 
-    /// The pause that is waited through came over the aim.
-    pub fn breaks(&mut self) {
-        let seen = self.watch.breaks(self.gateway.now());
-        self.hand_in(Some(seen));
+    /// Records that the current pause exceeds the target.
+    pub fn record_overrun(&mut self) {
+        let evidence = self.watch.breaks(self.gateway.now());
+        self.report(Some(evidence));
     }
 
-    fn hand_in(
+    fn report(
         &self,
-        seen: Option<PauseEvidence>,
+        evidence: Option<PauseEvidence>,
     ) {
-        let Some(seen) = seen else {
+        let Some(evidence) = evidence else {
             return;
         };
-        // A router that is late itself sees pauses that the replica did not make.
+        // A router that lags behind itself measures pauses that the replica did not cause.
         if self.gateway.processor.is_choked() {
             return;
         }
         let entry = &self.entry;
-        if seen.broken > 0.0 {
+        if evidence.broken > 0.0 {
             metrics::counter!(BROKEN_PAUSES, "service" => entry.service.to_string()).increment(1);
         }
-        let news = self
+        let changed_rate = self
             .gateway
             .board()
-            .see_pauses(self.gateway.now(), entry, seen);
-        if let Some(rate) = news {
+            .see_pauses(self.gateway.now(), entry, evidence);
+        if let Some(rate) = changed_rate {
             log::info!(
                 replica = &*entry.id,
                 service = &*entry.service,
--- a/src/direct/unanswered.rs
+++ b/src/direct/unanswered.rs
@@ -1,6 +1,7 @@
 use crate::{codes::ErrorAnswer, policy::shares::AccountShare};
 
-/// Why a call ended without an answer, and how its account stood when it was last placed.
+/// The error of a call that no replica answered, and its account's share at the last
+/// placement.
 pub struct Unanswered {
     pub error: ErrorAnswer,
     pub share: Option<AccountShare>,
