--- a/src/direct/upstream_connection.rs
+++ b/src/direct/upstream_connection.rs
@@ -1,5 +1,5 @@
 use {
-    super::{attempt_end::AttemptEnd, sockets::watch_over},
+    super::{attempt_end::AttemptEnd, sockets::configure_outgoing_socket},
     crate::codes::ResultCode,
     bytes::Bytes,
     http_body_util::Full,
@@ -22,23 +22,23 @@
     tokio::{net::TcpStream, task::AbortHandle, time::timeout},
 };
 
-/// How long connecting may take.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
+/// Time-out for connecting to a replica.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A connection is not used in the last part of the time its replica keeps it.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
+/// A connection is no longer used this long before its replica closes it.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// How long a connection is kept where the replica does not say.
-const KEEP_UNTOLD: Duration = Duration::from_secs(8);
+/// How long an idle connection is kept if the replica sends no `Keep-Alive` time-out.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(8);
 
-/// One connection to one replica. Dropping it closes it at once.
+/// One connection to one replica. Dropping it closes it immediately.
 pub struct UpstreamConnection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    open: Arc<AtomicUsize>, // connections to the same replica
+    open: Arc<AtomicUsize>, // number of connections to the replica
     idle_since: Instant,
-    kept_for: Duration, // at rest
-    closing: bool,      // the replica said so
+    keep_alive: Duration, // maximum idle time
+    is_closing: bool,     // the replica announced `Connection: close`
 }
 
 impl Drop for UpstreamConnection {
@@ -55,9 +55,9 @@
         open: Arc<AtomicUsize>,
     ) -> io::Result<Self> {
         open.fetch_add(1, Ordering::Relaxed);
-        let counted = CountedOpening(Some(open));
-        let stream = timeout(CONNECT_TIME, TcpStream::connect(address)).await??;
-        watch_over(&stream);
+        let count_guard = OpenCountGuard(Some(open));
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
+        configure_outgoing_socket(&stream);
         let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
@@ -69,27 +69,28 @@
         Ok(Self {
             sender,
             task: task.abort_handle(),
-            open: counted.keep(),
+            open: count_guard.into_count(),
             idle_since: Instant::now(),
-            kept_for: KEEP_UNTOLD,
-            closing: false,
+            keep_alive: DEFAULT_KEEP_ALIVE,
+            is_closing: false,
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its answer. Distinguishes requests of which no
+    /// byte was sent from those with unknown outcome.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, AttemptEnd> {
         match self.sender.try_send_request(request).await {
             Ok(response) => {
-                self.note_keeping(response.headers());
+                self.read_keep_alive(response.headers());
                 Ok(response)
             }
             Err(mut error) => {
-                let unsent = error.take_message().is_some();
+                let is_unsent = error.take_message().is_some();
                 let detail = format!("{:?}", error.into_error());
-                Err(if unsent {
+                Err(if is_unsent {
                     AttemptEnd::NotSent { detail }
                 } else {
                     AttemptEnd::Unknown {
@@ -101,29 +102,30 @@
         }
     }
 
-    /// Whether another request may be sent on it now.
+    /// Whether another request can be sent on the connection now.
     pub fn is_usable(&self) -> bool {
-        self.sender.is_ready() && self.idle_since.elapsed() < self.kept_for
+        self.sender.is_ready() && self.idle_since.elapsed() < self.keep_alive
     }
 
-    /// Whether it may be kept after an answer that was read whole.
-    pub fn may_be_kept(&self) -> bool {
-        !self.closing && !self.sender.is_closed()
+    /// Whether the connection can be reused after an answer that was read completely.
+    pub fn is_reusable(&self) -> bool {
+        !self.is_closing && !self.sender.is_closed()
     }
 
-    /// It has nothing to do from now on.
-    pub fn rest(&mut self) {
+    /// Starts the idle time.
+    pub fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
     }
 
-    fn note_keeping(
+    /// Reads from an answer's headers whether and how long the replica keeps the connection.
+    fn read_keep_alive(
         &mut self,
         headers: &HeaderMap,
     ) {
         let values = headers.get_all(CONNECTION);
         let mut texts = values.iter().filter_map(|value| value.to_str().ok());
-        self.closing = texts.any(|text| text.to_ascii_lowercase().contains("close"));
-        let told = headers
+        self.is_closing = texts.any(|text| text.to_ascii_lowercase().contains("close"));
+        let timeout_s = headers
             .get("keep-alive")
             .and_then(|value| value.to_str().ok())
             .and_then(|text| {
@@ -131,22 +133,22 @@
                     .find_map(|part| part.trim().strip_prefix("timeout="))
             })
             .and_then(|seconds| seconds.trim().parse().ok());
-        if let Some(seconds) = told {
-            self.kept_for = Duration::from_secs(seconds).saturating_sub(KEEP_MARGIN);
+        if let Some(seconds) = timeout_s {
+            self.keep_alive = Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN);
         }
     }
 }
 
-/// Takes an opening back from the count unless the connection came to be.
-struct CountedOpening(Option<Arc<AtomicUsize>>);
+/// Subtracts a connection from the count again if connecting fails.
+struct OpenCountGuard(Option<Arc<AtomicUsize>>);
 
-impl CountedOpening {
-    fn keep(mut self) -> Arc<AtomicUsize> {
-        self.0.take().expect("kept once")
+impl OpenCountGuard {
+    fn into_count(mut self) -> Arc<AtomicUsize> {
+        self.0.take().expect("count taken twice")
     }
 }
 
-impl Drop for CountedOpening {
+impl Drop for OpenCountGuard {
     fn drop(&mut self) {
         if let Some(open) = &self.0 {
             open.fetch_sub(1, Ordering::Relaxed);
--- a/src/direct/upstream_pool.rs
+++ b/src/direct/upstream_pool.rs
@@ -11,8 +11,8 @@
     },
 };
 
-/// Kept connections to replicas, by the replica's id: a replica that starts
-/// anew, or another at the same address, never gets an old one's connection.
+/// Connections to replicas, by the replica's id: a restarted replica, or another one at the
+/// same address, never gets a connection of the old one.
 #[derive(Default)]
 pub struct UpstreamPool {
     replicas: Mutex<HashMap<Arc<str>, ReplicaConnections>>, // a leaf lock
@@ -20,16 +20,16 @@
 
 #[derive(Default)]
 struct ReplicaConnections {
-    idle: Vec<UpstreamConnection>, // the last used one last
-    open: Arc<AtomicUsize>,        // all of them
+    idle: Vec<UpstreamConnection>, // the last used at the end
+    open: Arc<AtomicUsize>,        // number of connections, idle or busy
 }
 
 impl UpstreamPool {
-    /// A connection at rest, or a new one while fewer than `most` are open.
+    /// An idle connection, or a new one while fewer than `max_open` are open.
     pub async fn take(
         &self,
         entry: &UpstreamEntry,
-        most: usize,
+        max_open: usize,
     ) -> Result<UpstreamConnection, AttemptEnd> {
         let open = {
             let mut replicas = self.replicas.lock().expect("pool lock");
@@ -41,8 +41,8 @@
             }
             connections.open.clone()
         };
-        if open.load(Ordering::Relaxed) >= most.max(1) {
-            let detail = format!("{most} connections are open");
+        if open.load(Ordering::Relaxed) >= max_open.max(1) {
+            let detail = format!("connection limit reached: {max_open} open");
             return Err(AttemptEnd::NotSent { detail });
         }
         let opened = UpstreamConnection::open(entry.address, open).await;
@@ -51,9 +51,9 @@
         })
     }
 
-    /// Whether a new connection to a replica is refused: nothing listens there. One that
-    /// comes to be is kept.
-    pub async fn is_refused(
+    /// Whether a new connection to a replica is refused, as nothing listens there. A connection
+    /// that succeeds is added to the pool.
+    pub async fn is_connection_refused(
         &self,
         entry: &UpstreamEntry,
     ) -> bool {
@@ -70,35 +70,35 @@
         }
     }
 
-    /// Whether a connection at rest to a replica is still open.
-    pub fn has_open(
+    /// Whether an idle connection to a replica is still open.
+    pub fn has_idle(
         &self,
         replica: &str,
     ) -> bool {
         let replicas = self.replicas.lock().expect("pool lock");
-        let known = replicas.get(replica);
-        known.is_some_and(|known| known.idle.iter().any(UpstreamConnection::is_usable))
+        let entry = replicas.get(replica);
+        entry.is_some_and(|entry| entry.idle.iter().any(UpstreamConnection::is_usable))
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Adds a connection whose last answer was read completely, if it can be reused.
     pub fn give_back(
         &self,
         replica: &Arc<str>,
         mut connection: UpstreamConnection,
     ) {
-        if !connection.may_be_kept() {
+        if !connection.is_reusable() {
             return;
         }
-        connection.rest();
+        connection.mark_idle();
         let mut replicas = self.replicas.lock().expect("pool lock");
         if let Some(connections) = replicas.get_mut(replica) {
             connections.idle.push(connection);
         }
     }
 
-    /// Drops the connections at rest to a replica that left a request without an answer:
-    /// what made the one silent may have silenced all, and each would cost a request.
-    pub fn forget_resting(
+    /// Closes the idle connections to a replica that did not answer a request: whatever made
+    /// that connection silent may affect all of them, and each would cost a request.
+    pub fn close_idle(
         &self,
         replica: &str,
     ) {
@@ -108,26 +108,26 @@
         }
     }
 
-    /// Drops all connections at rest: while the process stood still their replicas may have
-    /// closed them, or ended.
-    pub fn forget_all_resting(&self) {
+    /// Closes all idle connections, as their replicas may have closed them or ended while this
+    /// process was suspended.
+    pub fn close_all_idle(&self) {
         let mut replicas = self.replicas.lock().expect("pool lock");
         for connections in replicas.values_mut() {
             connections.idle.clear();
         }
     }
 
-    /// Drops connections of replicas that are not listed any more.
-    pub fn keep_only(
+    /// Drops the entries of replicas for which `is_listed` returns false.
+    pub fn retain_listed(
         &self,
-        listed: impl Fn(&str) -> bool,
+        is_listed: impl Fn(&str) -> bool,
     ) {
         let mut replicas = self.replicas.lock().expect("pool lock");
-        replicas.retain(|id, _| listed(id));
+        replicas.retain(|id, _| is_listed(id));
     }
 
-    /// Drops connections that cannot be used any more.
-    pub fn tidy(&self) {
+    /// Closes idle connections that cannot be used any more.
+    pub fn close_unusable(&self) {
         let mut replicas = self.replicas.lock().expect("pool lock");
         for connections in replicas.values_mut() {
             connections.idle.retain(UpstreamConnection::is_usable);
