--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -66,7 +66,7 @@
     settings.follow_kept
         && *entry.zone == *settings.process.zone
         && !gateway.is_stopping()
-        && gateway.board().follows(gateway.now(), entry)
+        && gateway.replica_table().follows(gateway.now(), entry)
 }
 
 /// Follows a replica until it restarts, is assigned to another router, or takes no more
@@ -81,7 +81,9 @@
         let pause = match poll_events(&gateway, &entry, &mut connection).await {
             Ok(news) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
-                let change = gateway.board().heard_kept(gateway.now(), &entry, &news);
+                let change = gateway
+                    .replica_table()
+                    .heard_kept(gateway.now(), &entry, &news);
                 if let Some(change) = change {
                     record_change(&entry, &change);
                 }
@@ -156,7 +158,7 @@
     idle: &mut Option<UpstreamConnection>,
 ) -> Result<KeptNews, Fault> {
     let calls = gateway.dialect.cache;
-    let next = gateway.board().kept_follow(entry).next;
+    let next = gateway.replica_table().kept_follow(entry).next;
     let mut connection = match idle.take().filter(UpstreamConnection::is_usable) {
         Some(connection) => connection,
         None => {
--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -67,17 +67,18 @@
 ) -> Vec<Arc<UpstreamEntry>> {
     let zone = &gateway.settings().process.zone;
     let mut due = model_replicas(gateway);
-    let board = gateway.board();
+    let replica_table = gateway.replica_table();
     let now = gateway.now();
-    let takes_requests =
-        |entry: &UpstreamEntry| !board.is_cordoned(entry) && board.wants_requests(now, entry);
+    let takes_requests = |entry: &UpstreamEntry| {
+        !replica_table.is_cordoned(entry) && replica_table.wants_requests(now, entry)
+    };
     // Reports on replicas of other zones contain only what was evicted.
     let is_reported =
-        |entry: &UpstreamEntry| *entry.zone == **zone && board.is_followed(now, entry);
+        |entry: &UpstreamEntry| *entry.zone == **zone && replica_table.is_followed(now, entry);
     due.retain(|entry| {
         takes_requests(entry) && !is_reported(entry) && queried.insert(entry.start_name())
     });
-    drop(board);
+    drop(replica_table);
     due.sort_by_key(|entry| *entry.zone != **zone);
     due
 }
@@ -118,7 +119,7 @@
         return;
     };
     let memory = engine.memory_tokens;
-    gateway.board().learn_kept(entry, parts, memory);
+    gateway.replica_table().learn_kept(entry, parts, memory);
 }
 
 /// Queries all cached parts of a replica. Fails with `ResultCode::PeerUnreachable` if it was not
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -176,7 +176,7 @@
     pub fn record_replica_success(&mut self) {
         if let Some(attempt) = &mut self.last_attempt {
             attempt.finish();
-            self.gateway.board().succeeded(&attempt.entry);
+            self.gateway.replica_table().succeeded(&attempt.entry);
         }
     }
 
@@ -186,9 +186,9 @@
         let now = self.gateway.now();
         if let Some(attempt) = &mut self.last_attempt {
             attempt.finish();
-            let mut board = self.gateway.board();
-            board.succeeded(&attempt.entry);
-            board.learn_plain(&attempt.entry, attempt.plain_run(now));
+            let mut replica_table = self.gateway.replica_table();
+            replica_table.succeeded(&attempt.entry);
+            replica_table.learn_plain(&attempt.entry, attempt.plain_run(now));
         }
     }
 
@@ -203,8 +203,8 @@
         if let Some(((entry, started), prompt)) = started.zip(self.call.prompt.as_ref()) {
             let now = self.gateway.now();
             let took = now.saturating_sub(started);
-            let mut board = self.gateway.board();
-            board.learn_run(now, entry, prompt.output_tokens, took);
+            let mut replica_table = self.gateway.replica_table();
+            replica_table.learn_run(now, entry, prompt.output_tokens, took);
         }
     }
 
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -31,7 +31,7 @@
         self.share = self.account_share();
         let standing = self.share.map_or(Standing::Within, |share| share.standing);
         let zone = self.gateway.settings().process.zone.clone();
-        let mut board = self.gateway.board();
+        let mut replica_table = self.gateway.replica_table();
         let request = PlacementRequest {
             service: &call.service,
             zone: &zone,
@@ -43,15 +43,15 @@
             tried: &self.tried,
             regions: call.regions.as_ref(),
         };
-        board.refresh_beliefs(now);
-        let choice = board.choose(now, &request);
+        replica_table.refresh_beliefs(now);
+        let choice = replica_table.choose(now, &request);
         self.record_capacity(now, &choice, standing);
         match choice {
             Choice::Refuse {
                 reason,
                 retry_after,
             } => {
-                drop(board);
+                drop(replica_table);
                 let retry_after = retry_after.max(self.gateway.least_retry());
                 Err(self.refusal(reason, retry_after))
             }
@@ -72,11 +72,13 @@
                     reading,
                     front_ms,
                 });
-                let number = board.start(now, &replica, sent);
-                let entry = board.replica(&replica).map(|view| view.entry.clone());
-                let source = fetch_from.and_then(|id| board.replica(&id));
+                let number = replica_table.start(now, &replica, sent);
+                let entry = replica_table
+                    .replica(&replica)
+                    .map(|view| view.entry.clone());
+                let source = fetch_from.and_then(|id| replica_table.replica(&id));
                 let fetch_from = source.map(|view| view.entry.address);
-                drop(board);
+                drop(replica_table);
                 let (Some(number), Some(entry)) = (number, entry) else {
                     return Err(self.refusal(RefusalReason::NoReplica, DEFAULT_RETRY_AFTER));
                 };
--- a/src/direct/exchange_end.rs
+++ b/src/direct/exchange_end.rs
@@ -134,8 +134,8 @@
     ) -> Duration {
         match end {
             AttemptEnd::Refused { status: 503, .. } => {
-                let board = self.gateway.board();
-                let backoff = board.all_rest_for(self.gateway.now(), &self.call.service);
+                let replica_table = self.gateway.replica_table();
+                let backoff = replica_table.all_rest_for(self.gateway.now(), &self.call.service);
                 backoff.unwrap_or_default().max(DEFAULT_RETRY_AFTER)
             }
             AttemptEnd::Refused { retry_after, .. } => retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
@@ -153,16 +153,18 @@
         };
         let replica = &*attempt.entry;
         let now = self.gateway.now();
-        let mut board = self.gateway.board();
+        let mut replica_table = self.gateway.replica_table();
         match end {
             AttemptEnd::Withheld => {}
             AttemptEnd::NotSent { .. } | AttemptEnd::Refused { status: 421, .. } => {
-                board.unreachable(now, replica);
+                replica_table.unreachable(now, replica);
+            }
+            AttemptEnd::Refused { .. } => replica_table.full(now, replica),
+            AttemptEnd::Failed { .. } | AttemptEnd::Unknown { .. } => {
+                replica_table.failed(now, replica)
             }
-            AttemptEnd::Refused { .. } => board.full(now, replica),
-            AttemptEnd::Failed { .. } | AttemptEnd::Unknown { .. } => board.failed(now, replica),
         }
-        drop(board);
+        drop(replica_table);
         if end.code() == ResultCode::UpstreamTimeout {
             self.gateway.pool.close_idle(&replica.id);
         }
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -107,10 +107,10 @@
     ) -> Option<bool> {
         let now = self.now();
         let was_planned = {
-            let mut board = self.board();
-            board.ended(now, &attempt.entry);
+            let mut replica_table = self.replica_table();
+            replica_table.ended(now, &attempt.entry);
             // The replica may have announced its exit before the upstream list shows it.
-            board.is_to_end(now, &attempt.entry)
+            replica_table.is_to_end(now, &attempt.entry)
         };
         if was_planned {
             return None;
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -28,7 +28,7 @@
 
 /// The shared state of a router in the direct form.
 ///
-/// Lock order: a connection's `AnswerBuffer`, `board`, `shares`, `retries`, then leaf locks,
+/// Lock order: a connection's `AnswerBuffer`, `replica_table`, `shares`, `retries`, then leaf locks,
 /// under which no other lock is taken (suspects, abandoned attempts, suspension, catalog,
 /// pool, peers). None is held across an await.
 pub struct Gateway {
@@ -48,7 +48,7 @@
     pub report_wanted: Notify, // wakes the task that reports to peers before the regular interval
     pub(super) answer_bytes: Arc<AtomicU64>, // buffered answers
     pub(super) request_bytes: Arc<AtomicU64>, // buffered request bodies
-    board: Mutex<ReplicaBoard>,
+    replica_table: Mutex<ReplicaBoard>,
     shares: Mutex<ShareBook>,
     retries: Mutex<RetryWindow>,
     suspects: Mutex<SuspectBook>,  // a leaf lock
@@ -76,8 +76,8 @@
             address: settings.peers,
             zone: short_name(&settings.process.zone),
         };
-        let mut board = ReplicaBoard::new(settings.placement);
-        board.set_regions(settings.regions.clone());
+        let mut replica_table = ReplicaBoard::new(settings.placement);
+        replica_table.set_regions(settings.regions.clone());
         Self {
             dialect,
             incarnation: Uptime::new_incarnation(),
@@ -95,7 +95,7 @@
             report_wanted: Notify::new(),
             answer_bytes: Arc::default(),
             request_bytes: Arc::default(),
-            board: Mutex::new(board),
+            replica_table: Mutex::new(replica_table),
             shares: Mutex::new(ShareBook::new(settings.share_window, settings.peer_age)),
             retries: Mutex::new(retries),
             suspects: Mutex::new(SuspectBook::new(settings.let_through.clone())),
@@ -117,8 +117,8 @@
         &self,
         settings: DirectSettings,
     ) {
-        self.board().set_settings(settings.placement);
-        self.board().set_regions(settings.regions.clone());
+        self.replica_table().set_settings(settings.placement);
+        self.replica_table().set_regions(settings.regions.clone());
         self.shares()
             .set_window(settings.share_window, settings.peer_age);
         self.retries.lock().expect("retries lock").set_bounds(
@@ -161,8 +161,8 @@
     }
 
     /// The replicas and the load at each.
-    pub fn board(&self) -> MutexGuard<'_, ReplicaBoard> {
-        self.board.lock().expect("board lock")
+    pub fn replica_table(&self) -> MutexGuard<'_, ReplicaBoard> {
+        self.replica_table.lock().expect("replica table lock")
     }
 
     /// What accounts asked for and were given.
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -46,9 +46,9 @@
             let entries = self.catalog.upstreams();
             let restarted = {
                 let now = self.now();
-                let mut board = self.board();
-                board.set_start_limits(limits);
-                board.set_entries(now, entries.clone())
+                let mut replica_table = self.replica_table();
+                replica_table.set_start_limits(limits);
+                replica_table.set_entries(now, entries.clone())
             };
             for replica in &restarted {
                 log::info!(replica = &**replica; "replica restarted; its load, health and cache state are reset");
@@ -56,7 +56,7 @@
             let cordoned = self.catalog.cordoned();
             report_unknown_cordons(&cordoned, &entries);
             metrics::gauge!(CORDONED).set(cordoned.len() as f64);
-            self.board().set_cordoned(cordoned);
+            self.replica_table().set_cordoned(cordoned);
             if version.knows_both() {
                 let since = *knows_both_since.get_or_insert_with(Instant::now);
                 if self.catalog.knows_cordons() || since.elapsed() >= CORDON_WAIT {
@@ -115,7 +115,7 @@
 
     /// Logs replicas whose long-term pace differs from the one last logged.
     fn log_paces(&self) {
-        let changes = self.board().pace_news(self.now(), MAX_PACE_LINES);
+        let changes = self.replica_table().pace_news(self.now(), MAX_PACE_LINES);
         for change in changes {
             log::info!(
                 replica = &*change.replica,
--- a/src/direct/in_flight_guard.rs
+++ b/src/direct/in_flight_guard.rs
@@ -37,14 +37,14 @@
         replica: &UpstreamEntry,
     ) -> bool {
         let now = self.gateway.now();
-        let board = self.gateway.board();
-        board.may_be_sent(now, self.number, replica)
+        let replica_table = self.gateway.replica_table();
+        replica_table.may_be_sent(now, self.number, replica)
     }
 
     /// Records that the first token arrived.
     pub fn record_first_token(&self) {
         let now = self.gateway.now();
-        let changed = self.gateway.board().first_token(now, self.number);
+        let changed = self.gateway.replica_table().first_token(now, self.number);
         if let Some(times) = changed {
             log::info!(
                 replica = &*self.replica,
@@ -59,6 +59,6 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.gateway.board().finish(self.number);
+        self.gateway.replica_table().finish(self.number);
     }
 }
--- a/src/direct/live_answer.rs
+++ b/src/direct/live_answer.rs
@@ -46,7 +46,7 @@
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         self.gateway
-                            .board()
+                            .replica_table()
                             .heard(self.gateway.now(), self.in_flight.replica());
                         return Ok(Some(data));
                     }
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -33,9 +33,10 @@
     if notice.is_empty() {
         return;
     }
-    let is_new = gateway
-        .board()
-        .hear_notice(gateway.now(), Uptime::unix_millis(), replica, notice);
+    let is_new =
+        gateway
+            .replica_table()
+            .hear_notice(gateway.now(), Uptime::unix_millis(), replica, notice);
     if !is_new {
         return;
     }
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -20,16 +20,20 @@
     fn status(&self) -> ProcessStatus {
         let settings = self.settings();
         let version = self.catalog.version();
-        let running: u32 = self.board().replicas().map(|view| view.own.running).sum();
+        let running: u32 = self
+            .replica_table()
+            .replicas()
+            .map(|view| view.own.running)
+            .sum();
         metrics::gauge!(RUNNING).set(f64::from(running));
         let now = self.now();
         let resting = self
-            .board()
+            .replica_table()
             .replicas()
             .filter(|view| view.health.rests(now))
             .count();
         metrics::gauge!(RESTING).set(resting as f64);
-        let slow = self.board().slower_than(SLOW_PACE);
+        let slow = self.replica_table().slower_than(SLOW_PACE);
         metrics::gauge!(SLOW_REPLICAS).set(slow as f64);
         metrics::gauge!(REVISION).set(version.config as f64);
         let store_age = self.reading.answer_age(now);
--- a/src/direct/stream_watch.rs
+++ b/src/direct/stream_watch.rs
@@ -77,10 +77,10 @@
         if evidence.broken > 0.0 {
             metrics::counter!(BROKEN_PAUSES, "service" => entry.service.to_string()).increment(1);
         }
-        let changed_rate = self
-            .gateway
-            .board()
-            .see_pauses(self.gateway.now(), entry, evidence);
+        let changed_rate =
+            self.gateway
+                .replica_table()
+                .see_pauses(self.gateway.now(), entry, evidence);
         if let Some(rate) = changed_rate {
             log::info!(
                 replica = &*entry.id,
--- a/src/direct/wait_while_alive.rs
+++ b/src/direct/wait_while_alive.rs
@@ -26,7 +26,7 @@
     let mut outcome = timeout(limit, &mut awaited).await;
     while outcome.is_err() && waited < longest {
         if !gateway
-            .board()
+            .replica_table()
             .is_alive(gateway.now(), replica, ALIVE_WINDOW)
         {
             return None;
--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -92,7 +92,7 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         let is_own_zone = report.zone == gateway.peers.own().zone;
-        let believed = gateway.board().belief_age();
+        let believed = gateway.replica_table().belief_age();
         if from != report.address || !is_own_zone || !gateway.peers.hear(now, report, believed) {
             return;
         }
@@ -151,11 +151,11 @@
         teller: Teller,
         figures: &Figures,
     ) {
-        let mut board = self.gateway.board();
-        board.hear(now, teller, &figures.replicas);
-        board.hear_notes(now, teller.scope, &figures.notes);
-        board.hear_engines(&figures.engines);
-        drop(board);
+        let mut replica_table = self.gateway.replica_table();
+        replica_table.hear(now, teller, &figures.replicas);
+        replica_table.hear_notes(now, teller.scope, &figures.notes);
+        replica_table.hear_engines(&figures.engines);
+        drop(replica_table);
         self.gateway.shares().hear(now, teller, &figures.accounts);
     }
 
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -83,11 +83,11 @@
             in_all: self.gateway.router_count(),
         };
         let routers = self.zone_routers(now);
-        let mut board = self.gateway.board();
-        board.set_reports(pace, fleet);
-        board.set_zone_routers(routers);
-        let belief_age = board.belief_age();
-        drop(board);
+        let mut replica_table = self.gateway.replica_table();
+        replica_table.set_reports(pace, fleet);
+        replica_table.set_zone_routers(routers);
+        let belief_age = replica_table.belief_age();
+        drop(replica_table);
         self.gateway.shares().set_peer_age(belief_age);
     }
 
@@ -136,7 +136,7 @@
         now: Moment,
     ) -> usize {
         let gateway = &self.gateway;
-        let notes = gateway.board().take_zone_notes();
+        let notes = gateway.replica_table().take_zone_notes();
         let suspects = gateway.suspects().take_zone_news(now);
         let zones = gateway.peers.other_zones();
         let leaves = gateway.is_stopping() && gateway.peers.alive(now, SILENCE) > 0;
@@ -214,11 +214,11 @@
         now: Moment,
     ) -> Figures {
         let gateway = &self.gateway;
-        let mut board = gateway.board();
-        let notes = board.take_notes();
-        let replicas = board.reports(now);
-        let engines = board.engine_reports();
-        drop(board);
+        let mut replica_table = gateway.replica_table();
+        let notes = replica_table.take_notes();
+        let replicas = replica_table.reports(now);
+        let engines = replica_table.engine_reports();
+        drop(replica_table);
         let usage = gateway.shares().own(now).clone();
         let mut told = self.told.lock().expect("told lock");
         let all = Figures {
@@ -237,10 +237,10 @@
         notes: Vec<CacheNote>,
     ) -> Figures {
         let gateway = &self.gateway;
-        let board = gateway.board();
-        let replicas = board.zone_reports(now);
-        let engines = board.engine_reports();
-        drop(board);
+        let replica_table = gateway.replica_table();
+        let replicas = replica_table.zone_reports(now);
+        let engines = replica_table.engine_reports();
+        drop(replica_table);
         let usage = gateway.shares().zone_usage(now);
         Figures {
             replicas,
--- a/src/peers/tell_evidence.rs
+++ b/src/peers/tell_evidence.rs
@@ -36,7 +36,7 @@
             return Vec::new();
         }
         drop(told);
-        let seen = self.gateway.board().evidence(now);
+        let seen = self.gateway.replica_table().evidence(now);
         told = self.told.lock().expect("told lock");
         told.evidence.take(now, seen)
     }
@@ -53,6 +53,8 @@
         }
         let now = gateway.now();
         let teller = router_name(&told.teller);
-        gateway.board().hear_evidence(now, teller, &told.replicas);
+        gateway
+            .replica_table()
+            .hear_evidence(now, teller, &told.replicas);
     }
 }
--- a/src/peers/tell_kept.rs
+++ b/src/peers/tell_kept.rs
@@ -28,11 +28,14 @@
         };
         if has_new {
             let zone = &self.gateway.settings().process.zone;
-            self.gateway.board().tell_kept_again(now, zone);
+            self.gateway.replica_table().tell_kept_again(now, zone);
         }
         let (news, zone_news) = {
-            let mut board = self.gateway.board();
-            (board.take_kept_news(), board.take_zone_kept_news())
+            let mut replica_table = self.gateway.replica_table();
+            (
+                replica_table.take_kept_news(),
+                replica_table.take_zone_kept_news(),
+            )
         };
         self.send_kept_news(news, addresses).await;
         if !zone_news.is_empty() {
@@ -75,9 +78,9 @@
             return false;
         }
         let now = gateway.now();
-        let mut board = gateway.board();
+        let mut replica_table = gateway.replica_table();
         for (start, news) in &told.replicas {
-            board.hear_kept(now, *start, news);
+            replica_table.hear_kept(now, *start, news);
         }
         !is_own_zone && from == told.teller
     }
--- a/src/peers/tell_leaving.rs
+++ b/src/peers/tell_leaving.rs
@@ -23,7 +23,7 @@
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let leaving = self.gateway.board().heard_leaving();
+        let leaving = self.gateway.replica_table().heard_leaving();
         let due: Vec<u32> = {
             let times = &mut self.told.lock().expect("told lock").leaving;
             times.retain(|start, _| leaving.contains(start));
@@ -57,7 +57,9 @@
             return;
         }
         let unix_ms = Uptime::unix_millis();
-        let news = gateway.board().hear_of_leaving(unix_ms, &told.starts);
+        let news = gateway
+            .replica_table()
+            .hear_of_leaving(unix_ms, &told.starts);
         for replica in news {
             log::info!(
                 replica = &*replica.id,
