--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -83,7 +83,7 @@
                     return Err(self.refusal(RefusalReason::NoReplica, DEFAULT_RETRY_AFTER));
                 };
                 if reading >= URGENT_PREFILL_TOKENS {
-                    self.gateway.report_wanted.notify_one();
+                    self.gateway.early_report.notify_one();
                 }
                 self.log_sent(&replica, reading, front_ms, pauses_ms, fetch_from, expected);
                 let in_flight = InFlightGuard::new(self.gateway.clone(), number, replica.clone());
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -126,7 +126,7 @@
         let request = attempt.call.digest();
         let account = attempt.call.account.as_deref().map_or(0, short_name);
         let hold = self.suspects().ended(now, request, account, end);
-        self.report_wanted.notify_one();
+        self.early_report.notify_one();
         if let Some(hold) = &hold {
             log_held_back(now, request, hold, &attempt.call.request_id, "here");
         }
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -45,7 +45,7 @@
     pub zones: ZoneTable, // the other zones
     pub processor: ProcessorState,
     pub reading: StoreReading, // whether this router reads the store, and whether it answers
-    pub report_wanted: Notify, // wakes the task that reports to peers before the regular interval
+    pub early_report: Notify,  // wakes the task that reports to peers before the regular interval
     pub(super) answer_bytes: Arc<AtomicU64>, // buffered answers
     pub(super) request_bytes: Arc<AtomicU64>, // buffered request bodies
     replica_table: Mutex<ReplicaBoard>,
@@ -92,7 +92,7 @@
             zones: ZoneTable::default(),
             processor: ProcessorState::default(),
             reading: StoreReading::default(),
-            report_wanted: Notify::new(),
+            early_report: Notify::new(),
             answer_bytes: Arc::default(),
             request_bytes: Arc::default(),
             replica_table: Mutex::new(replica_table),
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -43,7 +43,7 @@
     if notice.leaves {
         // Other routers learn it early: a router that forwarded the caller's connection here
         // relays the answer without reading it.
-        gateway.report_wanted.notify_one();
+        gateway.early_report.notify_one();
     }
     metrics::counter!(NOTICES, "says" => notice.kind()).increment(1);
     log::info!(
--- a/src/direct/serve.rs
+++ b/src/direct/serve.rs
@@ -101,7 +101,7 @@
     }
     log::info!("stopping: not ready from now on");
     gateway.begin_stopping();
-    gateway.report_wanted.notify_one();
+    gateway.early_report.notify_one();
     let deadline = tokio::time::Instant::now() + settings.grace.saturating_sub(EXIT_MARGIN);
     tokio::time::sleep(settings.balancer_lag).await;
     // New requests could not be completed in time: they are refused as not run.
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -65,7 +65,7 @@
             self.set_pace(pace);
             tokio::select! {
                 () = tokio::time::sleep(pace) => {}
-                () = self.gateway.report_wanted.notified() => {}
+                () = self.gateway.early_report.notified() => {}
                 _ = changes.changed() => {}
             }
         }
