--- a/src/direct/caller_port.rs
+++ b/src/direct/caller_port.rs
@@ -145,14 +145,14 @@
     request_id: &str,
 ) {
     let origin = gateway.catalog.config_origin();
-    let answered = gateway.reading.answer_age(gateway.now());
+    let answered = gateway.store_reads.answer_age(gateway.now());
     log::info!(
         request_id = request_id,
         config = origin.as_ref().map_or(0, |origin| origin.version),
         from = origin.as_ref().map_or("nobody", |origin| &*origin.from),
         config_age_ms = origin.as_ref().map(|origin| origin.age.as_millis() as u64),
         store_age_ms = answered.map(|age| age.as_millis() as u64),
-        reads_store = gateway.reading.is_own();
+        reads_store = gateway.store_reads.is_own();
         "refused by this configuration"
     );
 }
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -1,7 +1,8 @@
 use {
     super::{
         abandoned_attempts::AbandonedAttempts, dialect::Dialect, exit_checks::ExitChecks,
-        processor_state::ProcessorState, store_reading::StoreReading, upstream_pool::UpstreamPool,
+        processor_state::ProcessorState, store_read_state::StoreReadState,
+        upstream_pool::UpstreamPool,
     },
     crate::{
         catalog::{Catalog, CatalogVersion},
@@ -44,8 +45,8 @@
     pub peers: PeerTable, // the routers of the own zone, and some of others
     pub zones: ZoneTable, // the other zones
     pub processor: ProcessorState,
-    pub reading: StoreReading, // whether this router reads the store, and whether it answers
-    pub early_report: Notify,  // wakes the task that reports to peers before the regular interval
+    pub store_reads: StoreReadState, // whether this router reads the store, and whether it answers
+    pub early_report: Notify, // wakes the task that reports to peers before the regular interval
     pub(super) answer_bytes: Arc<AtomicU64>, // buffered answers
     pub(super) request_bytes: Arc<AtomicU64>, // buffered request bodies
     replica_table: Mutex<ReplicaBoard>,
@@ -91,7 +92,7 @@
             peers: PeerTable::new(own, &settings.seeds),
             zones: ZoneTable::default(),
             processor: ProcessorState::default(),
-            reading: StoreReading::default(),
+            store_reads: StoreReadState::default(),
             early_report: Notify::new(),
             answer_bytes: Arc::default(),
             request_bytes: Arc::default(),
@@ -245,7 +246,7 @@
     /// Whether this router cannot read the store, so that another of the zone should.
     pub fn is_store_lost(&self) -> bool {
         let apply = self.settings().catalog_pace.apply;
-        self.reading.is_lost(self.now(), apply)
+        self.store_reads.is_lost(self.now(), apply)
     }
 
     /// Records that a configuration and an upstream list are loaded, so that requests can be
--- a/src/direct/mod.rs
+++ b/src/direct/mod.rs
@@ -40,7 +40,7 @@
 mod settings_watch;
 mod sockets;
 mod status;
-mod store_reading;
+mod store_read_state;
 mod stream_watch;
 mod unanswered;
 mod upstream_connection;
@@ -55,6 +55,6 @@
     exchange_suspects::log_held_back,
     gateway::Gateway,
     serve::main,
-    store_reading::StoreReading,
+    store_read_state::StoreReadState,
     upstream_pool::UpstreamPool,
 };
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -36,7 +36,7 @@
         let slow = self.replica_table().slower_than(SLOW_PACE);
         metrics::gauge!(SLOW_REPLICAS).set(slow as f64);
         metrics::gauge!(REVISION).set(version.config as f64);
-        let store_age = self.reading.answer_age(now);
+        let store_age = self.store_reads.answer_age(now);
         metrics::gauge!(STORE_AGE).set(store_age.map_or(-1.0, |age| age.as_secs_f64()));
         let held = self.held_status();
         metrics::gauge!(HELD).set(held.len() as f64);
--- a/src/direct/store_reading.rs
+++ b/src/direct/store_read_state.rs
@@ -10,14 +10,14 @@
 const STORE_FAILURE_PERIOD: Duration = Duration::from_secs(10);
 
 /// Whether this router reads the store, and when the store last answered or failed.
-pub struct StoreReading {
+pub struct StoreReadState {
     is_reading: AtomicBool,
     started: AtomicMoment,  // when this router last started to read
     answered: AtomicMoment, // when the store last answered
     failed: AtomicMoment,   // when a call last failed; unset by an answer
 }
 
-impl Default for StoreReading {
+impl Default for StoreReadState {
     fn default() -> Self {
         Self {
             is_reading: AtomicBool::new(true),
@@ -28,7 +28,7 @@
     }
 }
 
-impl StoreReading {
+impl StoreReadState {
     /// Whether this router reads the store.
     pub fn is_own(&self) -> bool {
         self.is_reading.load(Ordering::Relaxed)
--- a/tests/store_reading.rs
+++ b/tests/store_reading.rs
@@ -1,7 +1,7 @@
 //! A router that reads the store for its zone is known to have lost it by the age of
 //! the store's last answer.
 
-use {archmast::direct::StoreReading, std::time::Duration};
+use {archmast::direct::StoreReadState, std::time::Duration};
 
 const APPLY: Duration = Duration::from_secs(2);
 
@@ -11,7 +11,7 @@
 
 #[test]
 fn a_reader_whose_store_is_silent_has_lost_it_though_no_call_failed() {
-    let reading = StoreReading::default();
+    let reading = StoreReadState::default();
     reading.went(ms(1000), true);
     assert!(!reading.is_lost(ms(2900), APPLY));
     assert!(reading.is_lost(ms(3100), APPLY));
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_call_that_failed_counts_for_ten_seconds_unless_a_later_one_is_answered() {
-    let reading = StoreReading::default();
+    let reading = StoreReadState::default();
     reading.went(ms(1000), true);
     reading.went(ms(1500), false);
     assert!(reading.is_lost(ms(1600), APPLY));
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_router_that_begins_to_read_has_time_for_its_first_call() {
-    let reading = StoreReading::default();
+    let reading = StoreReadState::default();
     reading.went(ms(100), true);
     assert!(reading.set_own(ms(200), false));
     assert!(!reading.is_lost(ms(60_000), APPLY), "it does not read");
