--- a/src/direct/caller_port.rs
+++ b/src/direct/caller_port.rs
@@ -152,7 +152,7 @@
         from = origin.as_ref().map_or("nobody", |origin| &*origin.from),
         config_age_ms = origin.as_ref().map(|origin| origin.age.as_millis() as u64),
         store_age_ms = answered.map(|age| age.as_millis() as u64),
-        reads_store = gateway.store_reads.is_own();
+        reads_store = gateway.store_reads.is_reader();
         "refused by this configuration"
     );
 }
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -246,7 +246,7 @@
     /// Whether this router cannot read the store, so that another of the zone should.
     pub fn is_store_lost(&self) -> bool {
         let apply = self.settings().catalog_pace.apply;
-        self.store_reads.is_lost(self.now(), apply)
+        self.store_reads.is_unavailable(self.now(), apply)
     }
 
     /// Records that a configuration and an upstream list are loaded, so that requests can be
--- a/src/direct/store_read_state.rs
+++ b/src/direct/store_read_state.rs
@@ -30,12 +30,12 @@
 
 impl StoreReadState {
     /// Whether this router reads the store.
-    pub fn is_own(&self) -> bool {
+    pub fn is_reader(&self) -> bool {
         self.is_reading.load(Ordering::Relaxed)
     }
 
     /// Sets whether this router reads the store. Returns whether that changed.
-    pub fn set_own(
+    pub fn set_reader(
         &self,
         now: Moment,
         reading: bool,
@@ -48,7 +48,7 @@
     }
 
     /// Records whether the store answered a call.
-    pub fn went(
+    pub fn record_call(
         &self,
         now: Moment,
         answered: bool,
@@ -70,14 +70,14 @@
     }
 
     /// Whether the store has answered this router and the last call did not fail.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_answering(&self) -> bool {
         self.answered.is_set() && !self.failed.is_set()
     }
 
     /// Whether another router should read the store: a call failed in the last
     /// `STORE_FAILURE_PERIOD`, or no answer came for longer than `apply`, also if a call is
     /// still in progress.
-    pub fn is_lost(
+    pub fn is_unavailable(
         &self,
         now: Moment,
         apply: Duration,
@@ -88,7 +88,7 @@
             .is_some_and(|age| age <= STORE_FAILURE_PERIOD);
         let reading_for = self.started.age(now).unwrap_or(now);
         let silent = self.answer_age(now).unwrap_or(now).min(reading_for);
-        failed || (self.is_own() && silent > apply)
+        failed || (self.is_reader() && silent > apply)
     }
 }
 
--- a/src/direct/zone_reader_role.rs
+++ b/src/direct/zone_reader_role.rs
@@ -68,7 +68,7 @@
         };
         let reads =
             lacks_catalog || for_cordons || gateway.peers.reads_store(now, SILENCE, store_lost);
-        if gateway.store_reads.set_own(now, reads) {
+        if gateway.store_reads.set_reader(now, reads) {
             log::info!(
                 reads = reads, lost = store_lost, upstreams_at = version.upstreams;
                 "the store is read here, or by others of the zone"
@@ -82,6 +82,6 @@
         answered: bool,
     ) {
         let now = self.gateway.now();
-        self.gateway.store_reads.went(now, answered);
+        self.gateway.store_reads.record_call(now, answered);
     }
 }
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -27,7 +27,7 @@
             // A store that does not answer here tells nothing: a router that had started in its
             // silence learnt half a second late that replicas had just started.
             let reading = &self.gateway.store_reads;
-            let store_tells = ours.knows_both() && reading.is_own() && reading.is_answered();
+            let store_tells = ours.knows_both() && reading.is_reader() && reading.is_answering();
             let is_due = behind.should_ask(now, ours, theirs, store_tells);
             let Some((address, _)) = ahead.filter(|_| is_due) else {
                 continue;
