--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -156,7 +156,7 @@
     }
 
     /// Confirms the state held since a suspension: another router has no newer catalog.
-    pub fn confirm_known(&self) {
+    pub fn confirm_state(&self) {
         let mut suspension = self.suspension.lock().expect("suspension lock");
         suspension.confirm(self.now());
     }
--- a/src/peers/listen.rs
+++ b/src/peers/listen.rs
@@ -141,7 +141,7 @@
         if theirs.is_ahead_of(self.gateway.catalog.version()) {
             self.newer_heard.notify_one();
         } else {
-            self.gateway.confirm_known();
+            self.gateway.confirm_state();
         }
     }
 
