--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -244,7 +244,7 @@
     }
 
     /// Whether this router cannot read the store, so that another of the zone should.
-    pub fn is_store_lost(&self) -> bool {
+    pub fn is_store_unavailable(&self) -> bool {
         let apply = self.settings().catalog_pace.apply;
         self.store_reads.is_unavailable(self.now(), apply)
     }
--- a/src/direct/zone_reader_role.rs
+++ b/src/direct/zone_reader_role.rs
@@ -60,7 +60,7 @@
         let version = gateway.catalog.version();
         let lacks_catalog = version.config == 0 || version.upstreams == 0;
         let now = gateway.now();
-        let store_lost = gateway.is_store_lost();
+        let store_lost = gateway.is_store_unavailable();
         let knows_cordons = gateway.catalog.knows_cordons();
         let for_cordons = {
             let mut cordons = self.cordons.lock().expect("cordon fallback lock");
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -121,7 +121,7 @@
                 leaving: gateway.is_stopping(),
                 busy: gateway.processor.busy_percent(),
                 millicores: (settings.process.cores * 1000.0) as u16,
-                store_lost: gateway.is_store_lost(),
+                store_lost: gateway.is_store_unavailable(),
                 version: gateway.version_in_use(),
                 figures,
             };
