--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -166,14 +166,14 @@
             opened.map_err(Fault::unreachable)?
         }
     };
-    let request = (calls.events)(next, LONG_POLL_TIMEOUT);
+    let request = (calls.events_request)(next, LONG_POLL_TIMEOUT);
     let (status, body) = send_query(gateway, entry, &mut connection, request).await?;
     if connection.is_reusable() {
         connection.mark_idle();
         *idle = Some(connection);
     }
     match status {
-        StatusCode::OK => (calls.read_events)(next, &body),
+        StatusCode::OK => (calls.parse_events)(next, &body),
         StatusCode::SERVICE_UNAVAILABLE => Err(Fault::unreachable(status)),
         status => Err(Fault::new(ResultCode::PlatformReply, status)),
     }
--- a/src/direct/cache_calls.rs
+++ b/src/direct/cache_protocol.rs
@@ -11,15 +11,15 @@
 
 /// Builds the requests for the contents of a replica's prompt cache, and parses the answers.
 #[derive(Debug, Clone, Copy)]
-pub struct CacheCalls {
+pub struct CacheProtocol {
     /// Builds the request for all cached parts, without its `Host` header.
-    pub list: fn() -> Request<Full<Bytes>>,
+    pub list_request: fn() -> Request<Full<Bytes>>,
     /// Parses the answer. Fails with `ResultCode::PlatformReply`.
-    pub read_list: fn(&[u8]) -> Result<Vec<KeptPart>, Fault>,
+    pub parse_list: fn(&[u8]) -> Result<Vec<KeptPart>, Fault>,
     /// Builds the long-polling request for cache events from a number on, which the replica
     /// answers at the first event or after the given time; without its `Host` header.
-    pub events: fn(u64, Duration) -> Request<Full<Bytes>>,
+    pub events_request: fn(u64, Duration) -> Request<Full<Bytes>>,
     /// Parses the answer to a request for events from that number on. Fails with
     /// `ResultCode::PlatformReply`.
-    pub read_events: fn(u64, &[u8]) -> Result<KeptNews, Fault>,
+    pub parse_events: fn(u64, &[u8]) -> Result<KeptNews, Fault>,
 }
--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -134,10 +134,11 @@
         .take(entry, MAX_CONCURRENT_QUERIES)
         .await
         .map_err(|end| Fault::unreachable(format!("{end:?}")))?;
-    let (status, body) = send_query(gateway, entry, &mut connection, (calls.list)()).await?;
+    let (status, body) =
+        send_query(gateway, entry, &mut connection, (calls.list_request)()).await?;
     gateway.pool.give_back(&entry.id, connection);
     if !status.is_success() {
         return Err(Fault::new(ResultCode::PlatformReply, status));
     }
-    (calls.read_list)(&body)
+    (calls.parse_list)(&body)
 }
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -1,5 +1,5 @@
 use {
-    super::cache_calls::CacheCalls,
+    super::cache_protocol::CacheProtocol,
     crate::policy::{ReplicaNotice, placement::PromptShape},
     hyper::{HeaderMap, StatusCode, header::HeaderName},
 };
@@ -30,5 +30,5 @@
     /// Reads what a replica announces about itself in the head of an answer.
     pub notice: fn(StatusCode, &HeaderMap) -> ReplicaNotice,
     /// Requests for the contents of a replica's prompt cache.
-    pub cache: CacheCalls,
+    pub cache: CacheProtocol,
 }
--- a/src/direct/mod.rs
+++ b/src/direct/mod.rs
@@ -5,8 +5,8 @@
 mod answer_buffer;
 mod attempt;
 mod attempt_end;
-mod cache_calls;
 mod cache_follow;
+mod cache_protocol;
 mod cache_query;
 mod cache_survey;
 mod call;
@@ -49,7 +49,7 @@
 mod zone_reader_role;
 
 pub use {
-    cache_calls::CacheCalls,
+    cache_protocol::CacheProtocol,
     dialect::{Dialect, HeaderNames},
     event_splitter::EventSplitter,
     exchange_suspects::log_held_back,
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -2,7 +2,7 @@
     super::prompt_headers::part_id,
     crate::{
         codes::{Fault, ResultCode},
-        direct::CacheCalls,
+        direct::CacheProtocol,
         policy::{
             placement::{KeptEvent, KeptNews, KeptPart},
             short_name,
@@ -20,11 +20,11 @@
 };
 
 /// The calls that tell what a replica keeps.
-pub const CACHE_CALLS: CacheCalls = CacheCalls {
-    list: list_call,
-    read_list: parse_list,
-    events: events_call,
-    read_events: parse_events,
+pub const CACHE_CALLS: CacheProtocol = CacheProtocol {
+    list_request: list_call,
+    parse_list,
+    events_request: events_call,
+    parse_events,
 };
 
 /// How long a call for events may be held, in milliseconds.
--- a/tests/foreign_text.rs
+++ b/tests/foreign_text.rs
@@ -166,7 +166,7 @@
                 prop_assert!(all < 1 << 26, "{all} tokens");
             }
         }
-        let _kept = (dialect().cache.read_list)(json.to_string().as_bytes());
-        let _events = (dialect().cache.read_events)(7, json.to_string().as_bytes());
+        let _kept = (dialect().cache.parse_list)(json.to_string().as_bytes());
+        let _events = (dialect().cache.parse_events)(7, json.to_string().as_bytes());
     }
 }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -125,26 +125,26 @@
 #[test]
 fn what_a_replica_keeps_is_read() {
     let cache = dialect().cache;
-    assert_eq!((cache.list)().uri().path(), "/v1/kv-list");
+    assert_eq!((cache.list_request)().uri().path(), "/v1/kv-list");
     let text = br#"{"epoch":"e","next_token":7,"held":[["","5c1e07a2",800,"m"],["","91bd3f06",16,"m"]],"new":1}"#;
-    let parts = (cache.read_list)(text).expect("a list");
+    let parts = (cache.parse_list)(text).expect("a list");
     let told: Vec<_> = parts.iter().map(|part| (part.part, part.tokens)).collect();
     assert_eq!(told, [(0x5c1e_07a2, 800), (0x91bd_3f06, 16)]);
-    let error = (cache.read_list)(b"{}").expect_err("refused");
+    let error = (cache.parse_list)(b"{}").expect_err("refused");
     assert_eq!(error.code, ResultCode::PlatformReply);
 }
 
 #[test]
 fn what_a_replica_takes_in_and_gives_up_is_read() {
     let cache = dialect().cache;
-    let request = (cache.events)(8, Duration::from_secs(1));
+    let request = (cache.events_request)(8, Duration::from_secs(1));
     assert_eq!(request.uri(), "/v1/kv-events?since=7");
     assert_eq!(request.headers()["wait-ms"], "1000");
     assert_eq!(
-        (cache.events)(0, Duration::ZERO).uri(),
+        (cache.events_request)(0, Duration::ZERO).uri(),
         "/v1/kv-events?since=0"
     );
-    let read = |text: &[u8]| (cache.read_events)(8, text);
+    let read = |text: &[u8]| (cache.parse_events)(8, text);
     let text = br#"{"epoch":5,"next_token":10,"lost":false,"events":[[9,"-","","91bd3f06",16,"m"],[8,"+","","5c1e07a2",800,"m"],[10,"-","","91bd3f06",0,"m"]]}"#;
     let news = read(text).expect("events");
     assert_eq!((news.from, news.next, news.has_gap), (8, 11, false));
