--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -9,14 +9,14 @@
 pub struct HeaderNames {
     pub request_id: HeaderName, // id of the caller's request; replicas echo it
     pub deadline_ms: HeaderName, // how long the caller waits, in milliseconds
-    pub key: HeaderName,        // the account's secret key; not sent to replicas
+    pub account_key: HeaderName, // the account's secret key; not sent to replicas
     pub account: HeaderName,    // the account's name, set for replicas
     pub expected_replica: HeaderName, // id of the replica that the request is meant for
     pub not_run: HeaderName,    // set by a replica that did not run the request
     pub signature: HeaderName,  // set by a replica on its own answers
     pub last_event: HeaderName, // id of the event after which a stream resumes
     pub fetch_from: HeaderName, // address of a replica that has more of the prompt cached
-    pub system: Vec<HeaderName>, // set by the system only; removed from callers' requests
+    pub reserved: Vec<HeaderName>, // set by the system only; removed from callers' requests
 }
 
 /// The protocol that callers and replicas use: header names and readers.
@@ -24,11 +24,11 @@
 pub struct Dialect {
     pub names: HeaderNames,
     /// Reads the shape of a request's prompt.
-    pub prompt: fn(&HeaderMap) -> Option<PromptShape>,
+    pub parse_prompt: fn(&HeaderMap) -> Option<PromptShape>,
     /// Whether callers take a status as a guarantee that the request did not run.
     pub promises_not_run: fn(StatusCode) -> bool,
     /// Reads what a replica announces about itself in the head of an answer.
-    pub notice: fn(StatusCode, &HeaderMap) -> ReplicaNotice,
+    pub parse_notice: fn(StatusCode, &HeaderMap) -> ReplicaNotice,
     /// Requests for the contents of a replica's prompt cache.
     pub cache: CacheProtocol,
 }
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -20,7 +20,7 @@
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Incoming>, AttemptEnd> {
     let response = connection.send(request).await?;
-    let notice = (gateway.dialect.notice)(response.status(), response.headers());
+    let notice = (gateway.dialect.parse_notice)(response.status(), response.headers());
     apply_notice(gateway, replica, notice);
     Ok(response)
 }
--- a/src/direct/request_reader.rs
+++ b/src/direct/request_reader.rs
@@ -86,7 +86,7 @@
         engine: details.and_then(|service| service.engine),
         max_connections: details.map_or(1, |service| service.max_connections),
         shortest_target_latency: table.shortest_aim(&service).unwrap_or(route.aim),
-        prompt: (gateway.dialect.prompt)(&head.headers),
+        prompt: (gateway.dialect.parse_prompt)(&head.headers),
         headers: forwarded_headers(gateway, head.headers, account.as_deref()),
         body,
         _body_memory: held,
@@ -136,7 +136,7 @@
     route: &Route,
     headers: &HeaderMap,
 ) -> Result<Option<Arc<str>>, ErrorAnswer> {
-    let key = header_text(headers, &gateway.dialect.names.key);
+    let key = header_text(headers, &gateway.dialect.names.account_key);
     let account = table.account(key).cloned();
     if account.is_none() && table.has_accounts() && !route.public {
         return Err(ErrorAnswer::new(ResultCode::UnknownCallerKey));
@@ -215,7 +215,7 @@
     remove_hop_by_hop_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove(EXPECT);
-    for name in &names.system {
+    for name in &names.reserved {
         headers.remove(name);
     }
     if let Some(value) = account.and_then(|name| HeaderValue::from_str(name).ok()) {
--- a/src/platform/dialect.rs
+++ b/src/platform/dialect.rs
@@ -24,18 +24,18 @@
         names: HeaderNames {
             request_id: name("archmast-attempt-id"),
             deadline_ms: name("archmast-deadline-ms"),
-            key: name("archmast-credential"),
+            account_key: name("archmast-credential"),
             account: name("archmast-tenant"),
             expected_replica: name("archmast-expected-replica"),
             not_run: name("archmast-not-executed"),
             signature: name("archmast-replica-signature"),
             last_event: name("last-event-id"),
             fetch_from: name("kv-fetch"),
-            system: SYSTEM_HEADERS.iter().map(|text| name(text)).collect(),
+            reserved: SYSTEM_HEADERS.iter().map(|text| name(text)).collect(),
         },
-        prompt: prompt_shape,
+        parse_prompt: prompt_shape,
         promises_not_run,
-        notice: read_notice,
+        parse_notice: read_notice,
         cache: CACHE_CALLS,
     }
 }
