--- a/src/direct/event_splitter.rs
+++ b/src/direct/event_splitter.rs
@@ -29,13 +29,13 @@
     }
 
     /// Takes the bytes after the last whole event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_partial(&mut self) -> Bytes {
         self.scanned = 0;
         self.partial.split().freeze()
     }
 
     /// Discards the bytes after the last whole event, as another replica resumes the stream.
-    pub fn drop_rest(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.partial.clear();
         self.scanned = 0;
     }
--- a/src/direct/events_relay.rs
+++ b/src/direct/events_relay.rs
@@ -215,7 +215,7 @@
                     self.exchange_mut().record_replica_success();
                     self.exchange().record_stream_duration();
                     self.exchange().record_request_success();
-                    let rest = self.splitter.take_rest();
+                    let rest = self.splitter.take_partial();
                     return Ok((!rest.is_empty()).then_some(rest));
                 }
             }
@@ -261,7 +261,7 @@
         // The connection is closed first, so that no two replicas work on one request.
         self.answer.close();
         self.pause_watch = None;
-        self.splitter.drop_rest();
+        self.splitter.discard_partial();
         let last = self.splitter.last_id().map(str::to_owned);
         let started = self.exchange_mut().start_answer(last.as_deref()).await;
         let started = started.map_err(|error| cut_error(error.code))?;
--- a/tests/event_splitter.rs
+++ b/tests/event_splitter.rs
@@ -31,7 +31,7 @@
             at = next;
         }
         prop_assert_eq!(splitter.last_id(), Some("12"));
-        prop_assert!(splitter.take_rest().is_empty());
+        prop_assert!(splitter.take_partial().is_empty());
         prop_assert_eq!(passed, bytes);
     }
 }
@@ -44,7 +44,7 @@
         Some(&b"id: 1\ndata: a\n\n"[..])
     );
     assert_eq!(splitter.last_id(), Some("1"));
-    splitter.drop_rest();
+    splitter.discard_partial();
     assert_eq!(
         splitter.push(b"id: 2\ndata: b\n\n").as_deref(),
         Some(&b"id: 2\ndata: b\n\n"[..])
@@ -56,5 +56,5 @@
 fn what_follows_the_last_event_is_kept_for_a_clean_end() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\n\ndata: tail");
-    assert_eq!(&splitter.take_rest()[..], b"data: tail");
+    assert_eq!(&splitter.take_partial()[..], b"data: tail");
 }
