--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -52,7 +52,7 @@
                 retry_after,
             } => {
                 drop(replica_table);
-                let retry_after = retry_after.max(self.gateway.least_retry());
+                let retry_after = retry_after.max(self.gateway.min_retry_after());
                 Err(self.refusal(reason, retry_after))
             }
             Choice::Send {
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -215,8 +215,8 @@
     }
 
     /// The least Retry-After for refused callers.
-    pub fn least_retry(&self) -> Duration {
-        self.processor.least_retry(self.settings().most_busy)
+    pub fn min_retry_after(&self) -> Duration {
+        self.processor.min_retry_after(self.settings().most_busy)
     }
 
     /// Refuses requests from now on.
--- a/src/direct/processor_state.rs
+++ b/src/direct/processor_state.rs
@@ -37,7 +37,7 @@
 
     /// The least Retry-After for refused callers: zero unless the router lags or is busy for more
     /// than `most_busy`, a share of its time from 0 to 1.
-    pub fn least_retry(
+    pub fn min_retry_after(
         &self,
         most_busy: f64,
     ) -> Duration {
--- a/src/direct/request_reader.rs
+++ b/src/direct/request_reader.rs
@@ -58,7 +58,7 @@
         return Err(ErrorAnswer::new(ResultCode::Unconfirmed).retry_after(UNCONFIRMED_RETRY_AFTER));
     }
     if gateway.processor.is_choked() {
-        return Err(ErrorAnswer::new(ResultCode::RouterBusy).retry_after(gateway.least_retry()));
+        return Err(ErrorAnswer::new(ResultCode::RouterBusy).retry_after(gateway.min_retry_after()));
     }
     let table = gateway.catalog.config().ok_or_else(|| {
         ErrorAnswer::new(ResultCode::NoConfiguration).retry_after(NO_CONFIG_RETRY_AFTER)
--- a/tests/busy_router.rs
+++ b/tests/busy_router.rs
@@ -37,16 +37,16 @@
 #[test]
 fn callers_come_back_later_to_a_router_that_is_short_of_processor() {
     let gateway = gateway();
-    assert_eq!(gateway.least_retry(), Duration::ZERO);
+    assert_eq!(gateway.min_retry_after(), Duration::ZERO);
     // The balancer asks once a second, and takes a router out after two misses.
     let out = Duration::from_secs(1);
     gateway.processor.set_busy(0.9);
-    assert!(gateway.least_retry() > out);
+    assert!(gateway.min_retry_after() > out);
     gateway.processor.set_busy(0.3);
-    assert_eq!(gateway.least_retry(), Duration::ZERO);
+    assert_eq!(gateway.min_retry_after(), Duration::ZERO);
     gateway.processor.set_lag(Duration::from_millis(100));
     assert!(gateway.processor.is_choked());
-    assert!(gateway.least_retry() > out);
+    assert!(gateway.min_retry_after() > out);
 }
 
 #[test]
