--- a/src/direct/caller_connections.rs
+++ b/src/direct/caller_connections.rs
@@ -108,7 +108,7 @@
     /// requests before it stops.
     fn neighbour_for_new_connection(&self) -> Option<SocketAddr> {
         let gateway = &self.gateway;
-        let stays = gateway.processor.is_choked() || gateway.is_refusing();
+        let stays = gateway.processor.is_lagging() || gateway.is_refusing();
         gateway
             .processor
             .draw_neighbour(rand::random())
--- a/src/direct/processor_state.rs
+++ b/src/direct/processor_state.rs
@@ -31,7 +31,7 @@
 
 impl ProcessorState {
     /// Whether timers are so late that requests are refused.
-    pub fn is_choked(&self) -> bool {
+    pub fn is_lagging(&self) -> bool {
         self.lag_ms.load(Ordering::Relaxed) > MAX_LAG.as_millis() as u64
     }
 
@@ -41,7 +41,7 @@
         &self,
         most_busy: f64,
     ) -> Duration {
-        if self.is_choked() || f64::from(self.busy_percent()) > most_busy * 100.0 {
+        if self.is_lagging() || f64::from(self.busy_percent()) > most_busy * 100.0 {
             OVERLOAD_RETRY_AFTER
         } else {
             Duration::ZERO
@@ -53,10 +53,10 @@
         &self,
         lag: Duration,
     ) -> Option<bool> {
-        let was_choked = self.is_choked();
+        let was_lagging = self.is_lagging();
         self.lag_ms.store(lag.as_millis() as u64, Ordering::Relaxed);
-        let is_choked = self.is_choked();
-        (is_choked != was_choked).then_some(is_choked)
+        let is_lagging = self.is_lagging();
+        (is_lagging != was_lagging).then_some(is_lagging)
     }
 
     /// Sets the share of time with work for the processor, 0 to 1.
--- a/src/direct/processor_watch.rs
+++ b/src/direct/processor_watch.rs
@@ -87,7 +87,7 @@
                 "processor is short, or not any more"
             );
         }
-        let is_short = self.gateway.processor.is_choked() || self.is_busier_than_others(now);
+        let is_short = self.gateway.processor.is_lagging() || self.is_busier_than_others(now);
         let paused = self.pause.observe(now, step, is_short);
         if self.gateway.processor.set_paused(paused) {
             log::warn!(
--- a/src/direct/request_reader.rs
+++ b/src/direct/request_reader.rs
@@ -57,7 +57,7 @@
     if gateway.is_unconfirmed() {
         return Err(ErrorAnswer::new(ResultCode::Unconfirmed).retry_after(UNCONFIRMED_RETRY_AFTER));
     }
-    if gateway.processor.is_choked() {
+    if gateway.processor.is_lagging() {
         return Err(ErrorAnswer::new(ResultCode::RouterBusy).retry_after(gateway.min_retry_after()));
     }
     let table = gateway.catalog.config().ok_or_else(|| {
--- a/src/direct/stream_watch.rs
+++ b/src/direct/stream_watch.rs
@@ -70,7 +70,7 @@
             return;
         };
         // A router that lags behind itself measures pauses that the replica did not cause.
-        if self.gateway.processor.is_choked() {
+        if self.gateway.processor.is_lagging() {
             return;
         }
         let entry = &self.entry;
--- a/tests/busy_router.rs
+++ b/tests/busy_router.rs
@@ -45,7 +45,7 @@
     gateway.processor.set_busy(0.3);
     assert_eq!(gateway.min_retry_after(), Duration::ZERO);
     gateway.processor.set_lag(Duration::from_millis(100));
-    assert!(gateway.processor.is_choked());
+    assert!(gateway.processor.is_lagging());
     assert!(gateway.min_retry_after() > out);
 }
 
@@ -54,7 +54,7 @@
     let gateway = gateway();
     let quarter = Duration::from_millis(300) / 4;
     gateway.processor.set_lag(quarter);
-    assert!(gateway.processor.is_choked());
+    assert!(gateway.processor.is_lagging());
     gateway.processor.set_lag(Duration::from_millis(20));
-    assert!(!gateway.processor.is_choked());
+    assert!(!gateway.processor.is_lagging());
 }
