--- a/tests/foreign_text.rs
+++ b/tests/foreign_text.rs
@@ -161,7 +161,7 @@
             for (name, value) in [("archmast-prefix-hash", parts), ("archmast-token-count", counts)] {
                 headers.insert(name, HeaderValue::from_str(&value).expect("plain text"));
             }
-            if let Some(shape) = (dialect().prompt)(&headers) {
+            if let Some(shape) = (dialect().parse_prompt)(&headers) {
                 let all = u64::from(shape.tokens()) + 2 * u64::from(shape.output_tokens);
                 prop_assert!(all < 1 << 26, "{all} tokens");
             }
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -111,7 +111,7 @@
         ] {
             headers.insert(name, HeaderValue::from_str(text).expect("text"));
         }
-        (dialect().prompt)(&headers)
+        (dialect().parse_prompt)(&headers)
     };
     let prompt = shape("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80").expect("a prompt");
     assert_eq!((prompt.tokens(), prompt.output_tokens), (1460, 80));
@@ -119,7 +119,7 @@
     for (parts, counts) in [("", "1,1"), ("a:x", "1,1"), ("a:1", "1"), ("a", "1,1")] {
         assert_eq!(shape(parts, counts), None, "{parts} {counts}");
     }
-    assert_eq!((dialect().prompt)(&HeaderMap::new()), None);
+    assert_eq!((dialect().parse_prompt)(&HeaderMap::new()), None);
 }
 
 #[test]
