--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -1,4 +1,4 @@
-//! What a router says of itself that carries requests itself.
+//! The status page and gauges of a router in the direct form.
 
 use {
     super::gateway::Gateway,
@@ -13,30 +13,30 @@
     std::{collections::BTreeMap, sync::atomic::Ordering},
 };
 
-/// Replicas whose pace is beyond this are counted as slow.
-const SLOW: f64 = 1.5;
+/// Replicas whose pace exceeds this are counted as slow; 1 is the pace expected of the engine.
+const SLOW_PACE: f64 = 1.5;
 
 impl StatusSource for Gateway {
     fn status(&self) -> ProcessStatus {
         let settings = self.settings();
         let version = self.catalog.version();
         let running: u32 = self
-            .board()
+            .replica_table()
             .replicas()
             .map(|view| view.own_load.running)
             .sum();
         metrics::gauge!(RUNNING).set(f64::from(running));
         let now = self.now();
         let resting = self
-            .board()
+            .replica_table()
             .replicas()
             .filter(|view| view.health.is_ejected(now))
             .count();
         metrics::gauge!(RESTING).set(resting as f64);
-        let slow = self.board().count_slower_than(SLOW);
+        let slow = self.replica_table().count_slower_than(SLOW_PACE);
         metrics::gauge!(SLOW_REPLICAS).set(slow as f64);
         metrics::gauge!(REVISION).set(version.config as f64);
-        let store_age = self.reading.answer_age(now);
+        let store_age = self.store_reads.answer_age(now);
         metrics::gauge!(STORE_AGE).set(store_age.map_or(-1.0, |age| age.as_secs_f64()));
         let held = self.held_status();
         metrics::gauge!(HELD).set(held.len() as f64);
@@ -91,6 +91,7 @@
 }
 
 impl Gateway {
+    /// Sets the gauges of the division among accounts.
     fn measure_shares(&self) {
         let now = self.now();
         let (division, accounts) = self.shares().account_shares(now);
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The requests that are held back here.
+    /// The requests that this router holds back.
     fn held_status(&self) -> Vec<HeldStatus> {
         let now = self.now();
         let table = self.catalog.config();
--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -35,11 +35,14 @@
         };
         if has_new {
             let zone = &self.gateway.settings().process.zone;
-            self.gateway.board().resend_cached_parts(now, zone);
+            self.gateway.replica_table().resend_cached_parts(now, zone);
         }
         let (events, shared_evictions) = {
-            let mut table = self.gateway.board();
-            (table.take_cache_events(), table.take_zone_evictions())
+            let mut replica_table = self.gateway.replica_table();
+            (
+                replica_table.take_cache_events(),
+                replica_table.take_zone_evictions(),
+            )
         };
         self.send_event_batches(events, addresses).await;
         if !shared_evictions.is_empty() {
@@ -84,9 +87,9 @@
             return false;
         }
         let now = gateway.now();
-        let mut table = gateway.board();
+        let mut replica_table = gateway.replica_table();
         for (start, events) in &message.replicas {
-            table.apply_peer_cache_events(now, *start, events);
+            replica_table.apply_peer_cache_events(now, *start, events);
         }
         !is_own_zone && from == message.reporter
     }
--- a/src/peers/evidence_gossip.rs
+++ b/src/peers/evidence_gossip.rs
@@ -37,7 +37,7 @@
             return Vec::new();
         }
         drop(sent);
-        let evidence = self.gateway.board().evidence(now);
+        let evidence = self.gateway.replica_table().evidence(now);
         sent = self.sent.lock().expect("sent lock");
         sent.evidence.take(now, evidence)
     }
@@ -56,7 +56,7 @@
         let now = gateway.now();
         let sender = router_hash(&message.reporter);
         gateway
-            .board()
+            .replica_table()
             .apply_evidence(now, sender, &message.replicas);
     }
 }
--- a/src/peers/leaving_gossip.rs
+++ b/src/peers/leaving_gossip.rs
@@ -25,7 +25,7 @@
         now: Moment,
         addresses: &[SocketAddr],
     ) {
-        let leaving = self.gateway.board().leaving_starts();
+        let leaving = self.gateway.replica_table().leaving_starts();
         let due: Vec<u32> = {
             let times = &mut self.sent.lock().expect("sent lock").leaving;
             times.retain(|start, _| leaving.contains(start));
@@ -60,7 +60,9 @@
             return;
         }
         let unix_ms = Uptime::unix_millis();
-        let newly_leaving = gateway.board().apply_peer_leaving(unix_ms, &message.starts);
+        let newly_leaving = gateway
+            .replica_table()
+            .apply_peer_leaving(unix_ms, &message.starts);
         for replica in newly_leaving {
             log::info!(
                 replica = &*replica.id,
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -95,7 +95,7 @@
         let gateway = &self.gateway;
         let now = gateway.now();
         let is_own_zone = report.zone == gateway.peers.own().zone;
-        let max_age = gateway.board().max_report_age();
+        let max_age = gateway.replica_table().max_report_age();
         if from != report.address
             || !is_own_zone
             || !gateway.peers.apply_report(now, report, max_age)
@@ -151,7 +151,7 @@
         if peer_version.is_ahead_of(self.gateway.catalog.version()) {
             self.newer_version.notify_one();
         } else {
-            self.gateway.confirm_known();
+            self.gateway.confirm_state();
         }
     }
 
@@ -161,11 +161,11 @@
         reporter: Reporter,
         body: &ReportBody,
     ) {
-        let mut table = self.gateway.board();
-        table.apply_reports(now, reporter, &body.replicas);
-        table.apply_placements(now, reporter.scope, &body.notes);
-        table.apply_latency_reports(&body.engines);
-        drop(table);
+        let mut replica_table = self.gateway.replica_table();
+        replica_table.apply_reports(now, reporter, &body.replicas);
+        replica_table.apply_placements(now, reporter.scope, &body.notes);
+        replica_table.apply_latency_reports(&body.engines);
+        drop(replica_table);
         self.gateway
             .shares()
             .apply_report(now, reporter, &body.accounts);
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -66,7 +66,7 @@
             self.update_report_interval(interval);
             tokio::select! {
                 () = tokio::time::sleep(interval) => {}
-                () = self.gateway.report_wanted.notified() => {}
+                () = self.gateway.early_report.notified() => {}
                 _ = changes.changed() => {}
             }
         }
@@ -85,11 +85,11 @@
             total: self.gateway.router_count(),
         };
         let routers = self.zone_routers(now);
-        let mut table = self.gateway.board();
-        table.set_reporting(interval, fleet);
-        table.set_zone_routers(routers);
-        let max_report_age = table.max_report_age();
-        drop(table);
+        let mut replica_table = self.gateway.replica_table();
+        replica_table.set_reporting(interval, fleet);
+        replica_table.set_zone_routers(routers);
+        let max_report_age = replica_table.max_report_age();
+        drop(replica_table);
         self.gateway.shares().set_peer_age(max_report_age);
     }
 
@@ -124,7 +124,7 @@
                 is_leaving: gateway.is_stopping(),
                 busy_percent: gateway.processor.busy_percent(),
                 millicores: (settings.process.cores * 1000.0) as u16,
-                is_store_unavailable: gateway.is_store_lost(),
+                is_store_unavailable: gateway.is_store_unavailable(),
                 version: gateway.version_in_use(),
                 body,
             };
@@ -140,7 +140,7 @@
         now: Moment,
     ) -> usize {
         let gateway = &self.gateway;
-        let placements = gateway.board().take_zone_placements();
+        let placements = gateway.replica_table().take_zone_placements();
         let suspects = gateway.suspects().take_zone_updates(now);
         let zones = gateway.peers.other_zones();
         let yields = gateway.is_stopping() && gateway.peers.live_count(now, PEER_SILENCE_LIMIT) > 0;
@@ -223,11 +223,11 @@
         now: Moment,
     ) -> ReportBody {
         let gateway = &self.gateway;
-        let mut table = gateway.board();
-        let placements = table.take_placements();
-        let replicas = table.reports(now);
-        let latency_reports = table.latency_reports();
-        drop(table);
+        let mut replica_table = gateway.replica_table();
+        let placements = replica_table.take_placements();
+        let replicas = replica_table.reports(now);
+        let latency_reports = replica_table.latency_reports();
+        drop(replica_table);
         let usage = gateway.shares().own_usage(now).clone();
         let mut sent = self.sent.lock().expect("sent lock");
         let all = ReportBody {
@@ -246,10 +246,10 @@
         placements: Vec<PartPlacement>,
     ) -> ReportBody {
         let gateway = &self.gateway;
-        let table = gateway.board();
-        let replicas = table.zone_reports(now);
-        let latency_reports = table.latency_reports();
-        drop(table);
+        let replica_table = gateway.replica_table();
+        let replicas = replica_table.zone_reports(now);
+        let latency_reports = replica_table.latency_reports();
+        drop(replica_table);
         let usage = gateway.shares().zone_usage(now);
         ReportBody {
             replicas,
--- a/src/platform/cache_json.rs
+++ b/src/platform/cache_json.rs
@@ -2,7 +2,7 @@
     super::prompt_headers::part_id,
     crate::{
         codes::{Fault, ResultCode},
-        direct::CacheCalls,
+        direct::CacheProtocol,
         policy::{
             name_hash,
             placement::{CacheEvent, CacheEventBatch, CachedPart},
@@ -20,11 +20,11 @@
 };
 
 /// The calls that read a replica's prompt cache.
-pub const CACHE_CALLS: CacheCalls = CacheCalls {
-    list: list_call,
-    read_list: parse_list,
-    events: events_call,
-    read_events: parse_events,
+pub const CACHE_CALLS: CacheProtocol = CacheProtocol {
+    list_request: list_call,
+    parse_list,
+    events_request: events_call,
+    parse_events,
 };
 
 /// Request header: how long the replica may hold a call for events, in milliseconds.
--- a/tests/foreign_text.rs
+++ b/tests/foreign_text.rs
@@ -161,12 +161,12 @@
             for (name, value) in [("archmast-prefix-hash", parts), ("archmast-token-count", counts)] {
                 headers.insert(name, HeaderValue::from_str(&value).expect("plain text"));
             }
-            if let Some(shape) = (dialect().prompt)(&headers) {
+            if let Some(shape) = (dialect().parse_prompt)(&headers) {
                 let all = u64::from(shape.tokens()) + 2 * u64::from(shape.output_tokens);
                 prop_assert!(all < 1 << 26, "{all} tokens");
             }
         }
-        let _kept = (dialect().cache.read_list)(json.to_string().as_bytes());
-        let _events = (dialect().cache.read_events)(7, json.to_string().as_bytes());
+        let _kept = (dialect().cache.parse_list)(json.to_string().as_bytes());
+        let _events = (dialect().cache.parse_events)(7, json.to_string().as_bytes());
     }
 }
