--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -66,7 +66,9 @@
     settings.follow_kept
         && *entry.zone == *settings.process.zone
         && !gateway.is_stopping()
-        && gateway.replica_table().should_follow_cache(gateway.now(), entry)
+        && gateway
+            .replica_table()
+            .should_follow_cache(gateway.now(), entry)
 }
 
 /// Follows a replica until it restarts, is assigned to another router, or takes no more
@@ -81,9 +83,10 @@
         let pause = match poll_events(&gateway, &entry, &mut connection).await {
             Ok(news) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
-                let change = gateway
-                    .replica_table()
-                    .apply_cache_events(gateway.now(), &entry, &news);
+                let change =
+                    gateway
+                        .replica_table()
+                        .apply_cache_events(gateway.now(), &entry, &news);
                 if let Some(change) = change {
                     record_change(&entry, &change);
                 }
--- a/src/direct/cache_survey.rs
+++ b/src/direct/cache_survey.rs
@@ -73,8 +73,9 @@
         !replica_table.is_cordoned(entry) && replica_table.accepts_requests(now, entry)
     };
     // Reports on replicas of other zones contain only what was evicted.
-    let is_reported =
-        |entry: &UpstreamEntry| *entry.zone == **zone && replica_table.is_cache_followed(now, entry);
+    let is_reported = |entry: &UpstreamEntry| {
+        *entry.zone == **zone && replica_table.is_cache_followed(now, entry)
+    };
     due.retain(|entry| {
         takes_requests(entry) && !is_reported(entry) && queried.insert(entry.start_hash())
     });
@@ -119,7 +120,9 @@
         return;
     };
     let memory = engine.kv_capacity_tokens;
-    gateway.replica_table().apply_cached_parts(entry, parts, memory);
+    gateway
+        .replica_table()
+        .apply_cached_parts(entry, parts, memory);
 }
 
 /// Queries all cached parts of a replica. Fails with `ResultCode::PeerUnreachable` if it was not
--- a/src/direct/exchange_end.rs
+++ b/src/direct/exchange_end.rs
@@ -135,7 +135,8 @@
         match end {
             AttemptEnd::Refused { status: 503, .. } => {
                 let replica_table = self.gateway.replica_table();
-                let backoff = replica_table.shortest_backoff(self.gateway.now(), &self.call.service);
+                let backoff =
+                    replica_table.shortest_backoff(self.gateway.now(), &self.call.service);
                 backoff.unwrap_or_default().max(DEFAULT_RETRY_AFTER)
             }
             AttemptEnd::Refused { retry_after, .. } => retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -116,7 +116,9 @@
 
     /// Logs replicas whose long-term pace differs from the one last logged.
     fn log_paces(&self) {
-        let changes = self.replica_table().take_pace_changes(self.now(), MAX_PACE_LINES);
+        let changes = self
+            .replica_table()
+            .take_pace_changes(self.now(), MAX_PACE_LINES);
         for change in changes {
             log::info!(
                 replica = &*change.replica,
--- a/src/direct/zone_reader_role.rs
+++ b/src/direct/zone_reader_role.rs
@@ -66,9 +66,11 @@
             let mut cordons = self.cordons.lock().expect("cordon fallback lock");
             cordons.is_needed(now, cordons_up_to_date)
         };
-        let reads =
-            lacks_catalog || for_cordons
-            || gateway.peers.is_store_reader(now, PEER_SILENCE_LIMIT, store_lost);
+        let reads = lacks_catalog
+            || for_cordons
+            || gateway
+                .peers
+                .is_store_reader(now, PEER_SILENCE_LIMIT, store_lost);
         if gateway.store_reads.set_reader(now, reads) {
             log::info!(
                 reads = reads, lost = store_lost, upstreams_at = version.upstreams;
