--- a/src/direct/answer_buffer.rs
+++ b/src/direct/answer_buffer.rs
@@ -26,8 +26,8 @@
 pub struct AnswerBuffer {
     gateway: Arc<Gateway>,
     held: HeldBytes, // read and not sent yet, including the connection's write buffer
-    last_progress_ms: AtomicU64, // last write to the caller, or start of a backlog; since process start
-    state: Mutex<ReadState>,     // locked before all other locks: reading ahead takes them
+    last_progress_ms: AtomicU64, // when the caller last read, or a backlog began; since the start
+    state: Mutex<ReadState>, // locked before all other locks: reading ahead takes them
 }
 
 #[derive(Default)]
--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -79,11 +79,11 @@
     let mut connection = None;
     while should_follow(&gateway, &entry) {
         let pause = match poll_events(&gateway, &entry, &mut connection).await {
-            Ok(news) => {
+            Ok(batch) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
                 let change = gateway
                     .replica_table()
-                    .heard_kept(gateway.now(), &entry, &news);
+                    .heard_kept(gateway.now(), &entry, &batch);
                 if let Some(change) = change {
                     record_change(&entry, &change);
                 }
@@ -118,14 +118,14 @@
     for (kind, count) in kinds {
         metrics::counter!(KEPT_EVENTS, "kind" => kind).increment(count as u64);
     }
-    let news = &change.news;
-    if news.has_gap || change.is_anew || change.taken + change.given_up > 0 {
+    let batch = &change.news;
+    if batch.has_gap || change.is_anew || change.taken + change.given_up > 0 {
         log::debug!(
             replica = &*entry.id,
-            epoch = news.epoch,
-            from = news.from,
-            next = news.next,
-            has_gap = news.has_gap,
+            epoch = batch.epoch,
+            from = batch.from,
+            next = batch.next,
+            has_gap = batch.has_gap,
             is_anew = change.is_anew,
             heard = change.heard,
             taken = change.taken,
--- a/src/direct/events_relay.rs
+++ b/src/direct/events_relay.rs
@@ -33,7 +33,7 @@
     first_event_after: Option<Duration>, // time from the call's arrival to its first event
     longest_pause: Duration, // between events, while the replica was waited for
     pause_watch: Option<StreamWatch>, // if the route sets a target pause
-    outcome: &'static str, // `whole`, `cut`, or `left` if the caller disconnected; for log and metric
+    outcome: &'static str, // `whole`, `cut`, or `left` if the caller disconnected
 }
 
 impl Drop for EventsRelay {
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -40,8 +40,8 @@
     pub(super) share: Option<AccountShare>, // of the account, at the last placement
     pub(super) last_attempt: Option<SentAttempt>,
     pub(super) crashes: u32, // attempts during which the replica crashed
-    pub(super) checked_at_crashes: Option<u32>, // `crashes` at the last check for a held back request
-    failure: Option<Response<ReplyBody>>, // a replica's error answer, relayed if no attempt succeeds
+    pub(super) checked_at_crashes: Option<u32>, // `crashes` when `check_suspect` last ran
+    failure: Option<Response<ReplyBody>>, // a replica's error answer, if no attempt succeeds
 }
 
 /// An answer whose head was received, and the time that remains for its body.
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -29,8 +29,8 @@
 
 /// The shared state of a router in the direct form.
 ///
-/// Lock order: a connection's `AnswerBuffer`, `replica_table`, `shares`, `retries`, then leaf locks,
-/// under which no other lock is taken (suspects, abandoned attempts, suspension, catalog,
+/// Lock order: a connection's `AnswerBuffer`, `replica_table`, `shares`, `retries`, then leaf
+/// locks, under which no other lock is taken (suspects, abandoned attempts, suspension, catalog,
 /// pool, peers). None is held across an await.
 pub struct Gateway {
     settings: RwLock<Arc<DirectSettings>>, // a leaf lock
@@ -132,7 +132,7 @@
         *self.settings.write().expect("settings lock") = Arc::new(settings);
     }
 
-    /// Time since the start.
+    /// Time since the process started.
     pub fn now(&self) -> Moment {
         self.uptime.now()
     }
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -51,7 +51,7 @@
                 replica_table.set_entries(now, entries.clone())
             };
             for replica in &restarted {
-                log::info!(replica = &**replica; "replica restarted; its load, health and cache state are reset");
+                log::info!(replica = &**replica; "replica restarted; its recorded state is reset");
             }
             let cordoned = self.catalog.cordoned();
             report_unknown_cordons(&cordoned, &entries);
--- a/src/direct/neighbour_relay.rs
+++ b/src/direct/neighbour_relay.rs
@@ -19,7 +19,7 @@
 /// Time-out for connecting to the neighbour: about a hundred round trips inside a zone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Size of the relay buffer of each direction.
+/// Size of the relay buffer for each direction.
 const BUFFER_BYTES: usize = 8 * 1024;
 
 /// While the router stops, a connection without traffic for this long counts as idle: longer
--- a/src/direct/request_reader.rs
+++ b/src/direct/request_reader.rs
@@ -35,7 +35,7 @@
 /// Time-out for reading a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The text of a header; empty if it is missing or not ASCII.
+/// The text of a header; empty if it is missing or not plain ASCII.
 pub fn header_text<'h>(
     headers: &'h HeaderMap,
     name: &HeaderName,
--- a/src/direct/settings_watch.rs
+++ b/src/direct/settings_watch.rs
@@ -8,8 +8,8 @@
 /// How often the settings file is checked for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Reloads the settings file on SIGHUP and when it changed. An invalid file is rejected and
-/// the current settings stay.
+/// Reloads the settings file on SIGHUP and when its content changes. An invalid file is
+/// rejected and the current settings stay.
 pub async fn watch_settings(
     gateway: Arc<Gateway>,
     path: String,
--- a/src/direct/stream_watch.rs
+++ b/src/direct/stream_watch.rs
@@ -69,7 +69,7 @@
         let Some(evidence) = evidence else {
             return;
         };
-        // A router that lags behind itself measures pauses that the replica did not cause.
+        // While this router lags, it measures pauses that the replica did not cause.
         if self.gateway.processor.is_lagging() {
             return;
         }
