--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -81,12 +81,12 @@
     let mut connection = None;
     while should_follow(&gateway, &entry) {
         let pause = match poll_events(&gateway, &entry, &mut connection).await {
-            Ok(news) => {
+            Ok(batch) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
                 let change =
                     gateway
                         .replica_table()
-                        .apply_cache_events(gateway.now(), &entry, &news);
+                        .apply_cache_events(gateway.now(), &entry, &batch);
                 if let Some(change) = change {
                     record_change(&entry, &change);
                 }
@@ -121,14 +121,14 @@
     for (kind, count) in kinds {
         metrics::counter!(KEPT_EVENTS, "kind" => kind).increment(count as u64);
     }
-    let news = &change.batch;
-    if news.has_gap || change.was_reset || change.added + change.evicted > 0 {
+    let batch = &change.batch;
+    if batch.has_gap || change.was_reset || change.added + change.evicted > 0 {
         log::debug!(
             replica = &*entry.id,
-            epoch = news.epoch,
-            from = news.from,
-            next = news.next,
-            has_gap = news.has_gap,
+            epoch = batch.epoch,
+            from = batch.from,
+            next = batch.next,
+            has_gap = batch.has_gap,
             is_anew = change.was_reset,
             heard = change.unseen,
             taken = change.added,
