--- a/src/peers/zone_roles.rs
+++ b/src/peers/zone_roles.rs
@@ -27,7 +27,7 @@
         !live.any(|(address, _)| weight(address) > own)
     }
 
-    /// Whether this router reads the store for its zone: the first [`STORE_READERS`] by hash
+    /// Whether this router reads the store for its zone: the first `STORE_READERS` by hash
     /// do, among the routers that reported within `age`, are not shutting down and can read
     /// the store. A router that lost the store (`own_lost`) goes on trying if it is among the
     /// first ones of all.
