--- a/src/peers/report_body.rs
+++ b/src/peers/report_body.rs
@@ -26,7 +26,7 @@
 impl ReportBody {
     /// Splits the body into parts that each fit one datagram; at least one, also if there
     /// is nothing to report.
-    pub fn cut(self) -> Vec<Self> {
+    pub fn split(self) -> Vec<Self> {
         let replicas: Vec<_> = self.replicas.chunks(MAX_REPLICAS).collect();
         let accounts: Vec<_> = self.accounts.chunks(MAX_ACCOUNTS).collect();
         let placements: Vec<_> = self.notes.chunks(MAX_PLACEMENTS).collect();
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -113,7 +113,7 @@
     ) {
         let gateway = &self.gateway;
         let settings = gateway.settings();
-        for body in self.own_body(now).cut() {
+        for body in self.own_body(now).split() {
             let report = RouterReport {
                 address: gateway.peers.own().address,
                 update_address: self.update_address,
@@ -184,7 +184,7 @@
         let own = gateway.peers.own();
         let contacts = self.zone_contacts(now, zone);
         let live = gateway.peers.live_addresses(now, PEER_SILENCE_LIMIT);
-        for body in body.cut() {
+        for body in body.split() {
             let sequence = self.next_sequence();
             let begin = sequence as usize % live.len().max(1);
             let summary = ZoneSummary {
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -234,7 +234,7 @@
         ..ReportBody::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let reports = figures.cut().into_iter().map(|figures| {
+    let reports = figures.split().into_iter().map(|figures| {
         PeerMessage::Report(RouterReport {
             address,
             update_address: address,
