--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -163,8 +163,8 @@
     ) {
         let mut table = self.gateway.board();
         table.hear(now, reporter, &body.replicas);
-        table.hear_notes(now, reporter.scope, &body.notes);
-        table.hear_engines(&body.engines);
+        table.hear_notes(now, reporter.scope, &body.placements);
+        table.hear_engines(&body.latency_reports);
         drop(table);
         self.gateway.shares().hear(now, reporter, &body.accounts);
     }
--- a/src/peers/report_body.rs
+++ b/src/peers/report_body.rs
@@ -19,8 +19,8 @@
 pub struct ReportBody {
     pub replicas: Vec<ReplicaReport>,
     pub accounts: Vec<(u32, AccountUsage)>,
-    pub notes: Vec<CacheNote>,
-    pub engines: Vec<EngineReport>,
+    pub placements: Vec<CacheNote>,
+    pub latency_reports: Vec<EngineReport>,
 }
 
 impl ReportBody {
@@ -29,8 +29,8 @@
     pub fn split(self) -> Vec<Self> {
         let replicas: Vec<_> = self.replicas.chunks(MAX_REPLICAS).collect();
         let accounts: Vec<_> = self.accounts.chunks(MAX_ACCOUNTS).collect();
-        let placements: Vec<_> = self.notes.chunks(MAX_PLACEMENTS).collect();
-        let latency_reports: Vec<_> = self.engines.chunks(MAX_LATENCY_REPORTS).collect();
+        let placements: Vec<_> = self.placements.chunks(MAX_PLACEMENTS).collect();
+        let latency_reports: Vec<_> = self.latency_reports.chunks(MAX_LATENCY_REPORTS).collect();
         let chunk_counts = [
             replicas.len(),
             accounts.len(),
@@ -42,8 +42,8 @@
             .map(|index| Self {
                 replicas: chunk_or_empty(&replicas, index),
                 accounts: chunk_or_empty(&accounts, index),
-                notes: chunk_or_empty(&placements, index),
-                engines: chunk_or_empty(&latency_reports, index),
+                placements: chunk_or_empty(&placements, index),
+                latency_reports: chunk_or_empty(&latency_reports, index),
             })
             .collect()
     }
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -233,8 +233,8 @@
         let all = ReportBody {
             replicas,
             accounts: usage.into_iter().collect(),
-            notes: placements,
-            engines: latency_reports,
+            placements,
+            latency_reports,
         };
         self.due(now, &mut sent.own_zone, all)
     }
@@ -254,8 +254,8 @@
         ReportBody {
             replicas,
             accounts: usage.into_iter().collect(),
-            notes: placements,
-            engines: latency_reports,
+            placements,
+            latency_reports,
         }
     }
 
@@ -268,16 +268,16 @@
     ) -> ReportBody {
         let settings = self.gateway.settings();
         let refresh = settings.peer_age.mul_f32(REFRESH_FRACTION);
-        let engines = if sent.engines_due(now, settings.peer_age) {
-            all.engines
+        let latency_reports = if sent.latency_reports_due(now, settings.peer_age) {
+            all.latency_reports
         } else {
             Vec::new()
         };
         ReportBody {
             replicas: sent.replicas(now, refresh, all.replicas),
             accounts: sent.accounts(now, refresh, settings.share_window, &all.accounts),
-            notes: sent.notes(now, settings.peer_age, all.notes),
-            engines,
+            placements: sent.placements(now, settings.peer_age, all.placements),
+            latency_reports,
         }
     }
 }
--- a/src/peers/sent_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -23,8 +23,8 @@
 pub struct SentReports {
     replicas: HashMap<u32, (Moment, ReplicaReport)>, // when and what, by replica
     accounts: HashMap<u32, (Moment, AccountUsage)>,  // when and what, by account
-    notes: HashMap<CacheNote, Moment>,               // when each was sent
-    engines: Option<Moment>,                         // when they were sent
+    placements: HashMap<CacheNote, Moment>,          // when each was sent
+    latency_reports: Option<Moment>,                 // when they were sent
 }
 
 impl SentReports {
@@ -83,32 +83,34 @@
     }
 
     /// The placements of prompt parts to send, without those sent less than `refresh` ago.
-    pub fn notes(
+    pub fn placements(
         &mut self,
         now: Moment,
         refresh: Duration,
-        notes: Vec<CacheNote>,
+        placements: Vec<CacheNote>,
     ) -> Vec<CacheNote> {
-        self.notes.retain(|_, at| !is_old(now, *at, refresh));
+        self.placements.retain(|_, at| !is_old(now, *at, refresh));
         let mut due = Vec::new();
-        for note in notes {
-            if let Entry::Vacant(vacant) = self.notes.entry(note) {
+        for placement in placements {
+            if let Entry::Vacant(vacant) = self.placements.entry(placement) {
                 vacant.insert(now);
-                due.push(note);
+                due.push(placement);
             }
         }
         due
     }
 
     /// Whether latency reports of engines are to be sent now, and records that they are.
-    pub fn engines_due(
+    pub fn latency_reports_due(
         &mut self,
         now: Moment,
         refresh: Duration,
     ) -> bool {
-        let due = self.engines.is_none_or(|at| is_old(now, at, refresh));
+        let due = self
+            .latency_reports
+            .is_none_or(|at| is_old(now, at, refresh));
         if due {
-            self.engines = Some(now);
+            self.latency_reports = Some(now);
         }
         due
     }
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -54,12 +54,12 @@
                 got: 0.25,
             },
         )],
-        notes: vec![CacheNote {
+        placements: vec![CacheNote {
             replica: 2,
             part: u64::MAX,
             shared: true,
         }],
-        engines: vec![EngineReport {
+        latency_reports: vec![EngineReport {
             service: 4,
             times: EngineTimes {
                 fixed_ms: 40.0,
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -89,9 +89,9 @@
         part: 9,
         shared: true,
     };
-    assert_eq!(told.notes(ms(0), REFRESH, vec![note, note]), [note]);
-    assert_eq!(told.notes(ms(400), REFRESH, vec![note]), []);
-    assert_eq!(told.notes(ms(600), REFRESH, vec![note]), [note]);
+    assert_eq!(told.placements(ms(0), REFRESH, vec![note, note]), [note]);
+    assert_eq!(told.placements(ms(400), REFRESH, vec![note]), []);
+    assert_eq!(told.placements(ms(600), REFRESH, vec![note]), [note]);
 }
 
 fn address(port: u16) -> SocketAddr {
