--- a/src/peers/suspects_gossip.rs
+++ b/src/peers/suspects_gossip.rs
@@ -78,7 +78,7 @@
             let message = SuspectsMessage {
                 zone: own.zone,
                 reporter: own.address,
-                notes: part.to_vec(),
+                reports: part.to_vec(),
             };
             self.send(&PeerMessage::Suspects(message), addresses).await;
         }
@@ -97,13 +97,13 @@
             true => TellerScope::Router,
             false => TellerScope::Zone,
         };
-        let held = self.gateway.suspects().hear(now, scope, &message.notes);
+        let held = self.gateway.suspects().hear(now, scope, &message.reports);
         for (request, hold) in held {
             log_held_back(now, request, &hold, "", &message.reporter.to_string());
         }
         if is_own_zone {
             let mut sent = self.sent.lock().expect("sent lock");
-            for report in &message.notes {
+            for report in &message.reports {
                 sent.suspects.insert(report.request, now);
             }
         }
--- a/src/peers/suspects_message.rs
+++ b/src/peers/suspects_message.rs
@@ -9,5 +9,5 @@
 pub struct SuspectsMessage {
     pub zone: u32,            // hash of the zone's name
     pub reporter: SocketAddr, // its author; the first receiver in another zone relays it there
-    pub notes: Vec<SuspectNote>,
+    pub reports: Vec<SuspectNote>,
 }
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -121,7 +121,7 @@
     PeerMessage::Suspects(SuspectsMessage {
         zone: 5,
         reporter: address(1),
-        notes: vec![SuspectNote {
+        reports: vec![SuspectNote {
             request: RequestDigest::new("POST", "/a/b", "lot", b"body"),
             account: 13,
             ends: vec![end],
