--- a/src/peers/evidence_gossip.rs
+++ b/src/peers/evidence_gossip.rs
@@ -39,7 +39,7 @@
         drop(sent);
         let evidence = self.gateway.board().evidence(now);
         sent = self.sent.lock().expect("sent lock");
-        sent.evidence.take(now, evidence)
+        sent.evidence.select(now, evidence)
     }
 
     /// Applies the observations of a router of the own zone. Messages from another address
--- a/src/peers/evidence_schedule.rs
+++ b/src/peers/evidence_schedule.rs
@@ -39,7 +39,7 @@
     }
 
     /// Selects from all evidence what goes into the datagram that is sent now.
-    pub fn take(
+    pub fn select(
         &mut self,
         now: Moment,
         mut evidence: Vec<ReplicaEvidence>,
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -501,7 +501,7 @@
         if !turn.is_due(now, 99) {
             continue;
         }
-        let replicas = turn.take(now, all.clone());
+        let replicas = turn.select(now, all.clone());
         for evidence in &replicas {
             *named.entry(evidence.start).or_default() += 1;
         }
