--- a/src/direct/request_reader.rs
+++ b/src/direct/request_reader.rs
@@ -67,7 +67,7 @@
     let held = HeldBytes::new(gateway.request_bytes.clone());
     let body = read_body(gateway, &table, &head.headers, body, &held).await?;
     let service = route
-        .service(rand::random())
+        .pick_service(rand::random())
         .ok_or_else(|| ErrorAnswer::new(ResultCode::NoReplica))?
         .clone();
     let names = &gateway.dialect.names;
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -22,7 +22,7 @@
 
 impl Route {
     /// Picks a service by weight; `draw` is uniform in [0, 1).
-    pub fn service(
+    pub fn pick_service(
         &self,
         draw: f64,
     ) -> Option<&Arc<str>> {
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -83,7 +83,7 @@
 fn traffic_is_split_by_weight() {
     let table = table();
     let route = table.route("two.example", "/").expect("a route");
-    let drawn = |draw| route.service(draw).map(|service| service.to_string());
+    let drawn = |draw| route.pick_service(draw).map(|service| service.to_string());
     assert_eq!(drawn(0.0).as_deref(), Some("first"));
     assert_eq!(drawn(0.899).as_deref(), Some("first"));
     assert_eq!(drawn(0.901).as_deref(), Some("second"));
@@ -94,7 +94,10 @@
 fn a_share_without_weight_gets_nothing() {
     let only = route("r", "h", "/", &[("old", 0.0), ("new", 5.0), ("gone", 0.0)]);
     for draw in [0.0, 0.5, 0.999_999_999] {
-        assert_eq!(only.service(draw).map(|service| &**service), Some("new"));
+        assert_eq!(
+            only.pick_service(draw).map(|service| &**service),
+            Some("new")
+        );
     }
 }
 
