--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -163,8 +163,8 @@
     ) {
         let mut replica_table = self.gateway.replica_table();
         replica_table.apply_reports(now, reporter, &body.replicas);
-        replica_table.apply_placements(now, reporter.scope, &body.notes);
-        replica_table.apply_latency_reports(&body.engines);
+        replica_table.apply_placements(now, reporter.scope, &body.placements);
+        replica_table.apply_latency_reports(&body.latency_reports);
         drop(replica_table);
         self.gateway
             .shares()
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -54,12 +54,12 @@
                 allocated: 0.25,
             },
         )],
-        notes: vec![PartPlacement {
+        placements: vec![PartPlacement {
             start_hash: 2,
             part: u64::MAX,
             shared: true,
         }],
-        engines: vec![LatencyReport {
+        latency_reports: vec![LatencyReport {
             service_hash: 4,
             times: EngineLatency {
                 fixed_ms: 40.0,
@@ -121,7 +121,7 @@
     PeerMessage::Suspects(SuspectsMessage {
         zone: 5,
         reporter: address(1),
-        notes: vec![SuspectReport {
+        reports: vec![SuspectReport {
             request: RequestDigest::new("POST", "/a/b", "lot", b"body"),
             account: 13,
             crashes: vec![end],
