--- a/src/peers/sent_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -23,7 +23,7 @@
 pub struct SentReports {
     replicas: HashMap<u32, (Moment, ReplicaReport)>, // when and what, by replica
     accounts: HashMap<u32, (Moment, AccountUsage)>,  // when and what, by account
-    placements: HashMap<PartPlacement, Moment>,           // when each was sent
+    placements: HashMap<PartPlacement, Moment>,      // when each was sent
     latency_reports: Option<Moment>,                 // when they were sent
 }
 
