--- a/src/policy/granted/dispatch/dispatcher.rs
+++ b/src/policy/granted/dispatch/dispatcher.rs
@@ -23,7 +23,7 @@
     pub(super) ready_target: ReadyTarget,
     next_number: GrantNumber,
     pub(super) leaving: bool,
-    pub(super) suspended_until: Moment, // the upstream refuses connections or wants no requests
+    pub(super) blocked_until: Moment, // the upstream refuses connections or wants no requests
 }
 
 impl<R: Copy + Ord> Dispatcher<R> {
@@ -40,7 +40,7 @@
             ready_target: ReadyTarget::default(),
             next_number: 1,
             leaving: false,
-            suspended_until: Moment::ZERO,
+            blocked_until: Moment::ZERO,
         }
     }
 
@@ -79,7 +79,7 @@
         &mut self,
         now: Moment,
     ) -> Option<(R, Grant)> {
-        if self.leaving || now < self.suspended_until || self.grantable() == 0 {
+        if self.leaving || now < self.blocked_until || self.grantable() == 0 {
             return None;
         }
         let (account, router) = self.choose(now)?;
--- a/src/policy/granted/dispatch/dispatcher_arrivals.rs
+++ b/src/policy/granted/dispatch/dispatcher_arrivals.rs
@@ -15,7 +15,7 @@
         if self.leaving {
             return Admission::Refused(ResultCode::Leaving);
         }
-        if now < self.suspended_until {
+        if now < self.blocked_until {
             return Admission::Refused(ResultCode::UpstreamUnreachable);
         }
         match arrival.grant {
--- a/src/policy/granted/dispatch/dispatcher_endings.rs
+++ b/src/policy/granted/dispatch/dispatcher_endings.rs
@@ -30,12 +30,12 @@
 
     /// Grants and admits nothing before `until`, as the upstream refuses connections or wants no
     /// requests. Returns the ready requests, which will never start here.
-    pub fn suspend_until(
+    pub fn block_until(
         &mut self,
         now: Moment,
         until: Moment,
     ) -> Vec<ExchangeId> {
-        self.suspended_until = self.suspended_until.max(until);
+        self.blocked_until = self.blocked_until.max(until);
         self.drop_ready(now)
     }
 
--- a/src/policy/granted/dispatch/dispatcher_readers.rs
+++ b/src/policy/granted/dispatch/dispatcher_readers.rs
@@ -49,7 +49,7 @@
         &self,
         now: Moment,
     ) -> u32 {
-        if self.leaving || now < self.suspended_until || self.demand.count() > 0 {
+        if self.leaving || now < self.blocked_until || self.demand.count() > 0 {
             return 0;
         }
         let used = self.running.len() + self.ready.len() + self.grants.len();
--- a/src/sidecar/dispatch_table.rs
+++ b/src/sidecar/dispatch_table.rs
@@ -116,12 +116,12 @@
 
     /// Grants and starts nothing before `until`, and hands back the requests that have not
     /// started.
-    pub fn suspend_until(
+    pub fn block_until(
         &mut self,
         now: Moment,
         until: Moment,
     ) {
-        let handed_back = self.dispatcher.suspend_until(now, until);
+        let handed_back = self.dispatcher.block_until(now, until);
         self.resolve_handed_back(handed_back);
     }
 
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -190,7 +190,7 @@
     ) {
         let now = self.node.now();
         let mut table = self.table.lock().expect("table lock");
-        table.suspend_until(now, now + duration);
+        table.block_until(now, now + duration);
     }
 
     /// Starts waiting requests in free slots and sends new grants to the routers.
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -255,8 +255,8 @@
 #[test]
 fn a_rest_lasts_as_long_as_the_longest_that_was_asked_for() {
     let mut dispatcher = one_runs_and_one_waits();
-    assert_eq!(dispatcher.suspend_until(ms(2), ms(3_002)), [1]);
-    assert!(dispatcher.suspend_until(ms(10), ms(510)).is_empty());
+    assert_eq!(dispatcher.block_until(ms(2), ms(3_002)), [1]);
+    assert!(dispatcher.block_until(ms(10), ms(510)).is_empty());
     dispatcher.update_demand(ROUTER, ms(600), 0, &[line(1, 5)]);
     dispatcher.finish(0, Finished::Cost(1.0), ms(600));
     assert_eq!(dispatcher.next_grant(ms(3_001)), None);
