--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -18,8 +18,8 @@
 pub struct CrashReport {
     pub key: u32,
     pub replica: u32,  // hash of the id and start of the replica
-    pub began_ms: u32, // how long ago the request was sent to the replica
-    pub ended_ms: u32, // how long ago the replica crashed
+    pub started_ago_ms: u32, // how long ago the request was sent to the replica
+    pub crashed_ago_ms: u32, // how long ago the replica crashed
     pub is_early: bool,
     pub is_cleared: bool,
 }
@@ -33,8 +33,8 @@
         Self {
             key: crash.key,
             replica: crash.replica,
-            began_ms: crash.started_at.ago_ms(now),
-            ended_ms: crash.crashed_at.ago_ms(now),
+            started_ago_ms: crash.started_at.ago_ms(now),
+            crashed_ago_ms: crash.crashed_at.ago_ms(now),
             is_early: crash.is_early,
             is_cleared: crash.is_cleared,
         }
@@ -48,8 +48,8 @@
         CrashedAttempt {
             key: self.key,
             replica: self.replica,
-            started_at: SignedMoment::before(now, self.began_ms),
-            crashed_at: SignedMoment::before(now, self.ended_ms),
+            started_at: SignedMoment::before(now, self.started_ago_ms),
+            crashed_at: SignedMoment::before(now, self.crashed_ago_ms),
             is_early: self.is_early,
             is_cleared: self.is_cleared,
         }
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -113,8 +113,8 @@
     let end = CrashReport {
         key: 11,
         replica: 12,
-        began_ms: 2000,
-        ended_ms: 1000,
+        started_ago_ms: 2000,
+        crashed_ago_ms: 1000,
         is_early: true,
         is_cleared: false,
     };
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -241,8 +241,8 @@
     let end = (0..6u32, any::<bool>()).prop_map(|(key, is_cleared)| CrashReport {
         key,
         replica: key / 2,
-        began_ms: 10_000 - 1000 * key,
-        ended_ms: 9500 - 1000 * key,
+        started_ago_ms: 10_000 - 1000 * key,
+        crashed_ago_ms: 9500 - 1000 * key,
         is_early: key % 3 > 0,
         is_cleared,
     });
