--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -28,7 +28,7 @@
         let now = self.gateway.now();
         let call = self.call.clone();
         self.share = self.account_share();
-        let standing = self.share.map_or(ShareStatus::Within, |share| share.status);
+        let share_status = self.share.map_or(ShareStatus::Within, |share| share.status);
         let zone = self.gateway.settings().process.zone.clone();
         let mut replica_table = self.gateway.replica_table();
         let request = PlacementRequest {
@@ -38,13 +38,13 @@
             prompt: call.prompt.as_ref(),
             target_latency: call.shortest_target_latency,
             target_pause: call.route.target_pause,
-            standing,
+            share_status,
             tried: &self.tried,
             regions: call.regions.as_ref(),
         };
         replica_table.refresh_estimates(now);
         let choice = replica_table.choose(now, &request);
-        self.record_capacity(now, &choice, standing);
+        self.record_capacity(now, &choice, share_status);
         match choice {
             Choice::Refuse {
                 reason,
@@ -107,9 +107,9 @@
         &self,
         now: Moment,
         choice: &Choice,
-        standing: ShareStatus,
+        share_status: ShareStatus,
     ) {
-        if self.call.prompt.is_none() || matches!(standing, ShareStatus::Over { .. }) {
+        if self.call.prompt.is_none() || matches!(share_status, ShareStatus::Over { .. }) {
             return;
         }
         match choice {
--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission.rs
@@ -31,12 +31,12 @@
         engine: EngineSpec,
         most_are_idle: bool,
     ) -> Self {
-        let share = match request.standing {
+        let share = match request.share_status {
             ShareStatus::Over { factor, .. } => settings.over_share / f64::from(factor * factor),
             ShareStatus::Within => 1.0,
             ShareStatus::Under => settings.behind_share,
         };
-        let max_late = match is_over_share(request.standing) {
+        let max_late = match is_over_share(request.share_status) {
             true => MAX_LATE_OVER_SHARE,
             false => f64::INFINITY,
         };
@@ -45,7 +45,7 @@
             max_memory: engine.kv_capacity_tokens as f64 * settings.memory_share,
             own_weight: settings.own_weight,
             max_late,
-            may_use_idle: most_are_idle || !is_over_share(request.standing),
+            may_use_idle: most_are_idle || !is_over_share(request.share_status),
         }
     }
 
@@ -92,6 +92,6 @@
 ///
 /// Such accounts leave idle replicas to others unless most replicas are idle. Otherwise the
 /// account with the highest request rate would take most of them.
-pub fn is_over_share(standing: ShareStatus) -> bool {
-    matches!(standing, ShareStatus::Over { .. })
+pub fn is_over_share(status: ShareStatus) -> bool {
+    matches!(status, ShareStatus::Over { .. })
 }
--- a/src/policy/direct/placement/choosing/placement_request.rs
+++ b/src/policy/direct/placement/choosing/placement_request.rs
@@ -15,7 +15,7 @@
     pub prompt: Option<&'r PromptShape>,
     pub target_latency: Duration, // the shortest among the service's routes
     pub target_pause: Option<Duration>, // of its route: longest allowed pause between events
-    pub standing: ShareStatus,    // of its account, relative to its fair share
+    pub share_status: ShareStatus, // of its account, relative to its fair share
     pub tried: &'r [Arc<str>],    // replicas that it was sent to before
     pub regions: Option<&'r AllowedRegions>, // where it may be served; anywhere if none
 }
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -102,7 +102,7 @@
         let settings = &self.settings;
         let age = self.max_report_age();
         let times = self.engine_latency(request.service);
-        let most_are_idle = is_over_share(request.standing) && self.most_are_idle(now, usable);
+        let most_are_idle = is_over_share(request.share_status) && self.most_are_idle(now, usable);
         let admission = Admission::new(settings, request, engine, most_are_idle);
         let budget = QueueBudget::new(now, request, &self.typical_prompts);
         let preferred = preferred_replicas(prompt, usable);
--- a/src/policy/direct/placement/replica_table/refusals.rs
+++ b/src/policy/direct/placement/replica_table/refusals.rs
@@ -84,7 +84,7 @@
         wait_ms: f64,
     ) -> Choice {
         let until_free = Duration::from_secs_f64(wait_ms / 1000.0);
-        let (reason, wait) = match request.standing {
+        let (reason, wait) = match request.share_status {
             ShareStatus::Over { wait, .. } => (RefusalReason::OverShare, wait.max(until_free)),
             ShareStatus::Within | ShareStatus::Under => (RefusalReason::NoCapacity, until_free),
         };
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -126,7 +126,7 @@
         prompt: Some(prompt),
         target_latency: AIM,
         target_pause: None,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         tried: &[],
         regions: None,
     }
--- a/tests/engine_pace.rs
+++ b/tests/engine_pace.rs
@@ -94,7 +94,7 @@
         engine: Some(ENGINE),
         prompt: Some(prompt),
         target_latency: AIM,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         tried: &[],
     }
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -112,7 +112,7 @@
         prompt: Some(prompt),
         target_latency: AIM,
         target_pause: None,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         tried: &[],
         regions: None,
     }
@@ -340,8 +340,8 @@
     let mut board = board(&["a", "b"]);
     place(&mut board, &prompt(1, 2));
     let another = prompt(3, 4);
-    let with = |standing| PlacementRequest {
-        standing,
+    let with = |share_status| PlacementRequest {
+        share_status,
         ..request(&another)
     };
     refused(board.choose(NOW, &with(over(1000, 3.0))));
@@ -357,7 +357,7 @@
     place(&mut board, &prompt(1, 2));
     let another = prompt(1, 3);
     let over = PlacementRequest {
-        standing: over(1700, 1.2),
+        share_status: over(1700, 1.2),
         ..request(&another)
     };
     let (reason, wait) = refused(board.choose(NOW, &over));
@@ -371,7 +371,7 @@
     let board = board(&["a"]);
     let prompt = prompt(1, 2);
     let over = PlacementRequest {
-        standing: over(1000, 1.2),
+        share_status: over(1000, 1.2),
         ..request(&prompt)
     };
     sent(board.choose(NOW, &over));
@@ -387,7 +387,7 @@
     }
     let another = prompt(last, last);
     let behind = PlacementRequest {
-        standing: ShareStatus::Under,
+        share_status: ShareStatus::Under,
         ..request(&another)
     };
     sent(board.choose(NOW, &behind));
@@ -765,7 +765,7 @@
         prompt: None,
         target_latency: Duration::from_millis(30),
         target_pause: None,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         tried: &[],
         regions: None,
     }
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -73,7 +73,7 @@
         prompt: Some(&prompt),
         target_latency: Duration::from_secs(10),
         target_pause: None,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         tried: &[],
         regions: None,
     };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -137,7 +137,7 @@
             prompt: None,
             target_latency: Duration::from_millis(600),
             target_pause: None,
-            standing: ShareStatus::Within,
+            share_status: ShareStatus::Within,
             tried: &[],
             regions: None,
         };
@@ -350,7 +350,7 @@
         prompt: None,
         target_latency: Duration::from_millis(600),
         target_pause: None,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         tried: &[],
         regions: None,
     };
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -339,7 +339,7 @@
         prompt: Some(prompt),
         target_latency: CHAT.aim,
         target_pause: pause_aim,
-        standing: ShareStatus::Within,
+        share_status: ShareStatus::Within,
         tried: &[],
     }
 }
@@ -558,8 +558,8 @@
         }],
         output_tokens: 100,
     };
-    let standing = |standing| PlacementRequest {
-        standing,
+    let standing = |share_status| PlacementRequest {
+        share_status,
         target_latency: Duration::from_secs(20),
         ..request(&long, Some(PAUSE_AIM))
     };
