--- a/src/policy/clock/suspension_guard.rs
+++ b/src/policy/clock/suspension_guard.rs
@@ -5,7 +5,7 @@
 
 /// Messages received this soon after a suspension may have been queued before its end, so they
 /// confirm nothing. Another router sends about five reports in this time.
-const QUEUED_MESSAGES: Duration = Duration::from_millis(50);
+const QUEUED_MESSAGES_PERIOD: Duration = Duration::from_millis(50);
 
 /// A process that receives no confirmation uses its state again after this long: with the store and
 /// all other processes gone, nobody has anything newer.
@@ -50,7 +50,7 @@
         now: Moment,
     ) {
         let since = self.unconfirmed.map(|since| now.saturating_sub(since));
-        if since.is_some_and(|since| since >= QUEUED_MESSAGES) {
+        if since.is_some_and(|since| since >= QUEUED_MESSAGES_PERIOD) {
             self.unconfirmed = None;
         }
     }
--- a/src/policy/direct/placement/choosing/choice.rs
+++ b/src/policy/direct/placement/choosing/choice.rs
@@ -28,7 +28,7 @@
     Cordoned,
     /// All usable replicas of the service asked for backoff.
     Backoff,
-    /// No replica can answer within the latency target.
+    /// No replica can answer within the target latency.
     NoCapacity,
     /// The account is over its fair share, and the free capacity is reserved for others.
     OverShare,
--- a/src/policy/direct/placement/choosing/plain_queue.rs
+++ b/src/policy/direct/placement/choosing/plain_queue.rs
@@ -35,14 +35,14 @@
         self.wait_ms + self.work_ms
     }
 
-    /// Milliseconds by which the answer is expected after the latency target. 0 for a request
+    /// Milliseconds by which the answer is expected after the target latency. 0 for a request
     /// that need not wait, since it would not be answered sooner by a refusal or elsewhere.
     pub fn late_ms(
         &self,
-        aim_ms: f64,
+        target_ms: f64,
     ) -> f64 {
         match self.wait_ms > 0.0 {
-            true => (self.expected_ms() + self.error_ms - aim_ms).max(0.0),
+            true => (self.expected_ms() + self.error_ms - target_ms).max(0.0),
             false => 0.0,
         }
     }
--- a/src/policy/direct/placement/choosing/queue_budget.rs
+++ b/src/policy/direct/placement/choosing/queue_budget.rs
@@ -12,10 +12,10 @@
 const MAX_RESIDUAL_SHARE: f64 = 0.5;
 
 /// Prefill time that may be queued ahead of a request so that it and the service's typical
-/// requests still meet their latency targets.
+/// requests still meet their target latencies.
 pub struct QueueBudget {
     target_ms: f64,
-    typical: Vec<(f64, f64)>, // latency targets in milliseconds, with mean uncached tokens
+    typical: Vec<(f64, f64)>, // target latencies in milliseconds, with mean uncached tokens
 }
 
 impl QueueBudget {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Milliseconds left by the latency targets at an engine after its fixed time, the
+    /// Milliseconds left by the target latencies at an engine after its fixed time, the
     /// prefill of typical requests and the model error.
     pub fn available_ms(
         &self,
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -26,7 +26,7 @@
 
 /// Residuals are clipped to this multiple of the mean residual, so that a single replica that
 /// hangs does not distort the model of the service.
-const MAX_RESIDUALS: f64 = 3.0;
+const MAX_RESIDUAL_FACTOR: f64 = 3.0;
 
 /// The first samples are clipped to a larger multiple of that, since the prior may be far off.
 const FIRST_SAMPLES: u64 = 30;
@@ -124,7 +124,7 @@
 
     /// Bound of residuals after the first samples, in milliseconds.
     fn max_residual(&self) -> f64 {
-        (self.residual * MAX_RESIDUALS).max(MIN_CLIP_MS)
+        (self.residual * MAX_RESIDUAL_FACTOR).max(MIN_CLIP_MS)
     }
 
     /// Replaces the model by a prior from a peer's report.
--- a/src/policy/direct/placement/engines/typical_prompts.rs
+++ b/src/policy/direct/placement/engines/typical_prompts.rs
@@ -6,10 +6,10 @@
 /// Weight of a new prompt in the moving mean.
 const SAMPLE_WEIGHT: f64 = 0.02;
 
-/// Time after the last request with a latency target from which on the target is ignored.
+/// Time after the last request with a target latency from which on the target is ignored.
 const RETENTION: Duration = Duration::from_secs(20);
 
-/// Mean uncached prompt tokens of requests, by service and by the latency target of their
+/// Mean uncached prompt tokens of requests, by service and by the target latency of their
 /// route. A replica's queue must leave each of them enough time.
 #[derive(Debug, Default)]
 pub struct TypicalPrompts {
@@ -23,7 +23,7 @@
 }
 
 impl TypicalPrompts {
-    /// Adds a request that was sent with this latency target and so many uncached tokens.
+    /// Adds a request that was sent with this target latency and so many uncached tokens.
     pub fn record(
         &mut self,
         now: Moment,
@@ -41,7 +41,7 @@
         mean.last_sent = now;
     }
 
-    /// The latency targets of recent requests, in milliseconds, each with the mean uncached
+    /// The target latencies of recent requests, in milliseconds, each with the mean uncached
     /// tokens of such requests.
     pub fn recent(
         &self,
--- a/src/policy/direct/placement/loads/peer_loads.rs
+++ b/src/policy/direct/placement/loads/peer_loads.rs
@@ -18,7 +18,7 @@
 struct PeerReport {
     load: Load,
     placed_tokens: u64,
-    source: u64, // the process whose counter `placed_tokens` is
+    source_id: u64, // the process whose counter `placed_tokens` is
     is_ejected: bool,
     received: Moment,
     is_counted: bool, // in `PeerLoads::sum`
@@ -50,7 +50,7 @@
         self.ejecting > 0 && self.fresh(now, age).any(|report| report.is_ejected)
     }
 
-    /// Replaces the report of the router or zone `name`, counted by the process `source`.
+    /// Replaces the report of the router or zone `name`, counted by the process `source_id`.
     ///
     /// Returns the tokens that it sent there since its previous report; 0 for the first
     /// report of a process, since it does not tell when these tokens were sent.
@@ -59,7 +59,7 @@
         now: Moment,
         age: Duration,
         name: u32,
-        source: u64,
+        source_id: u64,
         report: &ReplicaReport,
     ) -> u64 {
         if now.saturating_sub(self.oldest) > age {
@@ -68,7 +68,7 @@
         let latest = PeerReport {
             load: report.load,
             placed_tokens: report.placed_tokens,
-            source,
+            source_id,
             is_ejected: report.is_ejected,
             received: now,
             is_counted: true,
@@ -80,7 +80,7 @@
             self.sum -= previous.load;
             self.ejecting -= u32::from(previous.is_ejected);
         }
-        let same_source = previous.filter(|previous| previous.source == source);
+        let same_source = previous.filter(|previous| previous.source_id == source_id);
         same_source.map_or(0, |previous| {
             report.placed_tokens.saturating_sub(previous.placed_tokens)
         })
--- a/src/policy/direct/placement/pauses/pause_risk.rs
+++ b/src/policy/direct/placement/pauses/pause_risk.rs
@@ -23,9 +23,9 @@
 /// the replicas of one service.
 #[derive(Debug, Clone, Copy)]
 pub struct PauseRisk {
-    late_ms: f64,     // cost of a late stream: the latency target to its first event
-    target_ms: f64,   // shortest pause target of the service's streams
-    run_s: f64,       // expected duration of the request; 0 if it has no pause target
+    late_ms: f64,     // cost of a late stream: the target latency to its first event
+    target_ms: f64,   // shortest target pause of the service's streams
+    run_s: f64,       // expected duration of the request; 0 if it has no target pause
     rate: f64,        // of the service: late streams per second watched
     susceptible: f64, // of the service: observed late streams per expected one
 }
--- a/src/policy/direct/placement/pauses/pause_watch.rs
+++ b/src/policy/direct/placement/pauses/pause_watch.rs
@@ -17,7 +17,7 @@
 }
 
 impl PauseWatch {
-    /// Starts at the first event of a stream with this pause target.
+    /// Starts at the first event of a stream with this target pause.
     pub fn new(
         now: Moment,
         target_pause: Duration,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The pause target; none once the stream is late.
+    /// The target pause; none once the stream is late.
     pub fn target_pause(&self) -> Option<Duration> {
         (!self.is_late).then_some(self.target_pause)
     }
--- a/src/policy/direct/placement/pauses/target_pauses.rs
+++ b/src/policy/direct/placement/pauses/target_pauses.rs
@@ -3,7 +3,7 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// Time after the last stream with a pause target from which on the target is ignored.
+/// Time after the last stream with a target pause from which on the target is ignored.
 const RETENTION: Duration = Duration::from_secs(20);
 
 /// Pause targets of the streams that were recently sent to each service.
@@ -13,7 +13,7 @@
 }
 
 impl TargetPauses {
-    /// Records that a stream with this pause target was sent.
+    /// Records that a stream with this target pause was sent.
     pub fn record(
         &mut self,
         now: Moment,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The shortest pause target of a service; none if no recent stream has one.
+    /// The shortest target pause of a service; none if no recent stream has one.
     pub fn shortest(
         &self,
         now: Moment,
--- a/src/policy/direct/placement/placement_settings.rs
+++ b/src/policy/direct/placement/placement_settings.rs
@@ -3,7 +3,7 @@
 /// Limits and weights of the choice of a replica.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlacementSettings {
-    /// Fraction of the time left by the latency targets that a replica's queue may fill.
+    /// Fraction of the time left by the target latencies that a replica's queue may fill.
     pub aim_share: f64,
     /// Factor on `aim_share` for accounts above their fair share.
     pub over_share: f64,
--- a/src/policy/direct/placement/replica_table/in_flight.rs
+++ b/src/policy/direct/placement/replica_table/in_flight.rs
@@ -97,13 +97,13 @@
         id: InFlightId,
     ) -> Option<EngineLatency> {
         let request = self.in_flight.get_mut(&id)?;
-        let unread = std::mem::take(&mut request.load.prefill_tokens);
+        let prefill_tokens = std::mem::take(&mut request.load.prefill_tokens);
         let expected = request.expected.take();
         request.overdue = None;
         let request = request.clone();
         let view = self.replicas.get_mut(&request.replica);
         let view = view.filter(|view| view.start_hash == request.start_hash)?;
-        view.own_load.prefill_tokens = view.own_load.prefill_tokens.saturating_sub(unread);
+        view.own_load.prefill_tokens = view.own_load.prefill_tokens.saturating_sub(prefill_tokens);
         self.record_pace(now, &request, expected?)
     }
 
--- a/src/policy/direct/placement/replica_table/pauses.rs
+++ b/src/policy/direct/placement/replica_table/pauses.rs
@@ -63,7 +63,7 @@
     }
 
     /// The expected cost of late streams for a request. None if no route of its service has a
-    /// pause target, or hardly any stream is late.
+    /// target pause, or hardly any stream is late.
     pub(super) fn pause_risk(
         &self,
         now: Moment,
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -9,7 +9,7 @@
 };
 
 /// Maximum number of announcements that are queued for other routers. Further ones are dropped.
-const MAX_QUEUED: usize = 400;
+const MAX_QUEUED_PLACEMENTS: usize = 400;
 
 impl ReplicaTable {
     /// Applies load reports of another router or zone. Its earlier reports on other replicas
@@ -17,13 +17,13 @@
     pub fn apply_reports(
         &mut self,
         now: Moment,
-        teller: Reporter,
+        reporter: Reporter,
         reports: &[ReplicaReport],
     ) {
         let age = self.max_report_age();
         for report in reports {
             if let Some(view) = self.by_start_hash(report.start_hash) {
-                view.apply_peer_load(now, age, teller, report);
+                view.apply_peer_load(now, age, reporter, report);
             }
         }
     }
@@ -147,7 +147,7 @@
     queue: &mut Vec<PartPlacement>,
     placement: PartPlacement,
 ) {
-    if queue.len() < MAX_QUEUED {
+    if queue.len() < MAX_QUEUED_PLACEMENTS {
         queue.push(placement);
     }
 }
--- a/src/policy/direct/placement/replica_table/plain_choice.rs
+++ b/src/policy/direct/placement/replica_table/plain_choice.rs
@@ -1,6 +1,6 @@
 //! Choice of the replica for a plain request, which carries no prompt.
 //!
-//! The choice compares the expected wait with the latency target, not the numbers of queued
+//! The choice compares the expected wait with the target latency, not the numbers of queued
 //! requests. A zone may have only one replica of a service, the callers of one zone may cause
 //! several times the load of another, and queue lengths are known with a delay.
 
@@ -25,7 +25,7 @@
 
 impl ReplicaTable {
     /// Chooses the replica with the earliest expected answer, or refuses the request if it would
-    /// have to wait and be answered after the latency target everywhere.
+    /// have to wait and be answered after the target latency everywhere.
     pub(super) fn choose_plain(
         &self,
         now: Moment,
--- a/src/policy/direct/placement/replicas/replica_view.rs
+++ b/src/policy/direct/placement/replicas/replica_view.rs
@@ -109,15 +109,15 @@
         &mut self,
         now: Moment,
         age: Duration,
-        teller: Reporter,
+        reporter: Reporter,
         report: &ReplicaReport,
     ) {
-        let loads = match teller.scope {
+        let loads = match reporter.scope {
             ReporterScope::Router => &mut self.routers,
             ReporterScope::Zone => &mut self.zones,
         };
-        let placed_tokens = loads.apply_report(now, age, teller.name, teller.source_id, report);
-        if teller.scope == ReporterScope::Router {
+        let placed_tokens = loads.apply_report(now, age, reporter.name, reporter.source_id, report);
+        if reporter.scope == ReporterScope::Router {
             self.zone_placed_tokens += placed_tokens;
         }
         self.cache.add_placed(placed_tokens);
--- a/src/policy/direct/processor/lag_gauge.rs
+++ b/src/policy/direct/processor/lag_gauge.rs
@@ -5,7 +5,7 @@
 
 /// A timer this late means that the process was suspended and that its state is equally old, so
 /// it counts at once, without a second late timer.
-const SUSPENDED: Duration = Duration::from_secs(1);
+const MIN_SUSPENSION: Duration = Duration::from_secs(1);
 
 /// Estimates how late the process runs its timers, which is how long new work waits for the CPU.
 /// It rises with the second late timer in a row, since a single one may be one long computation
@@ -22,7 +22,7 @@
         &mut self,
         late: Duration,
     ) {
-        let sustained = if late >= SUSPENDED {
+        let sustained = if late >= MIN_SUSPENSION {
             late
         } else {
             late.min(self.last_late)
--- a/src/policy/direct/processor/neighbour.rs
+++ b/src/policy/direct/processor/neighbour.rs
@@ -9,7 +9,7 @@
 
 /// A neighbour with less spare CPU than this, in cores, takes over no connections: a ninth of the
 /// smallest hosts in use, which serve some 80 requests a second.
-const MIN_SPARE: f64 = 0.01;
+const MIN_SPARE_CORES: f64 = 0.01;
 
 /// Chooses the neighbour that takes over a connection, at random weighted by spare cores, so that
 /// routers with the same reports do not all choose the same one. `draw` is a random number from 0
@@ -18,7 +18,11 @@
     neighbours: &[Neighbour],
     draw: f64,
 ) -> Option<SocketAddr> {
-    let eligible = || neighbours.iter().filter(|it| it.spare_cores >= MIN_SPARE);
+    let eligible = || {
+        neighbours
+            .iter()
+            .filter(|it| it.spare_cores >= MIN_SPARE_CORES)
+    };
     let total: f64 = eligible().map(|other| other.spare_cores).sum();
     let mut remaining = draw * total;
     for other in eligible() {
--- a/src/policy/direct/shares/fair_allocation.rs
+++ b/src/policy/direct/shares/fair_allocation.rs
@@ -6,7 +6,7 @@
 
 /// An account is under its share if it was allocated less than this part of the tokens it
 /// requested, and recently less than this part of its fair share.
-const UNDER: f32 = 0.5;
+const UNDER_FRACTION: f32 = 0.5;
 
 /// Factor by which an account may exceed the fair level and still count as within its share.
 const TOLERANCE: f32 = 1.05;
@@ -14,7 +14,7 @@
 /// An account that is recently allocated less than this part of its fair share is not over it,
 /// whatever it had before. Otherwise it would be shut out while others are served when the level
 /// falls, as replicas are lost or other accounts begin to send requests.
-const MIN_RECENT: f32 = 0.5;
+const MIN_RECENT_RATIO: f32 = 0.5;
 
 /// Max-min fair division of the tokens that all replicas produce in a window, among accounts by
 /// the tokens that they request.
@@ -76,13 +76,14 @@
         request_tokens: f32,
     ) -> ShareStatus {
         let bound = self.fair_level * TOLERANCE;
-        if usage.allocated > bound && recent_ratio >= MIN_RECENT {
+        if usage.allocated > bound && recent_ratio >= MIN_RECENT_RATIO {
             let factor = usage.allocated / bound.max(1.0);
             let wait = self.window.mul_f32(factor.ln());
             return ShareStatus::Over { wait, factor };
         }
         let requested_before = usage.requested - request_tokens;
-        let is_under = usage.allocated < requested_before * UNDER && recent_ratio < UNDER;
+        let is_under =
+            usage.allocated < requested_before * UNDER_FRACTION && recent_ratio < UNDER_FRACTION;
         if is_under {
             ShareStatus::Under
         } else {
--- a/src/policy/direct/shares/placement_rate.rs
+++ b/src/policy/direct/shares/placement_rate.rs
@@ -5,7 +5,7 @@
 const DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// Placed requests that are assumed in addition to the counted ones, as a few refusals say little.
-const ASSUMED: f32 = 3.0;
+const ASSUMED_PLACED: f32 = 3.0;
 
 /// The fraction of recent requests that found a replica, among those of accounts that were not
 /// over their share.
@@ -36,7 +36,8 @@
         now: Moment,
     ) -> f32 {
         let decay = self.decay(now);
-        let placed = (self.placed * decay + ASSUMED) / (self.requests * decay + ASSUMED);
+        let placed =
+            (self.placed * decay + ASSUMED_PLACED) / (self.requests * decay + ASSUMED_PLACED);
         (placed * 2.0 - 1.0).max(0.0)
     }
 
--- a/src/policy/direct/shares/recent_allocations.rs
+++ b/src/policy/direct/shares/recent_allocations.rs
@@ -9,7 +9,7 @@
 const DECAY_FRACTION: f32 = 1.0 / 3.0;
 
 /// Smaller ratios are dropped.
-const NEGLIGIBLE: f32 = 0.001;
+const NEGLIGIBLE_RATIO: f32 = 0.001;
 
 /// How well each account is served now: the ratio of the tokens it was allocated in the last part
 /// of a window to its fair share, where each token counts by the fair level at its time.
@@ -52,7 +52,7 @@
             )
         });
         let recent = recent
-            .filter(|(_, recent)| recent.ratio > NEGLIGIBLE || recent.allocated > 0.0)
+            .filter(|(_, recent)| recent.ratio > NEGLIGIBLE_RATIO || recent.allocated > 0.0)
             .collect();
         self.accounts = recent;
         self.updated = now;
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -7,7 +7,7 @@
 };
 
 /// Usage decays exponentially in steps of this length, with the window as the time constant.
-const STEP: Duration = Duration::from_millis(100);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Accounts with fewer tokens than this are dropped.
 const NEGLIGIBLE_TOKENS: f32 = 1.0;
@@ -173,7 +173,7 @@
         &mut self,
         now: Moment,
     ) {
-        if self.recent.is_due(now, STEP) {
+        if self.recent.is_due(now, UPDATE_INTERVAL) {
             let allocation = self.fair_allocation(now);
             self.recent.update(now, &allocation);
         }
@@ -230,11 +230,11 @@
         &mut self,
         now: Moment,
     ) {
-        let steps = now.saturating_sub(self.decayed).as_millis() / STEP.as_millis();
+        let steps = now.saturating_sub(self.decayed).as_millis() / UPDATE_INTERVAL.as_millis();
         if steps == 0 {
             return;
         }
-        let passed = STEP.saturating_mul(u32::try_from(steps).unwrap_or(u32::MAX));
+        let passed = UPDATE_INTERVAL.saturating_mul(u32::try_from(steps).unwrap_or(u32::MAX));
         self.decayed += passed;
         let factor = (-passed.as_secs_f32() / self.window.as_secs_f32()).exp();
         self.own.retain(|_, usage| {
--- a/src/policy/notices/incarnation_notice.rs
+++ b/src/policy/notices/incarnation_notice.rs
@@ -11,23 +11,23 @@
 /// What one incarnation of a replica announced.
 #[derive(Debug, Clone, Copy)]
 pub struct IncarnationNotice {
-    pub born: Option<u64>, // start time of the incarnation that was listed then
+    pub started_unix_ms: Option<u64>, // start time of the incarnation that was listed then
     pub is_leaving: bool,
     pub was_received_here: bool, // that it leaves, and not only by a peer
     backoff_until: Moment,       // it wants no requests until then
-    said_ms: u64,                // the last notice, unix milliseconds
+    last_notice_unix_ms: u64,    // the last notice, unix milliseconds
     unlisted_since: Option<Moment>,
 }
 
 impl IncarnationNotice {
     /// Creates a record without notices of the incarnation that is listed.
-    pub fn of(born: Option<u64>) -> Self {
+    pub fn of(started_unix_ms: Option<u64>) -> Self {
         Self {
-            born,
+            started_unix_ms,
             is_leaving: false,
             was_received_here: false,
             backoff_until: Moment::ZERO,
-            said_ms: 0,
+            last_notice_unix_ms: 0,
             unlisted_since: None,
         }
     }
@@ -44,7 +44,7 @@
         self.is_leaving |= notice.is_leaving;
         self.was_received_here |= notice.is_leaving;
         self.backoff_until = self.backoff_until.max(now + notice.backoff);
-        self.said_ms = unix_ms;
+        self.last_notice_unix_ms = unix_ms;
         is_change
     }
 
@@ -53,7 +53,7 @@
         &mut self,
         unix_ms: u64,
     ) -> bool {
-        self.said_ms = self.said_ms.max(unix_ms);
+        self.last_notice_unix_ms = self.last_notice_unix_ms.max(unix_ms);
         !std::mem::replace(&mut self.is_leaving, true)
     }
 
@@ -90,9 +90,9 @@
     pub fn applies_to(
         &self,
         now: Moment,
-        born: Option<u64>,
+        started_unix_ms: Option<u64>,
     ) -> bool {
-        self.born == born || self.applies_to_next(now, born)
+        self.started_unix_ms == started_unix_ms || self.applies_to_next(now, started_unix_ms)
     }
 
     /// Whether it applies to another incarnation, which has just been listed. If that one had
@@ -100,10 +100,14 @@
     fn applies_to_next(
         &self,
         now: Moment,
-        born: Option<u64>,
+        started_unix_ms: Option<u64>,
     ) -> bool {
-        let sent_by_next = born
-            .is_none_or(|born| born <= self.said_ms.saturating_add(CLOCK_SKEW.as_millis() as u64));
+        let sent_by_next = started_unix_ms.is_none_or(|started_unix_ms| {
+            started_unix_ms
+                <= self
+                    .last_notice_unix_ms
+                    .saturating_add(CLOCK_SKEW.as_millis() as u64)
+        });
         sent_by_next && self.unlisted_for(now) < NEXT_INCARNATION_TIME
     }
 }
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -50,7 +50,9 @@
         replica: &UpstreamEntry,
     ) -> bool {
         let mut notices = self.notices_of(replica).iter();
-        notices.any(|notice| notice.born == replica.started_unix_ms && notice.was_received_here)
+        notices.any(|notice| {
+            notice.started_unix_ms == replica.started_unix_ms && notice.was_received_here
+        })
     }
 
     /// Whether a replica said that it leaves.
@@ -92,7 +94,7 @@
         self.notices.retain(|id, notices| {
             let listed = starts.get(&**id);
             notices.retain_mut(|notice| {
-                notice.set_listed(now, listed == Some(&notice.born));
+                notice.set_listed(now, listed == Some(&notice.started_unix_ms));
                 notice.unlisted_for(now) <= UNLISTED_RETENTION
                     && (notice.is_leaving || !notice.backoff_remaining(now).is_zero())
             });
@@ -124,7 +126,7 @@
         let notices = self.notices.entry(replica.id.clone()).or_default();
         let known = notices
             .iter()
-            .position(|notice| notice.born == replica.started_unix_ms);
+            .position(|notice| notice.started_unix_ms == replica.started_unix_ms);
         let index = known.unwrap_or_else(|| {
             notices.push(IncarnationNotice::of(replica.started_unix_ms));
             notices.len() - 1
