--- a/src/policy/clock/suspension_detector.rs
+++ b/src/policy/clock/suspension_detector.rs
@@ -8,7 +8,8 @@
 }
 
 impl SuspensionDetector {
-    /// Creates a detector of suspensions longer than `limit`. It must be called far more often.
+    /// Creates a detector of suspensions longer than `limit`. [`Self::tick`] must be called far
+    /// more often.
     pub fn new(
         limit: Duration,
         now: Moment,
--- a/src/policy/direct/placement/cache_events/cache_event_batch.rs
+++ b/src/policy/direct/placement/cache_events/cache_event_batch.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Cache events of one start of a replica, in the order of their numbers.
+/// Cache events of one incarnation of a replica, in the order of their numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventBatch {
     pub epoch: u32,        // changes when the replica resets its cache
--- a/src/policy/direct/placement/engines/latency_model.rs
+++ b/src/policy/direct/placement/engines/latency_model.rs
@@ -4,7 +4,8 @@
 const THOUSAND: f64 = 1000.0;
 
 /// Prior before the first sample: the fixed time in milliseconds, and the milliseconds for
-/// 1,000 tokens, the geometric middle of known engines (38 to 112 tokens a millisecond).
+/// 1,000 tokens, about the geometric mean of the slowest and the fastest known engine (38 and
+/// 112 tokens a millisecond).
 const PRIOR_MS: (f64, f64) = (50.0, 16.0);
 
 /// A prior counts as two samples of this weight each, one without tokens and one with
@@ -28,7 +29,8 @@
 /// hangs does not distort the model of the service.
 const MAX_RESIDUAL_FACTOR: f64 = 3.0;
 
-/// The first samples are clipped to a larger multiple of that, since the prior may be far off.
+/// For this many first samples the bound is larger by `FIRST_FACTOR`, since the prior may be far
+/// off.
 const FIRST_SAMPLES: u64 = 30;
 const FIRST_FACTOR: f64 = 10.0;
 
--- a/src/policy/direct/placement/engines/replica_evidence.rs
+++ b/src/policy/direct/placement/engines/replica_evidence.rs
@@ -3,8 +3,8 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A router's observations of the performance of one start of a replica, as sent to the other
-/// routers of its zone.
+/// A router's observations of the performance of one incarnation of a replica, as sent to the
+/// other routers of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaEvidence {
     pub start_hash: u32, // hash of the replica's id and start time
--- a/src/policy/direct/placement/engines/replica_pace.rs
+++ b/src/policy/direct/placement/engines/replica_pace.rs
@@ -13,7 +13,7 @@
 /// Bounds of the estimated pace.
 const PACE_BOUNDS: (f32, f32) = (0.25, 8.0);
 
-/// Time that one start of a replica takes, relative to its service's engines on average:
+/// Time that one incarnation of a replica takes, relative to its service's engines on average:
 /// 2.0 is half as quick.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicaPace {
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Removes the quarter that was not used for longest.
+    /// Removes the least recently used quarter of the parts.
     fn remove_oldest(&mut self) {
         let mut last_uses: Vec<u64> = self.last_used.values().copied().collect();
         last_uses.sort_unstable();
--- a/src/policy/direct/placement/replica_table/cache_events.rs
+++ b/src/policy/direct/placement/replica_table/cache_events.rs
@@ -46,8 +46,8 @@
         view.is_some_and(|view| view.cache.is_followed(now))
     }
 
-    /// Queues snapshots of the cached parts of the zone's replicas that this router follows, for
-    /// a router of the zone that has just started.
+    /// Queues snapshots of the shared parts cached at the replicas of this zone that this router
+    /// follows, for a router of the zone that has just started.
     pub fn resend_cached_parts(
         &mut self,
         now: Moment,
@@ -102,8 +102,8 @@
         Some(change)
     }
 
-    /// Removes and returns the batches for the zone's routers, with the hashes of the
-    /// replicas' starts.
+    /// Removes and returns the batches for the zone's routers, with the start hashes of the
+    /// replicas.
     pub fn take_cache_events(&mut self) -> Vec<(u32, CacheEventBatch)> {
         std::mem::take(&mut self.cache_events)
     }
@@ -114,7 +114,7 @@
         std::mem::take(&mut self.zone_evictions)
     }
 
-    /// Applies cache events of a replica that another router forwarded.
+    /// Applies cache events, forwarded by another router, of the replica with this start hash.
     pub fn apply_peer_cache_events(
         &mut self,
         now: Moment,
--- a/src/policy/direct/placement/replica_table/notices.rs
+++ b/src/policy/direct/placement/replica_table/notices.rs
@@ -22,15 +22,15 @@
         self.notices.apply_notice(now, unix_ms, replica, notice)
     }
 
-    /// Hashes of the replica starts that announced to this router that they leave.
+    /// Start hashes of the replicas that announced to this router that they leave.
     pub fn leaving_starts(&self) -> Vec<u32> {
         let views = self.replicas.values();
         let leaving = views.filter(|view| self.notices.received_leaving_here(&view.entry));
         leaving.map(|view| view.start_hash).collect()
     }
 
-    /// Applies announcements that another router received from these replica starts that they
-    /// leave. Returns the replicas of which this was not known before.
+    /// Applies another router's message that the replicas with these start hashes leave. Returns
+    /// the replicas of which this was not known before.
     pub fn apply_peer_leaving(
         &mut self,
         unix_ms: u64,
@@ -56,8 +56,9 @@
             && self.notices.backoff_remaining(now, replica).is_zero()
     }
 
-    /// Time until the first replica of a service that is not leaving accepts requests again;
-    /// zero if one accepts them now, none if there is no such replica.
+    /// Time until the first replica of a service accepts requests again; zero if one accepts
+    /// them now. Counts ready replicas that are neither leaving nor in a cordoned zone; none if
+    /// there is no such replica.
     pub fn shortest_backoff(
         &self,
         now: Moment,
--- a/src/policy/direct/placement/replica_table/outcomes.rs
+++ b/src/policy/direct/placement/replica_table/outcomes.rs
@@ -12,7 +12,7 @@
     std::time::Duration,
 };
 
-/// Longest expected time between the end of a replica's process and its restart under the same
+/// Longest expected time between the exit of a replica's process and its restart under the same
 /// entry. It is added to the time for which the replica may be in slow start unnoticed.
 const MAX_ABSENCE: Duration = Duration::from_secs(5);
 
@@ -42,8 +42,8 @@
         view.is_some_and(|view| now.saturating_sub(view.last_answer) <= age)
     }
 
-    /// Whether a replica is about to stop: it is not listed as ready any more, or announced its
-    /// end in an answer.
+    /// Whether a replica is about to stop: it is not listed as ready any more, or announced in
+    /// an answer that it leaves.
     pub fn is_leaving(
         &self,
         now: Moment,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Records that the process at a replica's address ended. Its cache is lost, and it may be
+    /// Records that the process at a replica's address exited. Its cache is lost, and it may be
     /// restarted before the list shows it, so slow start applies.
     pub fn record_exit(
         &mut self,
--- a/src/policy/direct/placement/replica_table/peer_reports.rs
+++ b/src/policy/direct/placement/replica_table/peer_reports.rs
@@ -8,7 +8,8 @@
     },
 };
 
-/// Maximum number of announcements that are queued for other routers. Further ones are dropped.
+/// Maximum number of announcements of sent prompt parts that are queued for other routers.
+/// Further ones are dropped.
 const MAX_QUEUED_PLACEMENTS: usize = 400;
 
 impl ReplicaTable {
@@ -107,7 +108,7 @@
     }
 
     /// Applies another router's evidence on the performance of replicas. Impossible figures are
-    /// ignored.
+    /// ignored. `peer` is the hash of that router's address.
     pub fn apply_evidence(
         &mut self,
         now: Moment,
--- a/src/policy/direct/placement/replica_table/table.rs
+++ b/src/policy/direct/placement/replica_table/table.rs
@@ -24,7 +24,7 @@
 pub struct ReplicaTable {
     pub(super) settings: PlacementSettings,
     pub(super) replicas: BTreeMap<Arc<str>, ReplicaView>,
-    ids_by_start: HashMap<u32, Arc<str>>, // by hash of id and start time
+    ids_by_start: HashMap<u32, Arc<str>>, // by start hash
     pub(super) in_flight: HashMap<InFlightId, InFlightRequest>,
     pub(super) latency_models: LatencyModels,
     pub(super) typical_prompts: TypicalPrompts,
@@ -35,8 +35,8 @@
     pub(super) next_id: InFlightId,
     pub(super) placements: Vec<PartPlacement>, // to be announced in this zone
     pub(super) zone_placements: Vec<PartPlacement>, // shared parts only, for other zones
-    pub(super) cache_events: Vec<(u32, CacheEventBatch)>, // to be forwarded, by replica start
-    pub(super) zone_evictions: Vec<(u32, CacheEventBatch)>, // evicted shared parts, for other zones
+    pub(super) cache_events: Vec<(u32, CacheEventBatch)>, // to be forwarded, by start hash
+    pub(super) zone_evictions: Vec<(u32, CacheEventBatch)>, // of shared parts, for other zones
     pub(super) shared_parts: SharedParts,
     pub(super) report_interval: Duration, // between two load reports of a router
     pub(super) fleet_size: FleetSize,
@@ -193,7 +193,7 @@
         self.replicas.get_mut(id)
     }
 
-    /// Looks up a replica by the hash of its start, for modification.
+    /// Looks up a replica by its start hash, the hash of its id and start time, for modification.
     pub fn by_start_hash(
         &mut self,
         start: u32,
--- a/src/policy/direct/placement/replicas/pace_observations.rs
+++ b/src/policy/direct/placement/replicas/pace_observations.rs
@@ -9,14 +9,15 @@
 /// Age at which evidence of peers is dropped. It decays before.
 const PEER_EVIDENCE_TTL: Duration = Duration::from_secs(8);
 
-/// Pace of one start of a replica as observed by the routers of the zone. The sum of the peers'
-/// evidence is maintained incrementally, since it is read often and there may be many peers.
+/// Pace of one incarnation of a replica as observed by the routers of the zone. The sum of the
+/// peers' evidence is maintained incrementally, since it is read often and there may be many
+/// peers.
 #[derive(Debug, Default)]
 pub struct PaceObservations {
     own: PaceEvidence, // decayed until `own_updated`
     own_updated: Moment,
     overdue: PaceEvidence, // of first tokens that are overdue, as of the last check
-    peers: HashMap<u32, (Moment, PaceEvidence)>, // time received and evidence, by router
+    peers: HashMap<u32, (Moment, PaceEvidence)>, // time received and evidence, by address hash
     peer_sum: PaceEvidence, // decayed until `peer_sum_updated`
     peer_sum_updated: Moment,
     oldest: Moment, // no evidence in `peers` was received before
--- a/src/policy/direct/placement/replicas/replica_observations.rs
+++ b/src/policy/direct/placement/replicas/replica_observations.rs
@@ -13,7 +13,7 @@
 /// Age at which pause evidence of peers is dropped.
 const PEER_EVIDENCE_TTL: Duration = Duration::from_secs(3);
 
-/// Performance of one start of a replica as observed by the routers of the zone.
+/// Performance of one incarnation of a replica as observed by the routers of the zone.
 #[derive(Debug, Default)]
 pub struct ReplicaObservations {
     pub pace: PaceObservations,
@@ -34,7 +34,8 @@
         self.pauses_updated = now;
     }
 
-    /// Evidence of this router alone on the replica's start, to be sent to the zone's routers.
+    /// Evidence of this router alone on the replica's incarnation with this start hash, to be
+    /// sent to the zone's routers.
     pub fn own(
         &self,
         now: Moment,
--- a/src/policy/direct/shares/reported_usage.rs
+++ b/src/policy/direct/shares/reported_usage.rs
@@ -10,7 +10,7 @@
 /// The usage of accounts at other routers and in other zones, as these report it.
 #[derive(Debug, Default)]
 pub struct ReportedUsage {
-    reporters: HashMap<u32, Reported>, // by name
+    reporters: HashMap<u32, Reported>, // by hash of the router's address or the zone's name
     sum: Option<CachedSum>,
 }
 
@@ -55,7 +55,7 @@
             .retain(|_, (received, _)| now.saturating_sub(*received) <= age);
     }
 
-    /// Removes all that a router or zone reported.
+    /// Removes all that a router or zone reported, given the hash of its address or name.
     pub fn remove(
         &mut self,
         name: u32,
--- a/src/policy/direct/shares/share_tracker.rs
+++ b/src/policy/direct/shares/share_tracker.rs
@@ -6,7 +6,8 @@
     std::{collections::HashMap, time::Duration},
 };
 
-/// Usage decays exponentially in steps of this length, with the window as the time constant.
+/// Usage decays in steps of this length, exponentially with the window as the time constant.
+/// Recent allocations are updated as often.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Accounts with fewer tokens than this are dropped.
@@ -113,7 +114,8 @@
             .apply_report(now, reporter, usage, self.peer_age);
     }
 
-    /// Removes all that a router or zone reported, as it is gone.
+    /// Removes all that a router or zone reported, as it is gone. `name` is the hash of its
+    /// address or name.
     pub fn remove_reporter(
         &mut self,
         name: u32,
--- a/src/policy/direct/suspects/suspect.rs
+++ b/src/policy/direct/suspects/suspect.rs
@@ -55,7 +55,7 @@
         if self.crashes.len() > MAX_CRASHES {
             let least = (0..self.crashes.len())
                 .min_by_key(|index| (Reverse(self.crashes[*index].is_cleared), *index));
-            self.crashes.remove(least.expect("more than none"));
+            self.crashes.remove(least.expect("more than MAX_CRASHES"));
         }
         true
     }
--- a/src/policy/direct/suspects/suspect_report.rs
+++ b/src/policy/direct/suspects/suspect_report.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     pub key: u32,
-    pub replica: u32,        // hash of the id and start of the replica
+    pub replica: u32,        // hash of the replica's id and start time
     pub started_ago_ms: u32, // how long ago the request was sent to the replica
     pub crashed_ago_ms: u32, // how long ago the replica crashed
     pub is_early: bool,
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -13,9 +13,9 @@
 const MAX_REQUESTS: usize = 4096;
 const MAX_PER_ACCOUNT: usize = 512;
 
-/// How long a request is remembered after the last crash of a replica that was running it: the
-/// second time if its crashes were enough for a hold.
+/// How long a request is remembered after the last crash of a replica that was running it.
 const RETENTION: Duration = Duration::from_secs(600);
+/// The same for a request whose crashes were enough for a hold.
 const HELD_RETENTION: Duration = Duration::from_secs(3600);
 
 /// A request that is held back, as operators are shown it.
--- a/src/policy/granted/exchange/attempts.rs
+++ b/src/policy/granted/exchange/attempts.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// What to tell the caller, given the result of the last attempt.
+    /// What the caller is to know, given the result of the last attempt.
     pub fn ran(
         &self,
         last: Ran,
--- a/src/policy/granted/exchange/idempotency_keys.rs
+++ b/src/policy/granted/exchange/idempotency_keys.rs
@@ -18,7 +18,7 @@
 
 /// The idempotency keys that a sidecar remembers.
 ///
-/// They are lost when the process ends, and dropped after a set time. A process that started less
+/// They are lost when the process exits, and dropped after a set time. A process that started less
 /// than `quarantine` ago may have lost a key, so it reports new keys as unsure.
 #[derive(Debug, Clone)]
 pub struct IdempotencyKeys {
@@ -36,7 +36,7 @@
 }
 
 impl IdempotencyKeys {
-    /// Creates a memory without keys.
+    /// Starts without keys.
     pub fn new(
         retention: Duration,
         quarantine: Duration,
--- a/src/policy/notices/incarnation_notice.rs
+++ b/src/policy/notices/incarnation_notice.rs
@@ -11,11 +11,11 @@
 /// What one incarnation of a replica announced.
 #[derive(Debug, Clone, Copy)]
 pub struct IncarnationNotice {
-    pub started_unix_ms: Option<u64>, // start time of the incarnation that was listed then
+    pub started_unix_ms: Option<u64>, // of the incarnation that was listed then
     pub is_leaving: bool,
-    pub was_received_here: bool, // that it leaves, and not only by a peer
+    pub was_received_here: bool, // that it leaves, not only from a peer
     backoff_until: Moment,       // it wants no requests until then
-    last_notice_unix_ms: u64,    // the last notice, unix milliseconds
+    last_notice_unix_ms: u64,    // time of the last notice
     unlisted_since: Option<Moment>,
 }
 
--- a/src/policy/notices/notice_tracker.rs
+++ b/src/policy/notices/notice_tracker.rs
@@ -4,14 +4,14 @@
     std::{collections::HashMap, sync::Arc, time::Duration},
 };
 
-/// How long a notice is kept while its replica is not listed. Entries lapse when the store fails
-/// and return later, and the notices of their replicas are still in force then.
+/// How long a notice is retained while its replica is not listed. Entries lapse when the store
+/// fails and return later, and the notices of their replicas are still in force then.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
 
-/// The notices that replicas gave to this process.
+/// The notices that replicas sent to this process, and those on leaving that peers forwarded.
 ///
-/// A notice applies to the incarnation of the replica that was listed when it was given, and to
-/// that one only: a replica that has restarted has given none yet. If the list was outdated, the
+/// A notice applies to the incarnation of the replica that was listed when it was received, and to
+/// that one only: a replica that has restarted has sent none yet. If the list was outdated, the
 /// notice may have come from the next incarnation; see [`IncarnationNotice::applies_to`].
 #[derive(Debug, Default)]
 pub struct NoticeTracker {
@@ -44,7 +44,7 @@
         self.notice_mut(replica).apply_peer_leaving(unix_ms)
     }
 
-    /// Whether a replica told this process itself that it leaves.
+    /// Whether a replica announced to this process itself that it leaves.
     pub fn received_leaving_here(
         &self,
         replica: &UpstreamEntry,
@@ -55,7 +55,7 @@
         })
     }
 
-    /// Whether a replica said that it leaves.
+    /// Whether a replica announced that it leaves.
     pub fn is_leaving(
         &self,
         now: Moment,
