--- a/src/policy/direct/placement/choosing/admission.rs
+++ b/src/policy/direct/placement/choosing/admission_limits.rs
@@ -15,7 +15,7 @@
 
 /// Limits on a replica's queue and memory for one request to be admitted there.
 #[derive(Debug, Clone, Copy)]
-pub struct Admission {
+pub struct AdmissionLimits {
     budget_share: f64,  // fraction of the queue budget that may be used
     max_memory: f64,    // tokens that running requests may reserve
     own_weight: f64,    // of the request's own prefill against the budget
@@ -23,7 +23,7 @@
     may_use_idle: bool, // replicas without queued prefill, whatever the budget
 }
 
-impl Admission {
+impl AdmissionLimits {
     /// The limits for a request, by its account's usage relative to its fair share.
     pub fn new(
         settings: &PlacementSettings,
--- a/src/policy/direct/placement/choosing/mod.rs
+++ b/src/policy/direct/placement/choosing/mod.rs
@@ -1,7 +1,7 @@
 //! Parts of the choice of a replica: the request, the cost of its prompt at each candidate,
 //! and the queue and memory limits for admission.
 
-mod admission;
+mod admission_limits;
 mod candidate;
 mod candidate_sampling;
 mod cheapest;
@@ -13,7 +13,7 @@
 mod queue_budget;
 
 pub use {
-    admission::{Admission, is_over_share},
+    admission_limits::{AdmissionLimits, is_over_share},
     candidate::Candidate,
     candidate_sampling::{CandidateSampling, CandidateTier},
     cheapest::Cheapest,
--- a/src/policy/direct/placement/replica_table/choice.rs
+++ b/src/policy/direct/placement/replica_table/choice.rs
@@ -9,8 +9,8 @@
             placement::{
                 Choice, PlacementRequest, PromptShape, ReplicaView,
                 choosing::{
-                    Admission, CacheSources, Candidate, CandidateSampling, CandidateTier, Cheapest,
-                    QueueBudget, is_over_share, preferred_replicas, prefill_plan,
+                    AdmissionLimits, CacheSources, Candidate, CandidateSampling, CandidateTier,
+                    Cheapest, QueueBudget, is_over_share, preferred_replicas, prefill_plan,
                 },
             },
         },
@@ -103,7 +103,7 @@
         let age = self.max_report_age();
         let times = self.engine_latency(request.service);
         let most_are_idle = is_over_share(request.share_status) && self.most_are_idle(now, usable);
-        let admission = Admission::new(settings, request, engine, most_are_idle);
+        let limits = AdmissionLimits::new(settings, request, engine, most_are_idle);
         let budget = QueueBudget::new(now, request, &self.typical_prompts);
         let preferred = preferred_replicas(prompt, usable);
         let sources = CacheSources::new(prompt, usable);
@@ -120,9 +120,9 @@
             if let Some(risk) = &risk {
                 Self::set_pause_costs(risk, load.running, &mut candidate);
             }
-            let excess_ms = admission.excess_ms(&candidate, budget.available_ms(candidate.times));
+            let excess_ms = limits.excess_ms(&candidate, budget.available_ms(candidate.times));
             min_excess_ms = min_excess_ms.min(excess_ms);
-            if !admission.admits(&candidate, &load, tokens, excess_ms) {
+            if !limits.admits(&candidate, &load, tokens, excess_ms) {
                 continue;
             }
             let mut cost_ms = self.cost_ms(now, request, &candidate);
