--- a/src/direct/abandoned_attempts.rs
+++ b/src/direct/abandoned_attempts.rs
@@ -26,8 +26,8 @@
 }
 
 impl AbandonedAttempts {
-    /// Adds an attempt. Returns true if it is the replica's first, for which the caller has
-    /// to schedule the check.
+    /// Adds an attempt. Returns true if it is the replica's first, for which the check must
+    /// be scheduled.
     fn add(
         &self,
         attempt: InterruptedAttempt,
--- a/src/direct/answer_buffer.rs
+++ b/src/direct/answer_buffer.rs
@@ -26,7 +26,7 @@
 pub struct AnswerBuffer {
     gateway: Arc<Gateway>,
     held: HeldBytes, // read and not sent yet, including the connection's write buffer
-    last_progress_ms: AtomicU64, // when the caller last read, or a backlog began; since the start
+    last_progress_ms: AtomicU64, // uptime when the caller last read or a backlog began
     state: Mutex<ReadState>, // locked before all other locks: reading ahead takes them
 }
 
--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -80,7 +80,7 @@
     log::info!(replica = &*entry.id; "following what a replica keeps");
     let mut connection = None;
     while should_follow(&gateway, &entry) {
-        let pause = match poll_events(&gateway, &entry, &mut connection).await {
+        let delay = match poll_events(&gateway, &entry, &mut connection).await {
             Ok(batch) => {
                 metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
                 let change =
@@ -104,7 +104,7 @@
                 }
             }
         };
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
--- a/src/direct/dialect.rs
+++ b/src/direct/dialect.rs
@@ -19,7 +19,7 @@
     pub reserved: Vec<HeaderName>, // set by the system only; removed from callers' requests
 }
 
-/// The protocol that callers and replicas use: header names and readers.
+/// The protocol that callers and replicas use: header names and parsers.
 #[derive(Debug, Clone)]
 pub struct Dialect {
     pub names: HeaderNames,
--- a/src/direct/exchange.rs
+++ b/src/direct/exchange.rs
@@ -75,7 +75,7 @@
     /// Sends the call until it is answered or no attempt is left.
     pub async fn run(mut self) -> Result<Response<ReplyBody>, Unanswered> {
         self.gateway.count_request(&self.call.service);
-        self.record_demand();
+        self.record_requested_tokens();
         loop {
             let started = match self.start_answer(None).await {
                 Ok(started) => started,
--- a/src/direct/exchange_choice.rs
+++ b/src/direct/exchange_choice.rs
@@ -44,7 +44,7 @@
         };
         replica_table.refresh_estimates(now);
         let choice = replica_table.choose(now, &request);
-        self.record_capacity(now, &choice, share_status);
+        self.record_placement(now, &choice, share_status);
         match choice {
             Choice::Refuse {
                 reason,
@@ -56,9 +56,9 @@
             }
             Choice::Send {
                 replica,
-                prefill_tokens: reading,
+                prefill_tokens,
                 fetch_from,
-                queue_ms: front_ms,
+                queue_ms,
                 pauses_ms,
                 expected,
             } => {
@@ -68,31 +68,38 @@
                     engine,
                     target_latency: call.route.target_latency,
                     target_pause: call.route.target_pause,
-                    prefill_tokens: reading,
-                    queue_ms: front_ms,
+                    prefill_tokens,
+                    queue_ms,
                 });
-                let number = replica_table.start(now, &replica, sent);
+                let id = replica_table.start(now, &replica, sent);
                 let entry = replica_table
                     .replica(&replica)
                     .map(|view| view.entry.clone());
                 let source = fetch_from.and_then(|id| replica_table.replica(&id));
                 let fetch_from = source.map(|view| view.entry.address);
                 drop(replica_table);
-                let (Some(number), Some(entry)) = (number, entry) else {
+                let (Some(id), Some(entry)) = (id, entry) else {
                     return Err(self.refusal(RefusalReason::NoReplica, DEFAULT_RETRY_AFTER));
                 };
-                if reading >= URGENT_PREFILL_TOKENS {
+                if prefill_tokens >= URGENT_PREFILL_TOKENS {
                     self.gateway.early_report.notify_one();
                 }
-                self.log_sent(&replica, reading, front_ms, pauses_ms, fetch_from, expected);
-                let in_flight = InFlightGuard::new(self.gateway.clone(), number, replica.clone());
+                self.log_sent(
+                    &replica,
+                    prefill_tokens,
+                    queue_ms,
+                    pauses_ms,
+                    fetch_from,
+                    expected,
+                );
+                let in_flight = InFlightGuard::new(self.gateway.clone(), id, replica.clone());
                 self.tried.push(replica);
                 self.charge_account();
                 Ok((
                     AttemptTarget {
                         entry,
                         fetch_from,
-                        queue_wait: Duration::from_secs_f64(front_ms / 1000.0),
+                        queue_wait: Duration::from_secs_f64(queue_ms / 1000.0),
                         in_flight,
                     },
                     expected,
@@ -103,7 +110,7 @@
 
     /// Records whether a prompt was placed or refused for lack of capacity, for the estimate
     /// of the replicas' total throughput. Requests of accounts over their share do not count.
-    fn record_capacity(
+    fn record_placement(
         &self,
         now: Moment,
         choice: &Choice,
@@ -125,8 +132,8 @@
     fn log_sent(
         &self,
         replica: &str,
-        reading: u32,
-        front_ms: f64,
+        prefill_tokens: u32,
+        queue_ms: f64,
         pauses_ms: f64,
         fetch_from: Option<SocketAddr>,
         expected: Duration,
@@ -137,8 +144,8 @@
         } else {
             "kept"
         };
-        metrics::counter!(PROMPT_TOKENS, "kind" => "read").increment(u64::from(reading));
-        let saved = u64::from(tokens.saturating_sub(reading));
+        metrics::counter!(PROMPT_TOKENS, "kind" => "read").increment(u64::from(prefill_tokens));
+        let saved = u64::from(tokens.saturating_sub(prefill_tokens));
         metrics::counter!(PROMPT_TOKENS, "kind" => saved_kind).increment(saved);
         let fetch_from = fetch_from.map_or_else(String::new, |address| address.to_string());
         let origin = self.gateway.catalog.upstream_origin(replica);
@@ -154,8 +161,8 @@
             account_lately = share.recent_ratio,
             account_level = share.fair_level_tokens(),
             prompt_tokens = tokens,
-            reading_tokens = reading,
-            front_ms = front_ms as u64,
+            reading_tokens = prefill_tokens,
+            front_ms = queue_ms as u64,
             pauses_ms = pauses_ms as u64,
             fetch_from = fetch_from.as_str(),
             expected_ms = expected.as_millis() as u64,
@@ -194,8 +201,8 @@
         self.call.account.as_deref().map(name_hash)
     }
 
-    /// Adds the call to what its account asked for.
-    pub(super) fn record_demand(&self) {
+    /// Adds the call's tokens to those that its account requested.
+    pub(super) fn record_requested_tokens(&self) {
         if let Some(account) = self.account() {
             let now = self.gateway.now();
             self.gateway
@@ -207,8 +214,8 @@
     fn account_share(&self) -> Option<AccountShare> {
         let account = self.account()?;
         let now = self.gateway.now();
-        let asked = self.call.tokens();
-        Some(self.gateway.shares().account_share(now, account, asked))
+        let tokens = self.call.tokens();
+        Some(self.gateway.shares().account_share(now, account, tokens))
     }
 
     /// Charges the account for the call; later calls of this method have no effect.
--- a/src/direct/exchange_end.rs
+++ b/src/direct/exchange_end.rs
@@ -21,7 +21,7 @@
         &mut self,
         end: &AttemptEnd,
     ) -> Result<(), ErrorAnswer> {
-        self.record_evidence(end);
+        self.record_outcome(end);
         if let Some(attempt) = self
             .last_attempt
             .as_mut()
@@ -145,7 +145,7 @@
     }
 
     /// Records in the replica's health how the attempt ended.
-    fn record_evidence(
+    fn record_outcome(
         &self,
         end: &AttemptEnd,
     ) {
--- a/src/direct/exchange_suspects.rs
+++ b/src/direct/exchange_suspects.rs
@@ -116,7 +116,7 @@
             return None;
         }
         let replica = attempt.entry.start_hash();
-        let end = CrashedAttempt::observed(
+        let crash = CrashedAttempt::observed(
             rand::random(),
             replica,
             attempt.sent_at,
@@ -125,7 +125,7 @@
         );
         let request = attempt.call.digest();
         let account = attempt.call.account.as_deref().map_or(0, name_hash);
-        let hold = self.suspects().record_crash(now, request, account, end);
+        let hold = self.suspects().record_crash(now, request, account, crash);
         self.early_report.notify_one();
         if let Some(hold) = &hold {
             log_held_back(now, request, hold, &attempt.call.request_id, "here");
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -168,7 +168,7 @@
         self.replica_table.lock().expect("replica table lock")
     }
 
-    /// What accounts asked for and were given.
+    /// The tokens that accounts requested and were allocated.
     pub fn shares(&self) -> MutexGuard<'_, ShareTracker> {
         self.shares.lock().expect("shares lock")
     }
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -29,7 +29,7 @@
     pub async fn follow_catalog(self: Arc<Self>) {
         let mut changes = self.catalog.subscribe();
         let mut config_version = 0;
-        let mut knows_both_since: Option<Instant> = None;
+        let mut complete_since: Option<Instant> = None;
         loop {
             let version = self.catalog.version();
             if version.config != config_version {
@@ -59,7 +59,7 @@
             metrics::gauge!(CORDONED).set(cordoned.len() as f64);
             self.replica_table().set_cordoned(cordoned);
             if version.is_complete() {
-                let since = *knows_both_since.get_or_insert_with(Instant::now);
+                let since = *complete_since.get_or_insert_with(Instant::now);
                 if self.catalog.cordons_up_to_date() || since.elapsed() >= CORDON_WAIT {
                     self.start_placement();
                 }
@@ -104,7 +104,7 @@
         limits.collect()
     }
 
-    /// Once a second: closes unusable connections, forgets old suspects and logs changed paces.
+    /// Once a second: closes unusable connections, removes old suspects and logs changed paces.
     pub async fn run_cleanup(self: Arc<Self>) {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Logs replicas whose long-term pace differs from the one last logged.
+    /// Logs replicas whose lasting pace differs from the one last logged.
     fn log_paces(&self) {
         let changes = self
             .replica_table()
--- a/src/direct/in_flight_guard.rs
+++ b/src/direct/in_flight_guard.rs
@@ -7,20 +7,20 @@
 /// Counts a request in its replica's load until it is dropped.
 pub struct InFlightGuard {
     gateway: Arc<Gateway>,
-    number: InFlightId,
+    id: InFlightId,
     replica: Arc<str>,
 }
 
 impl InFlightGuard {
-    /// Guards a request that was already added to the replica's load under `number`.
+    /// Guards a request that was already added to the replica's load under `id`.
     pub fn new(
         gateway: Arc<Gateway>,
-        number: InFlightId,
+        id: InFlightId,
         replica: Arc<str>,
     ) -> Self {
         Self {
             gateway,
-            number,
+            id,
             replica,
         }
     }
@@ -31,20 +31,20 @@
     }
 
     /// Whether the request may still be sent to `replica`: a replica may have restarted or
-    /// announced its end since it was chosen.
+    /// announced that it leaves since it was chosen.
     pub fn may_be_sent(
         &self,
         replica: &UpstreamEntry,
     ) -> bool {
         let now = self.gateway.now();
         let replica_table = self.gateway.replica_table();
-        replica_table.may_be_sent(now, self.number, replica)
+        replica_table.may_be_sent(now, self.id, replica)
     }
 
     /// Records that the first token arrived.
     pub fn record_first_token(&self) {
         let now = self.gateway.now();
-        let changed = self.gateway.replica_table().first_token(now, self.number);
+        let changed = self.gateway.replica_table().first_token(now, self.id);
         if let Some(times) = changed {
             log::info!(
                 replica = &*self.replica,
@@ -59,6 +59,6 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.gateway.replica_table().finish(self.number);
+        self.gateway.replica_table().finish(self.id);
     }
 }
--- a/src/direct/processor_state.rs
+++ b/src/direct/processor_state.rs
@@ -73,8 +73,8 @@
         self.busy_percent.load(Ordering::Relaxed)
     }
 
-    /// Sets whether the load balancer is told to send callers elsewhere. Returns whether that
-    /// changed.
+    /// Sets whether the router reports itself as not ready, so that the load balancer sends
+    /// callers elsewhere. Returns whether that changed.
     pub fn set_paused(
         &self,
         paused: bool,
@@ -82,7 +82,7 @@
         self.paused.swap(paused, Ordering::Relaxed) != paused
     }
 
-    /// Whether the load balancer is told to send callers elsewhere, as processor time is short.
+    /// Whether the router reports itself as not ready because processor time is short.
     pub fn is_paused(&self) -> bool {
         self.paused.load(Ordering::Relaxed)
     }
--- a/src/direct/processor_watch.rs
+++ b/src/direct/processor_watch.rs
@@ -43,7 +43,7 @@
 }
 
 impl ProcessorWatch {
-    /// Watches the Tokio runtime of the caller. Panics outside of a runtime.
+    /// Watches the current Tokio runtime. Panics outside of one.
     pub fn new(gateway: Arc<Gateway>) -> Self {
         Self {
             gateway,
@@ -81,10 +81,10 @@
         self.gateway.processor.set_busy(self.busy.share());
         let lag_ms = self.lag.lag().as_millis() as u64;
         let busy = format!("{:.2}", self.busy.share());
-        if let Some(choked) = self.gateway.processor.set_lag(self.lag.lag()) {
+        if let Some(is_lagging) = self.gateway.processor.set_lag(self.lag.lag()) {
             log::warn!(
-                lag_ms = lag_ms, busy = busy.as_str(), choked = choked;
-                "processor is short, or not any more"
+                lag_ms = lag_ms, busy = busy.as_str(), choked = is_lagging;
+                "processor time is short, or no longer"
             );
         }
         let is_short = self.gateway.processor.is_lagging() || self.is_busier_than_others(now);
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -41,7 +41,7 @@
         return;
     }
     if notice.is_leaving {
-        // Other routers learn it early: a router that forwarded the caller's connection here
+        // Reported to other routers at once: one that forwarded the caller's connection here
         // relays the answer without reading it.
         gateway.early_report.notify_one();
     }
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -27,12 +27,12 @@
             .sum();
         metrics::gauge!(RUNNING).set(f64::from(running));
         let now = self.now();
-        let resting = self
+        let ejected = self
             .replica_table()
             .replicas()
             .filter(|view| view.health.is_ejected(now))
             .count();
-        metrics::gauge!(RESTING).set(resting as f64);
+        metrics::gauge!(RESTING).set(ejected as f64);
         let slow = self.replica_table().count_slower_than(SLOW_PACE);
         metrics::gauge!(SLOW_REPLICAS).set(slow as f64);
         metrics::gauge!(REVISION).set(version.config as f64);
@@ -91,19 +91,19 @@
 }
 
 impl Gateway {
-    /// Sets the gauges of the division among accounts.
+    /// Sets the gauges of the fair allocation among accounts.
     fn measure_shares(&self) {
         let now = self.now();
-        let (division, accounts) = self.shares().account_shares(now);
-        metrics::gauge!(SHARE_DIVIDED).set(f64::from(division.capacity));
-        let level = Some(division.fair_level).filter(|level| level.is_finite());
+        let (allocation, shares) = self.shares().account_shares(now);
+        metrics::gauge!(SHARE_DIVIDED).set(f64::from(allocation.capacity));
+        let level = Some(allocation.fair_level).filter(|level| level.is_finite());
         metrics::gauge!(SHARE_LEVEL).set(f64::from(level.unwrap_or(-1.0)));
-        let mut standings = BTreeMap::from([("over", 0_u32), ("within", 0), ("behind", 0)]);
-        for account in accounts {
-            *standings.entry(account.status.name()).or_default() += 1;
+        let mut counts = BTreeMap::from([("over", 0_u32), ("within", 0), ("behind", 0)]);
+        for share in shares {
+            *counts.entry(share.status.name()).or_default() += 1;
         }
-        for (standing, count) in standings {
-            metrics::gauge!(ACCOUNTS, "standing" => standing).set(f64::from(count));
+        for (status, count) in counts {
+            metrics::gauge!(ACCOUNTS, "standing" => status).set(f64::from(count));
         }
     }
 
--- a/src/direct/upstream_pool.rs
+++ b/src/direct/upstream_pool.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Closes all idle connections, as their replicas may have closed them or ended while this
+    /// Closes all idle connections, as their replicas may have closed them or exited while this
     /// process was suspended.
     pub fn close_all_idle(&self) {
         let mut replicas = self.replicas.lock().expect("pool lock");
--- a/src/direct/zone_reader_role.rs
+++ b/src/direct/zone_reader_role.rs
@@ -60,7 +60,7 @@
         let version = gateway.catalog.version();
         let lacks_catalog = version.config == 0 || version.upstreams == 0;
         let now = gateway.now();
-        let store_lost = gateway.is_store_unavailable();
+        let is_store_unavailable = gateway.is_store_unavailable();
         let cordons_up_to_date = gateway.catalog.cordons_up_to_date();
         let for_cordons = {
             let mut cordons = self.cordons.lock().expect("cordon fallback lock");
@@ -70,10 +70,10 @@
             || for_cordons
             || gateway
                 .peers
-                .is_store_reader(now, PEER_SILENCE_LIMIT, store_lost);
+                .is_store_reader(now, PEER_SILENCE_LIMIT, is_store_unavailable);
         if gateway.store_reads.set_reader(now, reads) {
             log::info!(
-                reads = reads, lost = store_lost, upstreams_at = version.upstreams;
+                reads = reads, lost = is_store_unavailable, upstreams_at = version.upstreams;
                 "the store is read here, or by others of the zone"
             );
         }
