--- a/src/direct/abandoned_attempts.rs
+++ b/src/direct/abandoned_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that this router gave up before the replica answered: the caller disconnected,
+//! Attempts that this router abandoned before the replica answered: the caller disconnected,
 //! the time ran out, or the answer was not proven. Their replicas are checked a little
 //! later, so that a crash under such an attempt counts against its request like any other.
 
@@ -51,7 +51,7 @@
 }
 
 impl Gateway {
-    /// Records an attempt that was given up before its replica answered, and checks the
+    /// Records an attempt that was abandoned before its replica answered, and checks the
     /// replica after `CHECK_DELAY`.
     pub(super) fn record_abandoned(
         self: &Arc<Self>,
--- a/src/direct/answer_buffer.rs
+++ b/src/direct/answer_buffer.rs
@@ -60,7 +60,7 @@
         };
     }
 
-    /// Discards what is left of the answer, at its end or when it is given up.
+    /// Discards what is left of the answer, at its end or when it is aborted.
     pub fn clear(&self) {
         let discarded = std::mem::take(&mut *self.state());
         let unsent: u64 = discarded.pieces.iter().map(length).sum();
@@ -112,9 +112,9 @@
         self.record_progress();
     }
 
-    /// The bytes held if the answer is to be given up, as its caller reads nothing; `None` if
+    /// The bytes held if the answer is to be aborted, as its caller reads nothing; `None` if
     /// it is not.
-    pub fn given_up_bytes(&self) -> Option<u64> {
+    pub fn aborted_bytes(&self) -> Option<u64> {
         let own = self.held.own();
         if own == 0 {
             return None;
--- a/src/direct/caller_connections.rs
+++ b/src/direct/caller_connections.rs
@@ -214,7 +214,7 @@
                     connection.as_mut().graceful_shutdown();
                 }
                 () = tokio::time::sleep(IDLE_CHECK_INTERVAL) => {
-                    if let Some(held_bytes) = buffer.given_up_bytes() {
+                    if let Some(held_bytes) = buffer.aborted_bytes() {
                         return log_unread(from, held_bytes);
                     }
                     let is_idle = activity.is_idle_too_long(&self.gateway, self.is_crowded());
@@ -228,7 +228,7 @@
     }
 }
 
-/// Counts and logs an answer that is given up, as its caller does not read it.
+/// Counts and logs an answer that is aborted, as its caller does not read it.
 fn log_unread(
     from: SocketAddr,
     held_bytes: u64,
--- a/src/policy/direct/placement/cache_events/shared_parts.rs
+++ b/src/policy/direct/placement/cache_events/shared_parts.rs
@@ -1,7 +1,7 @@
 use std::collections::HashSet;
 
-/// Capacity of each of the two sets. A part is forgotten after this many others were used
-/// since its last use.
+/// Capacity of each of the two sets. A part is dropped after this many to twice as many others
+/// were used since its last use.
 const SET_CAPACITY: usize = 2048;
 
 /// Recently used parts that several prompts share.
--- a/src/policy/direct/placement/loads/peer_loads.rs
+++ b/src/policy/direct/placement/loads/peer_loads.rs
@@ -53,7 +53,7 @@
     /// Replaces the report of the router or zone `name`, counted by the process `source_id`.
     ///
     /// Returns the tokens that it sent there since its previous report; 0 for the first
-    /// report of a process, since it does not tell when these tokens were sent.
+    /// report of a process, since it is unknown when these tokens were sent.
     pub fn apply_report(
         &mut self,
         now: Moment,
@@ -95,7 +95,7 @@
         reports.filter(move |report| now.saturating_sub(report.received) <= age)
     }
 
-    /// Sums the fresh reports again. Older ones are kept as the base of the next
+    /// Sums the fresh reports again. Older ones stay as the base of the next
     /// difference in placed tokens.
     fn recompute_sum(
         &mut self,
--- a/src/policy/direct/placement/prompts/prefix_cache.rs
+++ b/src/policy/direct/placement/prompts/prefix_cache.rs
@@ -8,7 +8,7 @@
 };
 
 /// Maximum number of parts that are remembered. Beyond it the least recently used are
-/// forgotten.
+/// dropped.
 const MAX_PARTS: usize = 4096;
 
 /// Maximum number of parts in a snapshot.
--- a/src/policy/direct/placement/replica_table/refusals.rs
+++ b/src/policy/direct/placement/replica_table/refusals.rs
@@ -61,8 +61,8 @@
             };
         }
         let slow_start_remaining = self.slow_start_remaining(now, request.service);
-        if let Some(left) = slow_start_remaining {
-            let wait_ms = left.min(SLOW_START_RETRY).as_secs_f64() * 1000.0;
+        if let Some(remaining) = slow_start_remaining {
+            let wait_ms = remaining.min(SLOW_START_RETRY).as_secs_f64() * 1000.0;
             return self.refuse(request, wait_ms);
         }
         match ready.any(|view| self.is_cordoned(&view.entry)) {
--- a/src/policy/direct/suspects/hold.rs
+++ b/src/policy/direct/suspects/hold.rs
@@ -46,7 +46,7 @@
     ) -> Option<Duration> {
         let trial = trial.map(|at| SignedMoment::from(at).plus(TRIAL_TIME));
         let until = trial.map_or(self.until, |trial| trial.max(self.until));
-        let left = until.remaining(now);
-        (!left.is_zero()).then_some(left)
+        let remaining = until.remaining(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 }
--- a/src/policy/direct/suspects/signed_moment.rs
+++ b/src/policy/direct/suspects/signed_moment.rs
@@ -36,8 +36,8 @@
         self,
         now: Moment,
     ) -> Duration {
-        let left = self.0 - now.as_millis() as i64;
-        Duration::from_millis(left.max(0) as u64)
+        let remaining_ms = self.0 - now.as_millis() as i64;
+        Duration::from_millis(remaining_ms.max(0) as u64)
     }
 }
 
--- a/src/policy/direct/suspects/suspect_tracker.rs
+++ b/src/policy/direct/suspects/suspect_tracker.rs
@@ -89,11 +89,11 @@
         if self.exempt.contains(&request) {
             return None;
         }
-        let left = hold.remaining(now, suspect.trial);
-        if left.is_none() {
+        let remaining = hold.remaining(now, suspect.trial);
+        if remaining.is_none() {
             suspect.trial = Some(now);
         }
-        left
+        remaining
     }
 
     /// Records that a request got a complete answer. Returns whether crashes had counted
