--- a/tests/announced_demand.rs
+++ b/tests/announced_demand.rs
@@ -1,4 +1,4 @@
-//! What routers tell sidecars of their demand: enough, and no more.
+//! The demand that routers announce to sidecars: no more messages than needed.
 
 use {
     archmast::{
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_queue_that_runs_empty_for_a_moment_is_not_told() {
+fn a_queue_that_is_empty_for_a_moment_is_not_announced() {
     let mut announced = AnnouncedDemand::default();
     assert_eq!(
         announced
@@ -98,11 +98,11 @@
 }
 
 #[test]
-fn a_sidecar_that_knows_of_work_is_told_within_its_part_of_the_budget() {
+fn announcements_to_a_sidecar_that_knows_of_work_stay_within_its_budget() {
     let mut announced = AnnouncedDemand::default();
     let mut lines = 0;
     for step in 0..100_000 {
-        // A small queue that flips all the time, beside a deep one.
+        // A short queue that alternates between empty and not, beside a long one.
         let mut demand = current(40);
         if step % 2 == 0 {
             demand.insert(AccountId(2), current(1)[&ACCOUNT]);
@@ -122,15 +122,15 @@
     let line = announced.take_due_lines(ms(0), CAP, SHARE, &current(1))[0];
     table.announce(1u32, ms(0), 0, &line);
     table.granted(ACCOUNT, 1, 7);
-    // The router declines grant 7, and announces a new request that overtakes
-    // the decline on another connection.
+    // The router declines grant 7 and announces a new request, which overtakes the decline on
+    // another connection.
     table.announce(1u32, ms(1), 7, &line);
     table.declined(ACCOUNT, 1, 7);
     assert!(table.is_waiting(ACCOUNT));
 }
 
 #[test]
-fn what_waits_without_any_grant_is_told_again() {
+fn demand_that_gets_no_grant_is_announced_again() {
     let mut announced = AnnouncedDemand::default();
     assert_eq!(
         announced
@@ -176,7 +176,7 @@
 
 proptest! {
     #[test]
-    fn while_work_waits_the_sidecar_always_knows_of_some(
+    fn while_work_waits_the_sidecar_always_knows_of_demand(
         counts in prop::collection::vec((0u32..200, any::<bool>()), 1..100),
     ) {
         let mut announced = AnnouncedDemand::default();
--- a/tests/busy_router.rs
+++ b/tests/busy_router.rs
@@ -1,4 +1,4 @@
-//! What a router does with callers while its processor is short.
+//! How a router treats callers while it is short of processor time.
 
 use {
     archmast::{
@@ -38,22 +38,22 @@
 fn callers_come_back_later_to_a_router_that_is_short_of_processor() {
     let gateway = gateway();
     assert_eq!(gateway.min_retry_after(), Duration::ZERO);
-    // The balancer asks once a second, and takes a router out after two misses.
-    let out = Duration::from_secs(1);
+    // The balancer sends a request once a second, and removes a router after two failures.
+    let balancer_retry = Duration::from_secs(1);
     gateway.processor.set_busy(0.9);
-    assert!(gateway.min_retry_after() > out);
+    assert!(gateway.min_retry_after() > balancer_retry);
     gateway.processor.set_busy(0.3);
     assert_eq!(gateway.min_retry_after(), Duration::ZERO);
     gateway.processor.set_lag(Duration::from_millis(100));
     assert!(gateway.processor.is_lagging());
-    assert!(gateway.min_retry_after() > out);
+    assert!(gateway.min_retry_after() > balancer_retry);
 }
 
 #[test]
-fn nobody_waits_a_quarter_of_a_usual_aim_to_be_refused_for_the_processor() {
+fn a_router_lags_before_a_quarter_of_a_target_latency_is_lost() {
     let gateway = gateway();
-    let quarter = Duration::from_millis(300) / 4;
-    gateway.processor.set_lag(quarter);
+    let late = Duration::from_millis(300) / 4;
+    gateway.processor.set_lag(late);
     assert!(gateway.processor.is_lagging());
     gateway.processor.set_lag(Duration::from_millis(20));
     assert!(!gateway.processor.is_lagging());
--- a/tests/catalog_news.rs
+++ b/tests/catalog_news.rs
@@ -1,5 +1,5 @@
-//! What routers tell each other of the upstreams: whoever has come to a revision of the
-//! store, by whatever way, knows what the store held then, and nothing that had left.
+//! Catalog updates that routers send each other: whichever way a router reaches a revision of the
+//! store, it knows exactly the upstreams that the store held then.
 
 use {
     archmast::{
@@ -10,11 +10,11 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Upstreams that never leave: those that come and go stay the lesser part.
-const STAYING: usize = 12;
+/// Upstreams that are never removed: they stay the majority.
+const STAYING_UPSTREAMS: usize = 12;
 
-/// Those that come and go.
-const MOVING: usize = 4;
+/// Upstreams that are added and removed.
+const MOVING_UPSTREAMS: usize = 4;
 
 const ROUTERS: usize = 3;
 
@@ -27,17 +27,17 @@
     entries.iter().map(|entry| entry.id.to_string()).collect()
 }
 
-fn tell(
-    teller: &Catalog,
-    asker: &Catalog,
+fn send_update(
+    sender: &Catalog,
+    receiver: &Catalog,
 ) {
-    if teller.version().upstreams > asker.version().upstreams {
-        let news = teller.upstream_update_after(asker.version().upstreams);
-        asker.offer_upstreams(news, "peer");
+    if sender.version().upstreams > receiver.version().upstreams {
+        let update = sender.upstream_update_after(receiver.version().upstreams);
+        receiver.offer_upstreams(update, "peer");
     }
 }
 
-/// The platform's store, with all that it ever held.
+/// The platform's store, with all changes since its beginning.
 struct Store {
     events: Vec<UpstreamRecord>, // the n-th is of revision n + 1
 }
@@ -45,7 +45,7 @@
 impl Store {
     fn new() -> Self {
         let mut store = Self { events: Vec::new() };
-        for number in 0..STAYING {
+        for number in 0..STAYING_UPSTREAMS {
             store.put(&format!("stays-{number}"));
         }
         store
@@ -75,7 +75,7 @@
         });
     }
 
-    /// The newest record of each upstream at a revision, of those that are there.
+    /// The newest record of each upstream that exists at a revision.
     fn held_at(
         &self,
         revision: u64,
@@ -86,7 +86,7 @@
         there.collect()
     }
 
-    /// All that it holds, as it answers a reading.
+    /// The current content, as the answer to a list call.
     fn listing(&self) -> CatalogChange {
         let held = self.held_at(self.at()).into_values().cloned();
         CatalogChange {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// As it answers a watch.
+    /// The changes after a revision, as the answer to a watch call.
     fn changes_after(
         &self,
         revision: u64,
@@ -123,63 +123,62 @@
     }
 }
 
-/// A router, and the answers to its questions that have not come yet. They come in any
-/// order.
+/// A router and the answers that it has requested and not received yet. They arrive in any order.
 struct Router {
     catalog: Catalog,
-    coming: Vec<Answer>,
+    pending: Vec<Answer>,
 }
 
 enum Answer {
-    Whole(CatalogChange),  // of the store
-    Change(CatalogChange), // of the store
-    News(UpstreamUpdate),  // of another router
+    Listing(CatalogChange), // from the store
+    Change(CatalogChange),  // from the store
+    Update(UpstreamUpdate), // from another router
 }
 
 impl Router {
-    /// Starts anew, knowing nothing.
+    /// A router that has just started, with an empty catalog.
     fn start() -> Self {
         Self {
             catalog: catalog(),
-            coming: Vec::new(),
+            pending: Vec::new(),
         }
     }
 
-    fn take(
+    fn receive(
         &mut self,
-        drawn: usize,
+        draw: usize,
     ) {
-        if self.coming.is_empty() {
+        if self.pending.is_empty() {
             return;
         }
-        match self.coming.swap_remove(drawn % self.coming.len()) {
-            Answer::Whole(listing) => self.catalog.offer_listing(listing, "store"),
+        match self.pending.swap_remove(draw % self.pending.len()) {
+            Answer::Listing(listing) => self.catalog.offer_listing(listing, "store"),
             Answer::Change(change) => self.catalog.offer_change(change, "store"),
-            Answer::News(news) => self.catalog.offer_upstreams(news, "peer"),
+            Answer::Update(update) => self.catalog.offer_upstreams(update, "peer"),
         }
     }
 }
 
-/// What may happen, to a router or an upstream drawn by number.
+/// A step, with the router or upstream that it concerns.
 #[derive(Debug, Clone)]
 enum Step {
     Put(usize),
     Remove(usize),
     Watch(usize),
-    ReadWhole(usize),
-    Ask(usize, usize),  // one router another
-    Take(usize, usize), // one of the answers to come
+    List(usize),
+    Ask(usize, usize),     // the router asked, the router asking
+    Receive(usize, usize), // the router, and which pending answer
     Restart(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        1 => (0..MOVING).prop_map(Step::Put),
-        1 => (0..MOVING).prop_map(Step::Remove),
+        1 => (0..MOVING_UPSTREAMS).prop_map(Step::Put),
+        1 => (0..MOVING_UPSTREAMS).prop_map(Step::Remove),
         1 => (0..ROUTERS).prop_map(Step::Watch),
-        1 => (0..ROUTERS).prop_map(Step::ReadWhole),
+        1 => (0..ROUTERS).prop_map(Step::List),
         1 => (0..ROUTERS, 0..ROUTERS).prop_map(|(from, to)| Step::Ask(from, to)),
-        3 => (0..ROUTERS, 0..ROUTERS * 2).prop_map(|(to, drawn)| Step::Take(to, drawn)),
+        3 => (0..ROUTERS, 0..ROUTERS * 2).prop_map(|(to, draw)| Step::Receive(to, draw)),
         1 => (0..ROUTERS).prop_map(Step::Restart),
     ];
     prop::collection::vec(step, 1..80)
@@ -199,20 +198,20 @@
                     let router = &mut routers[number];
                     let after = router.catalog.version().upstreams;
                     if after > 0 {
-                        router.coming.push(Answer::Change(store.changes_after(after)));
+                        router.pending.push(Answer::Change(store.changes_after(after)));
                     }
                 }
-                Step::ReadWhole(number) => {
-                    routers[number].coming.push(Answer::Whole(store.listing()));
+                Step::List(number) => {
+                    routers[number].pending.push(Answer::Listing(store.listing()));
                 }
-                Step::Ask(teller, asker) => {
-                    let known = routers[asker].catalog.version().upstreams;
-                    if routers[teller].catalog.version().upstreams > known {
-                        let news = routers[teller].catalog.upstream_update_after(known);
-                        routers[asker].coming.push(Answer::News(news));
+                Step::Ask(sender, receiver) => {
+                    let known = routers[receiver].catalog.version().upstreams;
+                    if routers[sender].catalog.version().upstreams > known {
+                        let update = routers[sender].catalog.upstream_update_after(known);
+                        routers[receiver].pending.push(Answer::Update(update));
                     }
                 }
-                Step::Take(number, drawn) => routers[number].take(drawn),
+                Step::Receive(number, draw) => routers[number].receive(draw),
                 Step::Restart(number) => routers[number] = Router::start(),
             }
             for router in &routers {
@@ -225,60 +224,53 @@
 }
 
 #[test]
-fn a_router_that_started_anew_tells_what_has_gone_before() {
+fn a_restarted_router_reports_removals_from_before_its_start() {
     let mut store = Store::new();
     store.put("leaves");
-    let behind = catalog();
-    store.list(&behind);
+    let stale = catalog();
+    store.list(&stale);
     store.write("leaves", None);
-    let started = catalog();
-    store.list(&started);
-    tell(&started, &behind);
-    assert!(!ids(&behind).contains("leaves"));
-    // Who was told whole, tells others whole as well.
+    let restarted = catalog();
+    store.list(&restarted);
+    send_update(&restarted, &stale);
+    assert!(!ids(&stale).contains("leaves"));
+    // A router that received a snapshot can still send others single changes.
     let third = catalog();
     store.list(&third);
     store.put("comes");
-    store.watch(&behind);
-    let news = behind.upstream_update_after(third.version().upstreams);
-    assert_eq!((news.records.len(), news.is_snapshot), (1, false));
+    store.watch(&stale);
+    let update = stale.upstream_update_after(third.version().upstreams);
+    assert_eq!((update.records.len(), update.is_snapshot), (1, false));
 }
 
 #[test]
-fn a_router_that_lost_the_history_tells_of_upstreams_that_it_never_heard_of() {
+fn a_router_that_lost_the_history_reports_removals_of_upstreams_it_never_knew() {
     let mut store = Store::new();
-    let silent = catalog();
-    store.list(&silent);
+    let disconnected = catalog();
+    store.list(&disconnected);
     store.put("leaves");
-    let behind = catalog();
-    store.list(&behind);
+    let stale = catalog();
+    store.list(&stale);
     store.write("leaves", None);
-    store.list(&silent);
-    tell(&silent, &behind);
-    assert!(!ids(&behind).contains("leaves"));
+    store.list(&disconnected);
+    send_update(&disconnected, &stale);
+    assert!(!ids(&stale).contains("leaves"));
 }
 
-/// A router that starts reads the store and asks another at the same time. The other had
-/// not heard of the removal yet, and its answer came last. A router's log, which settled
-/// it; the store had removed the upstream at its revision 51 before it was read:
-///
-/// ```text
-/// 4.117 "upstream Ready" from store (others; this one is not listed any more)
-/// 4.178 "news of the upstreams taken in" after 0, at 45, records 43, whole true
-/// 4.178 "upstream Ready" revision 11, from the other router
-/// 7.563 "sent" upstream_at 11, upstreams_at 94
-/// ```
+/// A router that starts lists the store and asks a peer at the same time. The peer has not seen a
+/// removal yet, and its answer arrives after the newer listing: it must not bring the removed
+/// upstream back.
 #[test]
 fn news_that_come_after_a_newer_reading_of_the_store_bring_nothing_back() {
     let mut store = Store::new();
     store.put("leaves");
     let other = catalog();
     store.list(&other);
-    let started = catalog();
-    let answer = other.upstream_update_after(started.version().upstreams);
+    let restarted = catalog();
+    let answer = other.upstream_update_after(restarted.version().upstreams);
     store.write("leaves", None);
-    store.list(&started);
-    started.offer_upstreams(answer, "peer");
-    assert!(!ids(&started).contains("leaves"));
-    assert_eq!(started.version().upstreams, store.at());
+    store.list(&restarted);
+    restarted.offer_upstreams(answer, "peer");
+    assert!(!ids(&restarted).contains("leaves"));
+    assert_eq!(restarted.version().upstreams, store.at());
 }
--- a/tests/cordons.rs
+++ b/tests/cordons.rs
@@ -1,5 +1,5 @@
-//! Zones that get no new work: what is known of them by whatever way it was told, and in
-//! the product's own form.
+//! Cordoned zones, which get no new work: what routers know of them by listings, changes and peer
+//! updates in any order, and cordons of the configuration of routers with sidecars.
 
 use {
     archmast::{
@@ -18,18 +18,17 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// What the store held after each change: the n-th change is of revision n + 1, and names
-/// a zone that is cordoned or given back.
+/// The changes of a store: the n-th is of revision n + 1, and cordons a zone or lifts its cordon.
 #[derive(Debug, Clone)]
 struct Store(Vec<(usize, bool)>);
 
 impl Store {
     fn cordoned_at(
         &self,
-        at: usize,
+        revision: usize,
     ) -> BTreeSet<String> {
         let mut zones = BTreeSet::new();
-        for (zone, is_set) in &self.0[..at] {
+        for (zone, is_set) in &self.0[..revision] {
             match is_set {
                 true => zones.insert(ZONES[*zone].to_owned()),
                 false => zones.remove(ZONES[*zone]),
@@ -40,13 +39,13 @@
 
     fn listing(
         &self,
-        at: usize,
+        revision: usize,
     ) -> CatalogChange {
         let last = |zone: &str| {
-            let mut changes = self.0[..at].iter();
-            changes.rposition(|(of, is_set)| ZONES[*of] == zone && *is_set)
+            let mut changes = self.0[..revision].iter();
+            changes.rposition(|(changed, is_set)| ZONES[*changed] == zone && *is_set)
         };
-        let zones = self.cordoned_at(at);
+        let zones = self.cordoned_at(revision);
         let items = zones.iter().map(|zone| {
             let revision = last(zone).map_or(0, |index| index as u64 + 1);
             CatalogItem::Cordon(CordonChange::Set(Cordon {
@@ -56,82 +55,88 @@
         });
         CatalogChange {
             items: items.collect(),
-            revision: at as u64,
+            revision: revision as u64,
         }
     }
 
     fn changes(
         &self,
         after: usize,
-        at: usize,
+        revision: usize,
     ) -> CatalogChange {
-        let items = self.0[after..at].iter().enumerate().map(|(index, change)| {
-            let (zone, is_set) = *change;
-            let cordon = Cordon {
-                zone: ZONES[zone].to_owned(),
-                revision: (after + index) as u64 + 1,
-            };
-            CatalogItem::Cordon(match is_set {
-                true => CordonChange::Set(cordon),
-                false => CordonChange::Lifted(cordon),
-            })
-        });
+        let items = self.0[after..revision]
+            .iter()
+            .enumerate()
+            .map(|(index, change)| {
+                let (zone, is_set) = *change;
+                let cordon = Cordon {
+                    zone: ZONES[zone].to_owned(),
+                    revision: (after + index) as u64 + 1,
+                };
+                CatalogItem::Cordon(match is_set {
+                    true => CordonChange::Set(cordon),
+                    false => CordonChange::Lifted(cordon),
+                })
+            });
         CatalogChange {
             items: items.collect(),
-            revision: at as u64,
+            revision: revision as u64,
         }
     }
 }
 
-/// One step: a reader reads whole or goes on, to a revision; a router is told by another.
+/// One step: a router lists the store or reads its changes, up to a revision, or receives an update
+/// from another router.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     List(usize, usize),
     Watch(usize, usize),
-    Tell(usize, usize),
+    Update(usize, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..3usize, 0..=12usize).prop_map(|(router, at)| Step::List(router, at)),
-        (0..3usize, 0..=12usize).prop_map(|(router, at)| Step::Watch(router, at)),
-        (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Tell(from, to)),
+        (0..3usize, 0..=12usize).prop_map(|(router, revision)| Step::List(router, revision)),
+        (0..3usize, 0..=12usize).prop_map(|(router, revision)| Step::Watch(router, revision)),
+        (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Update(from, to)),
     ]
 }
 
 proptest! {
-    /// Whoever has come to a revision, by whatever way, knows the zones that were
-    /// cordoned then; late readings and late answers bring nothing back.
+    /// Whichever way a router reaches a revision, it knows the zones that were cordoned then; late
+    /// answers bring nothing back.
     #[test]
-    fn what_is_known_is_what_the_store_held(
+    fn each_router_knows_the_cordons_of_its_revision(
         store in prop::collection::vec((0..3usize, any::<bool>()), 12).prop_map(Store),
         steps in prop::collection::vec(step(), 1..30),
     ) {
         let routers = [catalog(), catalog(), catalog()];
         for step in steps {
             match step {
-                Step::List(router, at) => routers[router].offer_listing(store.listing(at), "store"),
-                Step::Watch(router, at) => {
+                Step::List(router, revision) => {
+                    routers[router].offer_listing(store.listing(revision), "store");
+                }
+                Step::Watch(router, revision) => {
                     let after = routers[router].cordons_revision() as usize;
-                    if after > 0 && at >= after {
-                        routers[router].offer_change(store.changes(after, at), "store");
+                    if after > 0 && revision >= after {
+                        routers[router].offer_change(store.changes(after, revision), "store");
                     }
                 }
-                Step::Tell(from, to) => {
-                    let news = routers[from].cordon_snapshot();
-                    routers[to].offer_cordons(news, "peer");
+                Step::Update(from, to) => {
+                    let update = routers[from].cordon_snapshot();
+                    routers[to].offer_cordons(update, "peer");
                 }
             }
             for router in &routers {
-                let at = router.cordons_revision() as usize;
-                prop_assert_eq!(router.cordoned_zones(), store.cordoned_at(at));
+                let revision = router.cordons_revision() as usize;
+                prop_assert_eq!(router.cordoned_zones(), store.cordoned_at(revision));
             }
         }
     }
 }
 
 #[test]
-fn an_answer_from_before_brings_no_cordon_back() {
+fn an_older_answer_brings_no_cordon_back() {
     let store = Store(vec![(0, true), (0, false), (1, true)]);
     let catalog = catalog();
     catalog.offer_listing(store.listing(3), "store");
@@ -140,18 +145,18 @@
 }
 
 #[test]
-fn routers_that_know_no_cordons_leave_them_behind_the_list() {
+fn an_update_without_cordons_leaves_them_out_of_date() {
     let store = Store(vec![(0, true), (1, true)]);
     let catalog = catalog();
     assert!(!catalog.cordons_up_to_date());
     catalog.offer_listing(store.listing(1), "store");
     assert!(catalog.cordons_up_to_date());
-    let news = {
+    let update = {
         let other = self::catalog();
         other.offer_listing(store.listing(2), "store");
         other.upstream_update_after(1)
     };
-    catalog.offer_upstreams(news, "peer");
+    catalog.offer_upstreams(update, "peer");
     assert!(!catalog.cordons_up_to_date());
 }
 
@@ -184,7 +189,7 @@
 }
 
 #[test]
-fn in_the_own_form_a_configuration_cordons_zones_for_routers_and_sidecars() {
+fn a_configuration_cordons_zones_for_routers_and_sidecars() {
     let document = IniDocument::parse("fleet.ini", FLEET).expect("INI");
     let config = parse_document(&document).expect("a configuration");
     let group = config.group("drafting").expect("a group");
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn line(
+fn demand(
     account: u64,
     count: u32,
 ) -> DemandLine {
@@ -45,15 +45,15 @@
     Duration::from_millis(millis)
 }
 
-/// Runs backlogged accounts; `cost` gives each request's cost. Gives what each
-/// account got.
+/// Serves accounts with a backlog; `cost` returns the cost of each request. Returns the service
+/// that each account got.
 fn run_backlog(
     accounts: u64,
     requests: u64,
     mut cost: impl FnMut(u64) -> f64,
 ) -> BTreeMap<u64, f64> {
     let mut dispatcher = Dispatcher::new(settings());
-    let lines: Vec<DemandLine> = (0..accounts).map(|a| line(a, u32::MAX)).collect();
+    let lines: Vec<DemandLine> = (0..accounts).map(|a| demand(a, u32::MAX)).collect();
     dispatcher.update_demand(ROUTER, ms(0), 0, &lines);
     let mut served = BTreeMap::new();
     let mut running = std::collections::VecDeque::new();
@@ -90,7 +90,7 @@
     fn the_gap_is_bounded_by_a_few_requests_and_does_not_grow(
         accounts in 2u64..8,
         costs in prop::collection::vec(1u32..500, 64),
-        dear in 0u64..8,
+        expensive in 0u64..8,
     ) {
         let largest = 5.0 * 500.0;
         let gap = |requests: u64| {
@@ -98,7 +98,7 @@
             let served = run_backlog(accounts, requests, |account| {
                 next += 1;
                 let cost = f64::from(costs[next % costs.len()]);
-                if account == dear { cost * 5.0 } else { cost }
+                if account == expensive { cost * 5.0 } else { cost }
             });
             let most = served.values().copied().fold(0.0, f64::max);
             let least = (0..accounts).map(|a| served.get(&a).copied().unwrap_or(0.0));
@@ -110,7 +110,7 @@
     }
 
     #[test]
-    fn never_more_held_than_slots_and_ahead(
+    fn requests_held_never_exceed_slots_and_ready_limit(
         steps in prop::collection::vec((0u8..6, 0u64..4, 0u64..600), 1..200),
     ) {
         let mut dispatcher = Dispatcher::new(settings());
@@ -120,7 +120,7 @@
         for (step, number, passed) in steps {
             now += ms(passed);
             match step {
-                0 => dispatcher.update_demand(ROUTER, now, 0, &[line(number, 10)]),
+                0 => dispatcher.update_demand(ROUTER, now, 0, &[demand(number, 10)]),
                 1 => granted.extend(dispatcher.next_grant(now)),
                 2 => if let Some((router, grant)) = granted.pop() {
                     exchange += 1;
@@ -148,10 +148,10 @@
 }
 
 #[test]
-fn an_expired_or_used_grant_is_refused_and_its_charge_taken_back() {
+fn an_expired_or_used_grant_is_refused_and_its_charge_refunded() {
     let mut dispatcher = Dispatcher::new(settings());
-    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 5)]);
-    let (router, grant) = dispatcher.next_grant(ms(0)).expect("room and demand");
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[demand(1, 5)]);
+    let (router, grant) = dispatcher.next_grant(ms(0)).expect("capacity and demand");
     let arrival = |exchange| Arrival {
         exchange,
         router,
@@ -163,7 +163,7 @@
         dispatcher.admit(ms(11), &arrival(2)),
         Admission::Refused(ResultCode::GrantExpired)
     );
-    let (_, late) = dispatcher.next_grant(ms(20)).expect("room and demand");
+    let (_, late) = dispatcher.next_grant(ms(20)).expect("capacity and demand");
     let arrival = Arrival {
         exchange: 3,
         router,
@@ -183,9 +183,9 @@
 #[test]
 fn a_router_that_lost_its_view_is_granted_for_all_that_it_announces() {
     let mut dispatcher = Dispatcher::new(settings());
-    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 2)]);
-    let (router, used) = dispatcher.next_grant(ms(0)).expect("room and demand");
-    let (_, unused) = dispatcher.next_grant(ms(0)).expect("room and demand");
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[demand(1, 2)]);
+    let (router, used) = dispatcher.next_grant(ms(0)).expect("capacity and demand");
+    let (_, unused) = dispatcher.next_grant(ms(0)).expect("capacity and demand");
     let arrival = Arrival {
         exchange: 1,
         router,
@@ -195,20 +195,20 @@
     assert_eq!(dispatcher.admit(ms(1), &arrival), Admission::Start);
     dispatcher.finish(1, Finished::Cost(1.0), ms(2));
     assert_eq!(dispatcher.expire(ms(900)), 1, "grant {}", unused.number);
-    // The router connects anew and no longer knows that it saw any grant.
-    dispatcher.update_demand(ROUTER, ms(901), 0, &[line(1, 2)]);
+    // The router reconnects and no longer knows that it received any grant.
+    dispatcher.update_demand(ROUTER, ms(901), 0, &[demand(1, 2)]);
     assert!(dispatcher.next_grant(ms(901)).is_some());
     assert!(dispatcher.next_grant(ms(901)).is_some());
     assert!(dispatcher.next_grant(ms(901)).is_none());
 }
 
-/// A dispatcher with one slot, in which request 0 runs, and request 1 that waits for it.
-fn one_runs_and_one_waits() -> Dispatcher<u32> {
+/// A dispatcher with one slot, in which request 0 runs while request 1 waits.
+fn with_one_running_and_one_waiting() -> Dispatcher<u32> {
     let mut dispatcher = Dispatcher::new(DispatchSettings {
         slots: 1,
         ..settings()
     });
-    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[demand(1, 5)]);
     let mut admissions = Vec::new();
     let mut grants = Vec::new();
     grants.extend(dispatcher.next_grant(ms(0)));
@@ -228,8 +228,8 @@
     dispatcher
 }
 
-/// A request that comes without a grant.
-fn offer(exchange: u64) -> Arrival<u32> {
+/// A request that arrives without a grant.
+fn without_grant(exchange: u64) -> Arrival<u32> {
     Arrival {
         exchange,
         router: ROUTER,
@@ -240,29 +240,29 @@
 
 #[test]
 fn a_leaving_sidecar_grants_nothing_and_hands_back_what_has_not_started() {
-    let mut dispatcher = one_runs_and_one_waits();
+    let mut dispatcher = with_one_running_and_one_waiting();
     assert_eq!(dispatcher.leave(ms(2)), [1]);
-    dispatcher.update_demand(ROUTER, ms(3), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(3), 0, &[demand(1, 5)]);
     assert_eq!(dispatcher.next_grant(ms(3)), None);
     assert_eq!(
-        dispatcher.admit(ms(4), &offer(9)),
+        dispatcher.admit(ms(4), &without_grant(9)),
         Admission::Refused(ResultCode::Leaving)
     );
 }
 
-/// An upstream that refuses connections is left alone for half a second; that cut the three
-/// seconds short for which it had asked.
+/// The half second for which an upstream that refuses connections is suspended must not shorten a
+/// longer backoff that the upstream asked for.
 #[test]
 fn a_rest_lasts_as_long_as_the_longest_that_was_asked_for() {
-    let mut dispatcher = one_runs_and_one_waits();
+    let mut dispatcher = with_one_running_and_one_waiting();
     assert_eq!(dispatcher.suspend_until(ms(2), ms(3_002)), [1]);
     assert!(dispatcher.suspend_until(ms(10), ms(510)).is_empty());
-    dispatcher.update_demand(ROUTER, ms(600), 0, &[line(1, 5)]);
+    dispatcher.update_demand(ROUTER, ms(600), 0, &[demand(1, 5)]);
     dispatcher.finish(0, Finished::Cost(1.0), ms(600));
     assert_eq!(dispatcher.next_grant(ms(3_001)), None);
     assert_eq!(dispatcher.start_ready(ms(3_001)), None);
     assert_eq!(
-        dispatcher.admit(ms(3_001), &offer(9)),
+        dispatcher.admit(ms(3_001), &without_grant(9)),
         Admission::Refused(ResultCode::UpstreamUnreachable)
     );
     assert!(dispatcher.next_grant(ms(3_002)).is_some());
@@ -276,10 +276,10 @@
     });
     let urgent = DemandLine {
         patience_ms: 50,
-        ..line(2, 1)
+        ..demand(2, 1)
     };
-    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 1), urgent, line(3, 1)]);
-    let (_, grant) = dispatcher.next_grant(ms(0)).expect("room and demand");
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[demand(1, 1), urgent, demand(3, 1)]);
+    let (_, grant) = dispatcher.next_grant(ms(0)).expect("capacity and demand");
     assert_eq!(grant.account, AccountId(2));
 }
 
@@ -293,7 +293,7 @@
     });
     let mut exchange = 0;
     let mut serve = |dispatcher: &mut Dispatcher<u32>, now: Duration, cost: f64| {
-        let (router, grant) = dispatcher.next_grant(now).expect("room and demand");
+        let (router, grant) = dispatcher.next_grant(now).expect("capacity and demand");
         exchange += 1;
         dispatcher.admit(
             now,
@@ -307,9 +307,9 @@
         dispatcher.finish(exchange, Finished::Cost(cost), now);
         grant.account
     };
-    dispatcher.update_demand(ROUTER, ms(0), 0, &[line(1, 1)]);
+    dispatcher.update_demand(ROUTER, ms(0), 0, &[demand(1, 1)]);
     serve(&mut dispatcher, ms(0), 1e7);
-    dispatcher.update_demand(ROUTER, ms(10), 9, &[line(1, 1_000), line(2, 1_000)]);
+    dispatcher.update_demand(ROUTER, ms(10), 9, &[demand(1, 1_000), demand(2, 1_000)]);
     let served: Vec<AccountId> = (0..40)
         .map(|step| serve(&mut dispatcher, ms(20 + step), 100.0))
         .collect();
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -1,9 +1,9 @@
-//! Routers of the last landed build and of this one run side by side while machines are
-//! replaced. What that build sends is kept here as files, which this one must read; and
-//! what this one sends of the same kinds must be the same bytes, since that build refuses
-//! a message that is longer than it knows.
+//! Routers of the last released build and of this build run side by side during an upgrade. The
+//! messages of the released build are recorded in files: this build must read them, and must encode
+//! the same messages to the same bytes, since the released build refuses a message that is longer
+//! than it expects.
 //!
-//! How a message may change is in docs/DEVELOPERS.md.
+//! How a message may change is described in docs/DEVELOPERS.md.
 
 use {
     archmast::{
@@ -35,7 +35,7 @@
     }
 }
 
-fn figures() -> ReportBody {
+fn report_body() -> ReportBody {
     ReportBody {
         replicas: vec![ReplicaReport {
             start_hash: 0xfeed_beef,
@@ -84,11 +84,11 @@
         millicores: 90,
         is_store_unavailable: true,
         version: version(),
-        body: figures(),
+        body: report_body(),
     })
 }
 
-fn sum() -> PeerMessage {
+fn summary() -> PeerMessage {
     PeerMessage::Summary(ZoneSummary {
         zone: 5,
         representative: address(1),
@@ -97,7 +97,7 @@
         sequence: 78,
         routers: 10,
         version: version(),
-        body: figures(),
+        body: report_body(),
         members: vec![address(4), address(5)],
     })
 }
@@ -110,7 +110,7 @@
 }
 
 fn suspects() -> PeerMessage {
-    let end = CrashReport {
+    let crash = CrashReport {
         key: 11,
         replica: 12,
         began_ms: 2000,
@@ -124,12 +124,12 @@
         notes: vec![SuspectReport {
             request: RequestDigest::new("POST", "/a/b", "lot", b"body"),
             account: 13,
-            crashes: vec![end],
+            crashes: vec![crash],
         }],
     })
 }
 
-fn news() -> CatalogUpdate {
+fn update() -> CatalogUpdate {
     CatalogUpdate {
         config: Some("{\"version\":7}".to_owned()),
         upstreams: UpstreamUpdate {
@@ -151,50 +151,50 @@
     }
 }
 
-/// A datagram of the landed build reads as this message, which is sent as the same bytes.
-fn datagram_is_kept(
-    kept: &[u8],
+/// Checks that a recorded datagram decodes to this message, which encodes to the same bytes.
+fn check_datagram(
+    recorded: &[u8],
     message: PeerMessage,
 ) {
-    assert_eq!(encode_payload(&message).as_deref(), Ok(kept));
-    assert_eq!(decode_payload::<PeerMessage>(kept), Ok(message));
+    assert_eq!(encode_payload(&message).as_deref(), Ok(recorded));
+    assert_eq!(decode_payload::<PeerMessage>(recorded), Ok(message));
 }
 
 /// The same for a frame of a stream.
-async fn frame_is_kept<T>(
-    kept: &[u8],
+async fn check_frame<T>(
+    recorded: &[u8],
     message: T,
 ) where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    assert_eq!(encode_frame(&message).as_deref(), Ok(kept));
-    let mut stream = kept;
+    assert_eq!(encode_frame(&message).as_deref(), Ok(recorded));
+    let mut stream = recorded;
     assert_eq!(read_frame::<T, _>(&mut stream).await, Ok(Some(message)));
 }
 
 #[test]
-fn datagrams_of_the_landed_build_are_read_and_sent_alike() {
-    datagram_is_kept(include_bytes!("messages/landed/report"), report());
-    datagram_is_kept(include_bytes!("messages/landed/sum"), sum());
-    datagram_is_kept(
+fn datagrams_of_the_released_build_are_read_and_sent_alike() {
+    check_datagram(include_bytes!("messages/landed/report"), report());
+    check_datagram(include_bytes!("messages/landed/sum"), summary());
+    check_datagram(
         include_bytes!("messages/landed/ask"),
         PeerMessage::Ask(router()),
     );
-    datagram_is_kept(
+    check_datagram(
         include_bytes!("messages/landed/names"),
         PeerMessage::Names(vec![router()]),
     );
-    datagram_is_kept(include_bytes!("messages/landed/suspects"), suspects());
+    check_datagram(include_bytes!("messages/landed/suspects"), suspects());
 }
 
 #[tokio::test]
-async fn questions_and_news_of_the_landed_build_are_read_and_sent_alike() {
-    frame_is_kept(include_bytes!("messages/landed/question"), version()).await;
-    frame_is_kept(include_bytes!("messages/landed/news"), news()).await;
+async fn questions_and_updates_of_the_released_build_are_read_and_sent_alike() {
+    check_frame(include_bytes!("messages/landed/question"), version()).await;
+    check_frame(include_bytes!("messages/landed/news"), update()).await;
 }
 
 #[tokio::test]
-async fn what_follows_the_news_is_read_by_builds_that_know_it_and_by_no_other() {
+async fn data_after_an_update_is_read_by_builds_that_know_it_only() {
     let cordons = CordonSnapshot {
         cordons: vec![Cordon {
             zone: "z-1".to_owned(),
@@ -205,11 +205,11 @@
     let mut bytes = include_bytes!("messages/landed/news").to_vec();
     bytes.extend(encode_frame(&cordons).expect("a frame"));
     let mut stream = bytes.as_slice();
-    assert_eq!(read_frame(&mut stream).await, Ok(Some(news())));
+    assert_eq!(read_frame(&mut stream).await, Ok(Some(update())));
     assert_eq!(read_frame(&mut stream).await, Ok(Some(cordons)));
-    // The landed build sends nothing after its news.
+    // The released build sends nothing after its update.
     let mut alone = include_bytes!("messages/landed/news").as_slice();
-    assert_eq!(read_frame(&mut alone).await, Ok(Some(news())));
+    assert_eq!(read_frame(&mut alone).await, Ok(Some(update())));
     assert_eq!(read_frame::<CordonSnapshot, _>(&mut alone).await, Ok(None));
 }
 
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -1,8 +1,6 @@
-//! Connections are handed on to neighbours that can serve them. Routers that had started
-//! some milliseconds before took connections that busy neighbours handed on to them, and
-//! answered "the service has no replica" within 20 ms of their configuration: their reports
-//! were believed before anything was known there, and told of a catalog by which nothing
-//! was chosen yet.
+//! Connections are handed on only to neighbours that can serve them. A router that has just started
+//! reports before it knows any replica; a busy neighbour that hands connections on to it makes it
+//! answer "the service has no replica".
 
 use {
     archmast::{
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -1,4 +1,4 @@
-//! The users' platform in the product's own terms.
+//! Parsing of the configuration, entries, headers and replies of the platform.
 
 use {
     archmast::{
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn regions_of_a_route_and_of_an_account_both_bind() {
+fn regions_of_a_route_and_of_an_account_both_apply() {
     let text = CONFIG
         .replace(
             r#""name":"a","#,
@@ -89,8 +89,8 @@
 
 #[test]
 fn a_kind_of_route_that_is_not_known_is_refused() {
-    let strange = CONFIG.replace("non_idempotent", "sometimes");
-    let error = parse_config(&strange).expect_err("refused");
+    let unknown = CONFIG.replace("non_idempotent", "sometimes");
+    let error = parse_config(&unknown).expect_err("refused");
     assert_eq!(error.code, ResultCode::PlatformReply);
     assert!(error.detail.contains("sometimes"));
 }
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_prompt_is_read_from_its_headers_or_not_at_all() {
+fn a_prompt_is_parsed_from_its_headers_or_not_at_all() {
     let shape = |parts: &str, counts: &str| {
         let mut headers = HeaderMap::new();
         for (name, text) in [
@@ -130,19 +130,19 @@
 }
 
 #[test]
-fn what_a_replica_keeps_is_read() {
+fn the_list_of_cached_parts_is_parsed() {
     let cache = dialect().cache;
     assert_eq!((cache.list_request)().uri().path(), "/v1/kv-list");
     let text = br#"{"epoch":"e","next_token":7,"held":[["","5c1e07a2",800,"m"],["","91bd3f06",16,"m"]],"new":1}"#;
     let parts = (cache.parse_list)(text).expect("a list");
-    let told: Vec<_> = parts.iter().map(|part| (part.part, part.tokens)).collect();
-    assert_eq!(told, [(0x5c1e_07a2, 800), (0x91bd_3f06, 16)]);
+    let parsed: Vec<_> = parts.iter().map(|part| (part.part, part.tokens)).collect();
+    assert_eq!(parsed, [(0x5c1e_07a2, 800), (0x91bd_3f06, 16)]);
     let error = (cache.parse_list)(b"{}").expect_err("refused");
     assert_eq!(error.code, ResultCode::PlatformReply);
 }
 
 #[test]
-fn what_a_replica_takes_in_and_gives_up_is_read() {
+fn cache_events_are_parsed() {
     let cache = dialect().cache;
     let request = (cache.events_request)(8, Duration::from_secs(1));
     assert_eq!(request.uri(), "/v1/kv-events?since=7");
@@ -153,15 +153,15 @@
     );
     let read = |text: &[u8]| (cache.parse_events)(8, text);
     let text = br#"{"epoch":5,"next_token":10,"lost":false,"events":[[9,"-","","91bd3f06",16,"m"],[8,"+","","5c1e07a2",800,"m"],[10,"-","","91bd3f06",0,"m"]]}"#;
-    let news = read(text).expect("events");
-    assert_eq!((news.from, news.next, news.has_gap), (8, 11, false));
-    let told: Vec<_> = news
+    let batch = read(text).expect("events");
+    assert_eq!((batch.from, batch.next, batch.has_gap), (8, 11, false));
+    let parsed: Vec<_> = batch
         .events
         .iter()
         .map(|it| (it.number, it.part, it.is_cached))
         .collect();
     assert_eq!(
-        told,
+        parsed,
         [
             (8, 0x5c1e_07a2, true),
             (9, 0x91bd_3f06, false),
@@ -170,10 +170,10 @@
     );
     let lost = br#"{"epoch":5,"next_token":7,"lost":true,"events":[]}"#;
     assert!(read(lost).expect("events").has_gap);
-    let torn = br#"{"epoch":6,"next_token":9,"lost":false,"events":[[9,"+","","1",16,"m"]]}"#;
-    let torn = read(torn).expect("events");
-    assert!(torn.has_gap);
-    assert_ne!(torn.epoch, news.epoch);
+    let incomplete = br#"{"epoch":6,"next_token":9,"lost":false,"events":[[9,"+","","1",16,"m"]]}"#;
+    let incomplete = read(incomplete).expect("events");
+    assert!(incomplete.has_gap);
+    assert_ne!(incomplete.epoch, batch.epoch);
     let error = read(b"{}").expect_err("refused");
     assert_eq!(error.code, ResultCode::PlatformReply);
 }
--- a/tests/result_codes.rs
+++ b/tests/result_codes.rs
@@ -1,9 +1,9 @@
-//! The table in the docs is the table in the code.
+//! The table of result codes in the docs matches the code.
 
 use archmast::codes::ResultCode;
 
 #[test]
-fn the_docs_list_every_code_as_it_is() {
+fn the_docs_list_every_code() {
     let docs = include_str!("../docs/RESULT-CODES.md");
     let rows: Vec<&str> = docs
         .lines()
--- a/tests/stores.rs
+++ b/tests/stores.rs
@@ -1,4 +1,4 @@
-//! Whoever begins to follow a store late misses nothing.
+//! A store notifies subscribers of values that it held before they subscribed.
 
 use {
     archmast::{
