--- a/tests/config_gate.rs
+++ b/tests/config_gate.rs
@@ -1,4 +1,4 @@
-//! A configuration in force never goes back.
+//! The revision of the configuration in force never decreases.
 
 use {
     archmast::{
--- a/tests/event_splitter.rs
+++ b/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Streams are passed on in whole events, however their bytes arrive.
+//! Streams are forwarded in complete events, however their bytes arrive.
 
 use {archmast::direct::EventSplitter, proptest::prelude::*};
 
@@ -13,31 +13,31 @@
 
 proptest! {
     #[test]
-    fn any_cutting_gives_the_same_bytes(
+    fn any_chunks_of_input_give_the_same_bytes(
         cuts in prop::collection::vec(1usize..40, 1..60),
-        carriage in any::<bool>(),
+        carriage_return in any::<bool>(),
     ) {
-        let bytes = stream(12, if carriage { "\r\n\r\n" } else { "\n\n" });
+        let bytes = stream(12, if carriage_return { "\r\n\r\n" } else { "\n\n" });
         let mut splitter = EventSplitter::default();
-        let mut passed = Vec::new();
+        let mut forwarded = Vec::new();
         let (mut at, mut cut) = (0, cuts.iter().cycle());
         while at < bytes.len() {
             let next = (at + cut.next().expect("endless")).min(bytes.len());
             if let Some(events) = splitter.push(&bytes[at..next]) {
                 let whole = events.ends_with(b"\n\n") || events.ends_with(b"\r\n\r\n");
                 prop_assert!(whole);
-                passed.extend_from_slice(&events);
+                forwarded.extend_from_slice(&events);
             }
             at = next;
         }
         prop_assert_eq!(splitter.last_id(), Some("12"));
         prop_assert!(splitter.take_partial().is_empty());
-        prop_assert_eq!(passed, bytes);
+        prop_assert_eq!(forwarded, bytes);
     }
 }
 
 #[test]
-fn a_part_of_an_event_is_held_back_and_can_be_dropped() {
+fn a_partial_event_is_held_back_and_can_be_discarded() {
     let mut splitter = EventSplitter::default();
     assert_eq!(
         splitter.push(b"id: 1\ndata: a\n\nid: 2\nda").as_deref(),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_follows_the_last_event_is_kept_for_a_clean_end() {
+fn bytes_after_the_last_event_are_available_at_the_end_of_the_stream() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\n\ndata: tail");
     assert_eq!(&splitter.take_partial()[..], b"data: tail");
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -1,4 +1,4 @@
-//! Totals survive any loss, repetition and reordering of reports.
+//! The total service of an account stays right when reports are lost, repeated or reordered.
 
 use {
     archmast::{
@@ -13,14 +13,14 @@
 const GRACE: Duration = Duration::from_secs(3);
 const NO_FLOOR: Option<f64> = None;
 
-/// A sidecar as far as a keeper sees it.
+/// The state of a sidecar that the aggregator sees.
 #[derive(Debug, Clone)]
 struct Source {
     host: Arc<str>,
     incarnation: Incarnation,
     sequence: u64,
     own: f64,
-    heard: f64,
+    known_total: f64,
     included: f64,
 }
 
@@ -31,7 +31,7 @@
             incarnation: Incarnation(1),
             sequence: 0,
             own: 0.0,
-            heard: 0.0,
+            known_total: 0.0,
             included: 0.0,
         }
     }
@@ -41,7 +41,7 @@
         let entry = ReportEntry {
             account: ACCOUNT,
             own: self.own,
-            known_total: self.heard,
+            known_total: self.known_total,
             included: self.included,
             waiting: true,
             was_idle: false,
@@ -49,28 +49,29 @@
         (self.host.clone(), self.incarnation, self.sequence, entry)
     }
 
-    fn hear(
+    fn exchange_report(
         &mut self,
-        keeper: &mut TotalsAggregator,
+        aggregator: &mut TotalsAggregator,
     ) {
         let (host, incarnation, sequence, entry) = self.report();
-        let reply = keeper.apply_report(GRACE, &host, incarnation, sequence, NO_FLOOR, 1.0, &entry);
-        self.heard = reply.total;
+        let reply =
+            aggregator.apply_report(GRACE, &host, incarnation, sequence, NO_FLOOR, 1.0, &entry);
+        self.known_total = reply.total;
         self.included = reply.included;
     }
 }
 
-fn keeper() -> TotalsAggregator {
+fn aggregator() -> TotalsAggregator {
     TotalsAggregator::new(GRACE, 1e9)
 }
 
-fn total(keeper: &TotalsAggregator) -> f64 {
-    keeper.totals().map(|(_, total)| total).sum()
+fn total(aggregator: &TotalsAggregator) -> f64 {
+    aggregator.totals().map(|(_, total)| total).sum()
 }
 
 proptest! {
     #[test]
-    fn any_order_repetition_and_loss_of_reports_gives_the_same_total(
+    fn reports_lost_repeated_or_reordered_give_the_same_total(
         service in prop::collection::vec((0usize..4, 1u32..1000), 1..40),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..120),
     ) {
@@ -82,29 +83,29 @@
             served += f64::from(units);
             sent.push(sources[source].report());
         }
-        let mut keeper = keeper();
+        let mut aggregator = aggregator();
         for index in &order {
             let (host, incarnation, sequence, entry) = index.get(&sent);
-            keeper.apply_report(GRACE, host, *incarnation, *sequence, NO_FLOOR, 1.0, entry);
+            aggregator.apply_report(GRACE, host, *incarnation, *sequence, NO_FLOOR, 1.0, entry);
         }
         for source in &mut sources {
-            source.hear(&mut keeper);
+            source.exchange_report(&mut aggregator);
         }
-        prop_assert!((total(&keeper) - served).abs() < 1e-6);
+        prop_assert!((total(&aggregator) - served).abs() < 1e-6);
     }
 
     #[test]
-    fn a_sidecar_that_restarts_with_no_memory_takes_nothing_away(
+    fn a_sidecar_that_restarts_without_its_state_reduces_no_total(
         steps in prop::collection::vec((0usize..3, 1u32..1000, any::<bool>()), 1..40),
     ) {
         let mut sources: Vec<Source> = (0..3).map(Source::new).collect();
-        let mut keeper = keeper();
+        let mut aggregator = aggregator();
         let mut served = 0.0;
         for (number, units, restarts) in steps {
             let source = &mut sources[number];
             source.own += f64::from(units);
             served += f64::from(units);
-            source.hear(&mut keeper);
+            source.exchange_report(&mut aggregator);
             if restarts {
                 *source = Source {
                     incarnation: Incarnation(source.incarnation.0 + 1),
@@ -112,16 +113,16 @@
                 };
             }
         }
-        prop_assert!((total(&keeper) - served).abs() < 1e-6);
+        prop_assert!((total(&aggregator) - served).abs() < 1e-6);
     }
 
     #[test]
-    fn a_new_keeper_is_off_by_at_most_what_was_served_since_the_last_reports(
+    fn a_new_aggregator_errs_by_at_most_the_service_since_the_last_reports(
         rounds in prop::collection::vec((1u32..1000, 1u32..1000, 1u32..1000), 1..20),
         unreported in prop::collection::vec(0u32..1000, 3),
     ) {
         let mut sources: Vec<Source> = (0..3).map(Source::new).collect();
-        let mut old = keeper();
+        let mut old = aggregator();
         let mut served = 0.0;
         let mut last_round = 0.0;
         for round in rounds {
@@ -132,32 +133,32 @@
             }
             served += last_round;
             for source in &mut sources {
-                source.hear(&mut old);
+                source.exchange_report(&mut old);
             }
         }
         for (source, units) in sources.iter_mut().zip(&unreported) {
             source.own += f64::from(*units);
             served += f64::from(*units);
         }
-        let mut new = keeper();
+        let mut new = aggregator();
         for source in &mut sources {
-            source.hear(&mut new);
+            source.exchange_report(&mut new);
         }
-        let off = total(&new) - served;
-        prop_assert!(off >= -1e-6, "service forgotten: {off}");
-        prop_assert!(off <= last_round + 1e-6, "off by {off}, a round is {last_round}");
+        let error = total(&new) - served;
+        prop_assert!(error >= -1e-6, "service forgotten: {error}");
+        prop_assert!(error <= last_round + 1e-6, "off by {error}, a round is {last_round}");
     }
 }
 
 #[test]
 fn an_account_back_from_idle_brings_no_credit_and_bounded_debt() {
-    let mut keeper = TotalsAggregator::new(GRACE, 100.0);
-    let mut behind = Source::new(1);
-    behind.own = 5.0;
-    behind.hear(&mut keeper);
+    let mut aggregator = TotalsAggregator::new(GRACE, 100.0);
+    let mut idle = Source::new(1);
+    idle.own = 5.0;
+    idle.exchange_report(&mut aggregator);
     let later = GRACE * 3;
-    let (host, incarnation, sequence, entry) = behind.report();
-    let reply = keeper.apply_report(
+    let (host, incarnation, sequence, entry) = idle.report();
+    let reply = aggregator.apply_report(
         later,
         &host,
         incarnation,
@@ -167,13 +168,13 @@
         &entry,
     );
     assert_eq!(reply.total, 2000.0, "level with the floor, by its share");
-    let mut ahead = Source::new(2);
-    ahead.own = 1e6;
-    let (host, incarnation, sequence, entry) = ahead.report();
-    keeper.apply_report(later, &host, incarnation, sequence, None, 1.0, &entry);
+    let mut heavy = Source::new(2);
+    heavy.own = 1e6;
+    let (host, incarnation, sequence, entry) = heavy.report();
+    aggregator.apply_report(later, &host, incarnation, sequence, None, 1.0, &entry);
     let much_later = later + GRACE * 3;
-    let (host, incarnation, sequence, entry) = ahead.report();
-    let reply = keeper.apply_report(
+    let (host, incarnation, sequence, entry) = heavy.report();
+    let reply = aggregator.apply_report(
         much_later,
         &host,
         incarnation,
--- a/tests/overload_pause.rs
+++ b/tests/overload_pause.rs
@@ -1,4 +1,5 @@
-//! When a router whose processor is short lets callers go elsewhere.
+//! When a router that is short of processor time pauses, so that callers use other routers; and how
+//! the shortage is measured.
 
 use {
     archmast::policy::{BusyGauge, LagGauge, OverloadPause},
@@ -11,7 +12,7 @@
     Duration::from_millis(millis)
 }
 
-/// Steps until the answer is `paused`; gives the moment.
+/// Steps until `observe` returns `paused`. Returns that moment.
 fn step_until(
     pause: &mut OverloadPause,
     mut now: Duration,
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_short_burst_is_served() {
+fn a_short_burst_causes_no_pause() {
     let mut pause = OverloadPause::default();
     let mut now = ms(0);
     for step in 0..1000 {
@@ -41,25 +42,29 @@
 #[test]
 fn lasting_shortage_pauses_the_router_longer_each_time() {
     let mut pause = OverloadPause::default();
-    let began = step_until(&mut pause, ms(0), true, true);
-    assert!(began < ms(600), "{began:?}");
-    let ended = step_until(&mut pause, began, false, false);
-    let first = ended - began;
-    let again = step_until(&mut pause, ended, true, true);
-    let over = step_until(&mut pause, again, false, false);
-    assert!(over - again > first, "{:?} after {first:?}", over - again);
+    let started = step_until(&mut pause, ms(0), true, true);
+    assert!(started < ms(600), "{started:?}");
+    let resumed = step_until(&mut pause, started, false, false);
+    let first = resumed - started;
+    let started_again = step_until(&mut pause, resumed, true, true);
+    let resumed_again = step_until(&mut pause, started_again, false, false);
+    assert!(
+        resumed_again - started_again > first,
+        "{:?} after {first:?}",
+        resumed_again - started_again
+    );
 }
 
 #[test]
 fn after_a_long_calm_the_pause_is_short_again() {
     let mut pause = OverloadPause::default();
-    let began = step_until(&mut pause, ms(0), true, true);
-    let ended = step_until(&mut pause, began, false, false);
-    let first = ended - began;
-    let later = ended + ms(60_000);
-    let again = step_until(&mut pause, later, true, true);
-    let over = step_until(&mut pause, again, false, false);
-    assert_eq!(over - again, first);
+    let started = step_until(&mut pause, ms(0), true, true);
+    let resumed = step_until(&mut pause, started, false, false);
+    let first = resumed - started;
+    let after_calm = resumed + ms(60_000);
+    let started_again = step_until(&mut pause, after_calm, true, true);
+    let resumed_again = step_until(&mut pause, started_again, false, false);
+    assert_eq!(resumed_again - started_again, first);
 }
 
 #[test]
@@ -92,7 +97,7 @@
 fn lag_rises_with_the_second_late_timer_and_falls_slowly() {
     let mut gauge = LagGauge::default();
     gauge.sample(Duration::from_millis(400));
-    assert_eq!(gauge.lag(), Duration::ZERO, "one long piece of work");
+    assert_eq!(gauge.lag(), Duration::ZERO, "a single late timer");
     gauge.sample(Duration::from_millis(500));
     assert_eq!(gauge.lag(), Duration::from_millis(400));
     gauge.sample(Duration::ZERO);
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -1,6 +1,5 @@
-//! A replica that starts again under its id is another replica for all that is remembered
-//! of one: what it kept of prompts, what was sent there, what speaks against it, and what
-//! other routers tell of it.
+//! A replica that restarts under its id counts as another replica: its cached parts, its load, its
+//! failures and the reports of peers about the earlier start do not apply to it.
 
 use {
     archmast::{
@@ -20,9 +19,9 @@
 };
 
 const NOW: Duration = Duration::from_secs(100);
-const MEMORY: u64 = 100_000;
+const KV_TOKENS: u64 = 100_000;
 const ENGINE: EngineSpec = EngineSpec {
-    kv_capacity_tokens: MEMORY,
+    kv_capacity_tokens: KV_TOKENS,
     kv_bytes_per_token: 0.0,
     link_mbps: 0.0,
     can_transfer_kv: false,
@@ -33,13 +32,13 @@
     source_id: 1,
 };
 
-fn start(
+fn replica_start(
     id: &str,
-    born: u64,
+    started_unix_ms: u64,
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: id.into(),
-        started_unix_ms: Some(born),
+        started_unix_ms: Some(started_unix_ms),
         service: "model".into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z".into(),
@@ -49,10 +48,10 @@
     })
 }
 
-fn board() -> ReplicaTable {
-    let mut board = ReplicaTable::new(PlacementSettings::default());
-    board.set_entries(NOW, vec![start("i-a", 1000)]);
-    board
+fn replica_table() -> ReplicaTable {
+    let mut replica_table = ReplicaTable::new(PlacementSettings::default());
+    replica_table.set_entries(NOW, vec![replica_start("i-a", 1000)]);
+    replica_table
 }
 
 fn prompt() -> PromptShape {
@@ -63,8 +62,8 @@
     }
 }
 
-/// What the replica would have to read of the prompt.
-fn reading(board: &mut ReplicaTable) -> u32 {
+/// Prompt tokens that the replica would have to process.
+fn prefill_tokens(replica_table: &mut ReplicaTable) -> u32 {
     let prompt = prompt();
     let request = PlacementRequest {
         service: "model",
@@ -77,16 +76,13 @@
         tried: &[],
         regions: None,
     };
-    match board.choose(NOW, &request) {
-        Choice::Send {
-            prefill_tokens: reading,
-            ..
-        } => reading,
+    match replica_table.choose(NOW, &request) {
+        Choice::Send { prefill_tokens, .. } => prefill_tokens,
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
 }
 
-fn send(board: &mut ReplicaTable) -> u64 {
+fn send_prompt(replica_table: &mut ReplicaTable) -> u64 {
     let sent = SentPrompt {
         shape: &prompt(),
         engine: ENGINE,
@@ -95,63 +91,70 @@
         prefill_tokens: 5000,
         queue_ms: 0.0,
     };
-    let sent = board.start(NOW, &"i-a".into(), Some(sent));
-    sent.expect("a replica that is there")
+    let sent = replica_table.start(NOW, &"i-a".into(), Some(sent));
+    sent.expect("a listed replica")
 }
 
 #[test]
-fn what_it_kept_of_prompts_is_forgotten() {
-    let mut board = board();
-    send(&mut board);
-    assert_eq!(reading(&mut board), 0);
-    board.set_entries(NOW, vec![start("i-a", 1000)]);
-    assert_eq!(reading(&mut board), 0, "the same start");
-    board.set_entries(NOW, vec![start("i-a", 2000)]);
-    assert_eq!(reading(&mut board), 5000);
+fn a_restart_clears_the_cached_parts() {
+    let mut replica_table = replica_table();
+    send_prompt(&mut replica_table);
+    assert_eq!(prefill_tokens(&mut replica_table), 0);
+    replica_table.set_entries(NOW, vec![replica_start("i-a", 1000)]);
+    assert_eq!(prefill_tokens(&mut replica_table), 0, "the same start");
+    replica_table.set_entries(NOW, vec![replica_start("i-a", 2000)]);
+    assert_eq!(prefill_tokens(&mut replica_table), 5000);
 }
 
 #[test]
-fn what_ran_at_the_earlier_start_is_not_taken_from_the_new_one() {
-    let mut board = board();
-    let earlier = send(&mut board);
-    board.set_entries(NOW, vec![start("i-a", 2000)]);
-    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").own_load;
-    assert_eq!(load(&board), Load::default());
-    send(&mut board);
-    let there = load(&board);
-    assert_eq!(there.running, 1);
-    board.first_token(NOW, earlier);
-    assert_eq!(load(&board), there);
-    board.finish(earlier);
-    assert_eq!(load(&board), there);
+fn requests_of_the_earlier_start_are_not_subtracted_from_the_new_one() {
+    let mut replica_table = replica_table();
+    let earlier = send_prompt(&mut replica_table);
+    replica_table.set_entries(NOW, vec![replica_start("i-a", 2000)]);
+    let load =
+        |replica_table: &ReplicaTable| replica_table.replica("i-a").expect("listed").own_load;
+    assert_eq!(load(&replica_table), Load::default());
+    send_prompt(&mut replica_table);
+    let load_after_send = load(&replica_table);
+    assert_eq!(load_after_send.running, 1);
+    replica_table.first_token(NOW, earlier);
+    assert_eq!(load(&replica_table), load_after_send);
+    replica_table.finish(earlier);
+    assert_eq!(load(&replica_table), load_after_send);
 }
 
 #[test]
-fn what_spoke_against_the_earlier_start_says_nothing_of_the_new_one() {
-    let mut board = board();
-    let earlier = start("i-a", 1000);
+fn failures_of_the_earlier_start_do_not_count_for_the_new_one() {
+    let mut replica_table = replica_table();
+    let earlier = replica_start("i-a", 1000);
     for _ in 0..8 {
-        board.record_failure(NOW, &earlier);
+        replica_table.record_failure(NOW, &earlier);
     }
-    let rests = |board: &ReplicaTable| board.replica("i-a").expect("listed").health.is_ejected(NOW);
-    assert!(rests(&board));
-    board.set_entries(NOW, vec![start("i-a", 2000)]);
-    assert!(!rests(&board));
+    let is_ejected = |replica_table: &ReplicaTable| {
+        replica_table
+            .replica("i-a")
+            .expect("listed")
+            .health
+            .is_ejected(NOW)
+    };
+    assert!(is_ejected(&replica_table));
+    replica_table.set_entries(NOW, vec![replica_start("i-a", 2000)]);
+    assert!(!is_ejected(&replica_table));
     for _ in 0..8 {
-        board.record_failure(NOW, &earlier);
-        board.record_unreachable(NOW, &earlier);
+        replica_table.record_failure(NOW, &earlier);
+        replica_table.record_unreachable(NOW, &earlier);
     }
     assert!(
-        !rests(&board),
-        "ends of runs at the earlier start come late"
+        !is_ejected(&replica_table),
+        "failures at the earlier start may be recorded late"
     );
 }
 
 #[test]
-fn routers_that_hear_late_tell_of_the_earlier_start_only() {
+fn reports_of_peers_that_know_only_the_earlier_start_are_ignored() {
     let age = Duration::from_secs(1);
-    let report = |start: &UpstreamEntry| ReplicaReport {
-        start_hash: start.start_hash(),
+    let report = |replica_start: &UpstreamEntry| ReplicaReport {
+        start_hash: replica_start.start_hash(),
         load: Load {
             running: 3,
             ..Load::default()
@@ -159,31 +162,37 @@
         placed_tokens: 700,
         is_ejected: true,
     };
-    let note = |start: &UpstreamEntry, part| PartPlacement {
-        start_hash: start.start_hash(),
+    let placement = |replica_start: &UpstreamEntry, part| PartPlacement {
+        start_hash: replica_start.start_hash(),
         part,
         shared: true,
     };
-    let (earlier, later) = (start("i-a", 1000), start("i-a", 2000));
-    let mut board = board();
-    board.apply_reports(NOW, PEER, &[report(&earlier)]);
-    let load = |board: &ReplicaTable| board.replica("i-a").expect("listed").load(NOW, age);
-    assert_eq!(load(&board).running, 3);
-    board.set_entries(NOW, vec![later.clone()]);
-    assert_eq!(load(&board).running, 0);
-    board.apply_reports(NOW, PEER, &[report(&earlier)]);
-    assert_eq!(load(&board).running, 0);
-    assert!(!board.replica("i-a").expect("listed").is_ejected(NOW, age));
-    board.apply_placements(
+    let (earlier, later) = (replica_start("i-a", 1000), replica_start("i-a", 2000));
+    let mut replica_table = replica_table();
+    replica_table.apply_reports(NOW, PEER, &[report(&earlier)]);
+    let load =
+        |replica_table: &ReplicaTable| replica_table.replica("i-a").expect("listed").load(NOW, age);
+    assert_eq!(load(&replica_table).running, 3);
+    replica_table.set_entries(NOW, vec![later.clone()]);
+    assert_eq!(load(&replica_table).running, 0);
+    replica_table.apply_reports(NOW, PEER, &[report(&earlier)]);
+    assert_eq!(load(&replica_table).running, 0);
+    assert!(
+        !replica_table
+            .replica("i-a")
+            .expect("listed")
+            .is_ejected(NOW, age)
+    );
+    replica_table.apply_placements(
         NOW,
         ReporterScope::Router,
-        &[note(&earlier, 1), note(&earlier, 2)],
+        &[placement(&earlier, 1), placement(&earlier, 2)],
     );
-    assert_eq!(reading(&mut board), 5000);
-    board.apply_reports(NOW, PEER, &[report(&later)]);
-    assert_eq!(load(&board).running, 3);
+    assert_eq!(prefill_tokens(&mut replica_table), 5000);
+    replica_table.apply_reports(NOW, PEER, &[report(&later)]);
+    assert_eq!(load(&replica_table).running, 3);
     assert!(
-        board
+        replica_table
             .reports(NOW)
             .iter()
             .all(|it| it.start_hash != earlier.start_hash())
@@ -191,52 +200,62 @@
 }
 
 #[test]
-fn its_own_word_on_what_it_keeps_holds_for_the_start_that_gave_it() {
-    let mut board = board();
-    let kept = [(1, 4000), (2, 1000)].map(|(part, tokens)| CachedPart { part, tokens });
-    board.apply_cached_parts(&start("i-a", 1000), &kept, MEMORY);
-    assert_eq!(reading(&mut board), 0);
-    board.set_entries(NOW, vec![start("i-a", 2000)]);
-    board.apply_cached_parts(&start("i-a", 1000), &kept, MEMORY);
-    assert_eq!(reading(&mut board), 5000);
+fn a_list_of_cached_parts_applies_only_to_the_start_that_sent_it() {
+    let mut replica_table = replica_table();
+    let parts = [(1, 4000), (2, 1000)].map(|(part, tokens)| CachedPart { part, tokens });
+    replica_table.apply_cached_parts(&replica_start("i-a", 1000), &parts, KV_TOKENS);
+    assert_eq!(prefill_tokens(&mut replica_table), 0);
+    replica_table.set_entries(NOW, vec![replica_start("i-a", 2000)]);
+    replica_table.apply_cached_parts(&replica_start("i-a", 1000), &parts, KV_TOKENS);
+    assert_eq!(prefill_tokens(&mut replica_table), 5000);
 }
 
 #[test]
-fn a_replica_that_was_seen_to_end_keeps_nothing_whatever_the_list_says_yet() {
-    let mut board = board();
-    send(&mut board);
-    board.record_exit(NOW, &start("i-a", 1000));
-    assert_eq!(reading(&mut board), 5000);
+fn a_replica_seen_to_exit_has_nothing_cached_though_it_is_still_listed() {
+    let mut replica_table = replica_table();
+    send_prompt(&mut replica_table);
+    replica_table.record_exit(NOW, &replica_start("i-a", 1000));
+    assert_eq!(prefill_tokens(&mut replica_table), 5000);
 }
 
 #[test]
-fn who_starts_again_is_named_so_that_its_connections_are_dropped() {
-    let mut board = board();
+fn restarted_replicas_are_returned_so_that_their_connections_are_closed() {
+    let mut replica_table = replica_table();
     assert!(
-        board
-            .set_entries(NOW, vec![start("i-a", 1000), start("i-b", 1)])
+        replica_table
+            .set_entries(
+                NOW,
+                vec![replica_start("i-a", 1000), replica_start("i-b", 1)]
+            )
             .is_empty()
     );
-    let restarted = board.set_entries(NOW, vec![start("i-a", 2000), start("i-b", 1)]);
+    let restarted = replica_table.set_entries(
+        NOW,
+        vec![replica_start("i-a", 2000), replica_start("i-b", 1)],
+    );
     assert_eq!(restarted, [Arc::from("i-a")]);
 }
 
 #[test]
-fn a_start_is_read_as_a_whole_number_or_the_entry_names_no_replica() {
-    let entry = |born: &str| {
+fn an_entry_whose_start_is_no_whole_number_is_refused() {
+    let parsed_start = |started_unix_ms: &str| {
         let text = format!(
-            r#"{{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1{born}}}"#
+            r#"{{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1{started_unix_ms}}}"#
         );
         parse_replica("i-1", &text)
             .map(|entry| entry.started_unix_ms)
             .ok()
     };
     assert_eq!(
-        entry(r#","born":1775873740123"#),
+        parsed_start(r#","born":1775873740123"#),
         Some(Some(1_775_873_740_123))
     );
-    assert_eq!(entry(""), Some(None));
-    for odd in [r#""1775873740123""#, "1.5", "-1", "{}", "true"] {
-        assert_eq!(entry(&format!(r#","born":{odd}"#)), None, "{odd}");
+    assert_eq!(parsed_start(""), Some(None));
+    for invalid in [r#""1775873740123""#, "1.5", "-1", "{}", "true"] {
+        assert_eq!(
+            parsed_start(&format!(r#","born":{invalid}"#)),
+            None,
+            "{invalid}"
+        );
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,9 +1,9 @@
-//! Replicas that have just started bear few requests a second, from all routers together.
-//! Before, 23 requests reached one in one second that bears 9.8 (19.7 are allowed), of 32
-//! routers that each knew of it as of any other.
+//! Replicas in slow start take few requests per second, from all routers together. Without
+//! coordination, 32 routers that each treated such a replica like any other sent it 23 requests in
+//! one second, where it takes 9.8 (19.7 are allowed).
 //!
-//! Many routers are played here, each with its own board, over one list of replicas. What
-//! is counted is what a replica gets in any one second, whoever sent it.
+//! Many routers are simulated, each with its own replica table, over one list of replicas. The
+//! tests count the requests that a replica gets in any one second from all of them.
 
 use {
     archmast::{
@@ -25,8 +25,7 @@
 
 const SERVICE: &str = "model";
 
-/// What a replica bears that has just started, in requests a second, and what the
-/// operator allows.
+/// Requests per second that a replica in slow start takes, and the excess that the operator allows.
 const PER_SECOND: f64 = 9.8;
 const BOUNDS: SlowStartBounds = SlowStartBounds {
     overage: 1.5,
@@ -34,12 +33,12 @@
 };
 const ALLOWED: f64 = PER_SECOND * BOUNDS.overage + BOUNDS.tolerance;
 
-const SLOW_FOR: Duration = Duration::from_secs(3);
+const SLOW_START: Duration = Duration::from_secs(3);
 
-/// Between two requests that come to one of the routers: a thousand a second.
+/// Time between two requests at the routers: a thousand per second.
 const STEP: Duration = Duration::from_millis(1);
 
-/// When the replicas start: every router is long up.
+/// When the replicas start; the routers have been running for long.
 const START: Moment = Duration::from_secs(60);
 
 fn entry(
@@ -60,23 +59,23 @@
 }
 
 fn limit() -> SlowStartLimit {
-    BOUNDS.limit(PER_SECOND, SLOW_FOR).expect("a limit")
+    BOUNDS.limit(PER_SECOND, SLOW_START).expect("a limit")
 }
 
-/// One router: its zone, its board, and the hash of its address.
+/// A router: its zone, its replica table and the hash of its address.
 struct Router {
     zone: &'static str,
     hash: u64,
-    board: ReplicaTable,
+    replica_table: ReplicaTable,
 }
 
 struct Fleet {
     routers: Vec<Router>,
-    got: BTreeMap<Arc<str>, Vec<Moment>>, // by replica
+    starts_by_replica: BTreeMap<Arc<str>, Vec<Moment>>,
 }
 
 impl Fleet {
-    /// Routers that know the same replicas, and all of each other.
+    /// Routers that know the same replicas and all of each other.
     fn new(
         zones: &[(&'static str, usize)],
         entries: &[Arc<UpstreamEntry>],
@@ -85,46 +84,49 @@
             (0..*count).map(|number| Router {
                 zone,
                 hash: stable_hash(&(*zone, number)),
-                board: ReplicaTable::new(PlacementSettings::default()),
+                replica_table: ReplicaTable::new(PlacementSettings::default()),
             })
         });
         let mut fleet = Self {
             routers: routers.collect(),
-            got: BTreeMap::new(),
+            starts_by_replica: BTreeMap::new(),
         };
         for router in &mut fleet.routers {
             let limits = HashMap::from([(Arc::from(SERVICE), limit())]);
-            router.board.set_start_limits(limits);
-            router.board.set_entries(START, entries.to_vec());
+            router.replica_table.set_start_limits(limits);
+            router.replica_table.set_entries(START, entries.to_vec());
         }
         fleet
     }
 
-    /// Each router hears of the fellows that `hears` says, and knew all of its zone.
-    fn see(
+    /// Updates the membership of each router: it knows all routers of its zone, and gets reports
+    /// from those that `can_reach` names.
+    fn update_membership(
         &mut self,
         now: Moment,
-        hears: impl Fn(usize, usize) -> bool,
+        can_reach: impl Fn(usize, usize) -> bool,
     ) {
-        let all: Vec<(&'static str, u64)> = self
+        let members: Vec<(&'static str, u64)> = self
             .routers
             .iter()
             .map(|router| (router.zone, router.hash))
             .collect();
         for (index, router) in self.routers.iter_mut().enumerate() {
-            let near = all
+            let neighbours = members
                 .iter()
                 .enumerate()
                 .filter(|(other, (zone, _))| *other != index && *zone == router.zone);
-            let heard = near.clone().filter(|(other, _)| hears(index, *other));
-            let fellows = heard.map(|(_, (_, hash))| *hash).collect();
-            let routers = ZoneRouters::new(now, router.hash, fellows, near.count());
-            router.board.set_zone_routers(routers);
+            let reachable = neighbours
+                .clone()
+                .filter(|(other, _)| can_reach(index, *other));
+            let reachable_hashes = reachable.map(|(_, (_, hash))| *hash).collect();
+            let routers = ZoneRouters::new(now, router.hash, reachable_hashes, neighbours.count());
+            router.replica_table.set_zone_routers(routers);
         }
     }
 
-    /// A request comes to a router: the replica that it is sent to, if any.
-    fn ask(
+    /// Places a request at a router. Returns the replica that it is sent to, if any.
+    fn choose(
         &mut self,
         now: Moment,
         index: usize,
@@ -141,52 +143,58 @@
             tried: &[],
             regions: None,
         };
-        let Choice::Send { replica, .. } = router.board.choose(now, &request) else {
+        let Choice::Send { replica, .. } = router.replica_table.choose(now, &request) else {
             return None;
         };
-        let number = router.board.start(now, &replica, None).expect("listed");
+        let number = router
+            .replica_table
+            .start(now, &replica, None)
+            .expect("listed");
         Some((replica, number))
     }
 
-    /// The same, and it leaves at once and ends at once.
+    /// Places a request, sends it at once and ends it at once.
     fn send(
         &mut self,
         now: Moment,
         index: usize,
     ) {
-        if let Some((replica, number)) = self.ask(now, index) {
-            if self.routers[index].board.may_still_start(now, number) {
-                self.got.entry(replica).or_default().push(now);
+        if let Some((replica, number)) = self.choose(now, index) {
+            if self.routers[index]
+                .replica_table
+                .may_still_start(now, number)
+            {
+                self.starts_by_replica.entry(replica).or_default().push(now);
             }
-            self.routers[index].board.finish(number);
+            self.routers[index].replica_table.finish(number);
         }
     }
 
-    /// Requests for a time, to the routers in turn.
-    fn play(
+    /// Sends requests for some time, to the routers in turn.
+    fn run(
         &mut self,
         from: Moment,
         time: Duration,
-        hears: impl Fn(usize, usize) -> bool + Copy,
+        can_reach: impl Fn(usize, usize) -> bool + Copy,
     ) {
         let steps = (time.as_millis() / STEP.as_millis()) as u32;
         for step in 0..steps {
             let now = from + STEP * step;
             if step % 100 == 0 {
-                self.see(now, hears);
+                self.update_membership(now, can_reach);
             }
             let index = step as usize * 7 % self.routers.len();
             self.send(now, index);
         }
     }
 
-    /// The most that any replica got in any one second.
-    fn most(&self) -> usize {
-        let by_replica = self.got.values().map(|got| {
-            let ends = got.iter().enumerate();
+    /// The most requests that any replica got in any one second.
+    fn max_per_second(&self) -> usize {
+        let by_replica = self.starts_by_replica.values().map(|starts| {
+            let ends = starts.iter().enumerate();
             ends.map(|(last, end)| {
                 let within = |at: &&Moment| end.saturating_sub(**at) < Duration::from_secs(1);
-                got[..=last].iter().filter(within).count()
+                starts[..=last].iter().filter(within).count()
             })
             .max()
             .unwrap_or(0)
@@ -194,8 +202,8 @@
         by_replica.max().unwrap_or(0)
     }
 
-    fn all(&self) -> usize {
-        self.got.values().map(Vec::len).sum()
+    fn total(&self) -> usize {
+        self.starts_by_replica.values().map(Vec::len).sum()
     }
 }
 
@@ -204,145 +212,169 @@
     replicas: usize,
 ) -> Fleet {
     let ids: Vec<String> = (0..replicas).map(|number| format!("i-{number}")).collect();
-    let entries: Vec<_> = ids.iter().map(|id| entry(id, "z", SLOW_FOR)).collect();
+    let entries: Vec<_> = ids.iter().map(|id| entry(id, "z", SLOW_START)).collect();
     Fleet::new(&[("z", routers)], &entries)
 }
 
-/// Plays a replica's whole start and says what it got at most, and in all.
-fn started(
+/// Runs the whole slow start. Returns the most requests that a replica got in one second, and the
+/// requests of all replicas.
+fn run_slow_start(
     mut fleet: Fleet,
-    hears: impl Fn(usize, usize) -> bool + Copy,
+    can_reach: impl Fn(usize, usize) -> bool + Copy,
 ) -> (usize, usize) {
-    fleet.play(START, SLOW_FOR, hears);
-    (fleet.most(), fleet.all())
+    fleet.run(START, SLOW_START, can_reach);
+    (fleet.max_per_second(), fleet.total())
 }
 
 #[test]
-fn all_routers_together_keep_what_a_replica_bears() {
+fn all_routers_together_stay_within_the_rate_of_a_starting_replica() {
     for routers in [1, 2, 3, 10, 32, 100] {
-        let (most, all) = started(one_zone(routers, 1), |_, _| true);
-        assert!(most as f64 <= PER_SECOND, "{routers} routers: {most}");
+        let (max_per_second, total) = run_slow_start(one_zone(routers, 1), |_, _| true);
         assert!(
-            all >= 18,
-            "{routers} routers sent {all} in 3 s, of 29 that it bears"
+            max_per_second as f64 <= PER_SECOND,
+            "{routers} routers: {max_per_second}"
+        );
+        assert!(
+            total >= 18,
+            "{routers} routers sent {total} in 3 s, of 29 that it takes"
         );
     }
 }
 
 #[test]
-fn many_that_start_at_once_all_get_work() {
-    let (most, all) = started(one_zone(10, 19), |_, _| true);
-    assert!(most as f64 <= PER_SECOND, "{most}");
-    // 19 replicas bear 559 requests in 3 s; some of the ten routers own more of them
-    // than requests come to one.
-    assert!(all >= 280, "{all}");
+fn many_replicas_that_start_together_all_get_work() {
+    let (max_per_second, total) = run_slow_start(one_zone(10, 19), |_, _| true);
+    assert!(max_per_second as f64 <= PER_SECOND, "{max_per_second}");
+    // 19 replicas take 559 requests in 3 s; some of the ten routers are responsible for more of
+    // them than they receive requests.
+    assert!(total >= 280, "{total}");
 }
 
 #[test]
-fn two_parts_of_a_zone_that_do_not_hear_each_other_keep_the_bound() {
+fn a_zone_partitioned_in_two_stays_within_the_bound() {
     for first in 0..=32 {
-        let (most, _) = started(one_zone(32, 1), move |a, b| (a < first) == (b < first));
-        assert!(most as f64 <= ALLOWED, "{first} of 32: {most}");
+        let (max_per_second, _) =
+            run_slow_start(one_zone(32, 1), move |a, b| (a < first) == (b < first));
+        assert!(
+            max_per_second as f64 <= ALLOWED,
+            "{first} of 32: {max_per_second}"
+        );
     }
 }
 
 #[test]
 fn routers_that_are_cut_off_one_by_one_send_nothing() {
     for cut in [5, 16, 31] {
-        let (most, _) = started(one_zone(32, 1), move |a, b| a >= cut && b >= cut);
-        assert!(most as f64 <= ALLOWED, "{cut} of 32: {most}");
+        let (max_per_second, _) = run_slow_start(one_zone(32, 1), move |a, b| a >= cut && b >= cut);
+        assert!(
+            max_per_second as f64 <= ALLOWED,
+            "{cut} of 32: {max_per_second}"
+        );
     }
 }
 
 #[test]
-fn views_that_differ_by_lost_reports_keep_the_bound() {
+fn views_that_differ_by_lost_reports_stay_within_the_bound() {
     for seed in 0..50u64 {
-        let hears = move |a: usize, b: usize| !stable_hash(&(seed, a, b)).is_multiple_of(40);
-        let (most, _) = started(one_zone(32, 1), hears);
-        assert!(most as f64 <= ALLOWED, "seed {seed}: {most}");
+        let can_reach = move |a: usize, b: usize| !stable_hash(&(seed, a, b)).is_multiple_of(40);
+        let (max_per_second, _) = run_slow_start(one_zone(32, 1), can_reach);
+        assert!(
+            max_per_second as f64 <= ALLOWED,
+            "seed {seed}: {max_per_second}"
+        );
     }
 }
 
 #[test]
-fn routers_that_have_just_started_and_know_nobody_send_nothing() {
+fn routers_that_have_just_started_and_know_no_peer_send_nothing() {
     let mut fleet = one_zone(32, 1);
-    let just_up = Duration::from_millis(300);
+    let just_after_start = Duration::from_millis(300);
     for router in &mut fleet.routers {
-        let entries = vec![entry("i-0", "z", SLOW_FOR)];
-        router.board.set_entries(just_up, entries);
+        let entries = vec![entry("i-0", "z", SLOW_START)];
+        router.replica_table.set_entries(just_after_start, entries);
     }
-    let all: Vec<u64> = fleet.routers.iter().map(|router| router.hash).collect();
-    for (router, hash) in fleet.routers.iter_mut().zip(all) {
-        let alone = ZoneRouters::new(just_up, hash, Vec::new(), 0);
-        router.board.set_zone_routers(alone);
+    let hashes: Vec<u64> = fleet.routers.iter().map(|router| router.hash).collect();
+    for (router, hash) in fleet.routers.iter_mut().zip(hashes) {
+        let without_peers = ZoneRouters::new(just_after_start, hash, Vec::new(), 0);
+        router.replica_table.set_zone_routers(without_peers);
     }
     for step in 0..700 {
-        fleet.send(just_up + STEP * step, step as usize % 32);
+        fleet.send(just_after_start + STEP * step, step as usize % 32);
     }
-    assert_eq!(fleet.all(), 0);
+    assert_eq!(fleet.total(), 0);
 }
 
 #[test]
-fn a_killed_sender_is_followed_by_another_within_the_bound() {
-    for killed in 0..32 {
+fn a_crashed_sender_is_replaced_by_another_within_the_bound() {
+    for crashed in 0..32 {
         let mut fleet = one_zone(32, 1);
-        fleet.play(START, Duration::from_millis(1500), |_, _| true);
-        let rest = Duration::from_millis(1500);
-        fleet.play(START + rest, rest, move |_, other| other != killed);
-        assert!(fleet.most() as f64 <= ALLOWED, "{killed}: {}", fleet.most());
+        fleet.run(START, Duration::from_millis(1500), |_, _| true);
+        let half = Duration::from_millis(1500);
+        fleet.run(START + half, half, move |_, other| other != crashed);
+        assert!(
+            fleet.max_per_second() as f64 <= ALLOWED,
+            "{crashed}: {}",
+            fleet.max_per_second()
+        );
     }
 }
 
 #[test]
-fn sends_that_waited_for_connections_do_not_leave_together() {
+fn requests_that_waited_for_connections_are_not_all_sent_together() {
     let mut fleet = one_zone(10, 1);
-    let mut waiting = Vec::new();
+    let mut unsent = Vec::new();
     for step in 0..3000u32 {
         let now = START + STEP * step;
         if step % 100 == 0 {
-            fleet.see(now, |_, _| true);
+            fleet.update_membership(now, |_, _| true);
         }
         let index = step as usize % 10;
-        waiting.extend(fleet.ask(now, index).map(|(_, number)| (index, number)));
+        unsent.extend(fleet.choose(now, index).map(|(_, number)| (index, number)));
     }
     let late = START + Duration::from_millis(2999);
-    let left = waiting
-        .iter()
-        .filter(|(index, number)| fleet.routers[*index].board.may_still_start(late, *number));
-    assert!(left.count() as f64 <= PER_SECOND);
+    let allowed = unsent.iter().filter(|(index, number)| {
+        fleet.routers[*index]
+            .replica_table
+            .may_still_start(late, *number)
+    });
+    assert!(allowed.count() as f64 <= PER_SECOND);
 }
 
 #[test]
-fn what_was_chosen_before_its_replica_started_again_does_not_leave() {
+fn a_request_placed_before_its_replica_restarted_is_not_sent() {
     let mut fleet = one_zone(1, 1);
     for router in &mut fleet.routers {
         let entries = vec![entry("i-0", "z", Duration::ZERO)];
-        router.board.set_entries(START, entries);
+        router.replica_table.set_entries(START, entries);
     }
-    let (_, number) = fleet.ask(START, 0).expect("a replica");
-    let board = &mut fleet.routers[0].board;
-    assert!(board.may_still_start(START, number));
-    board.set_entries(START, vec![entry("i-0", "z", SLOW_FOR)]);
-    assert!(!board.may_still_start(START, number));
+    let (_, number) = fleet.choose(START, 0).expect("a replica");
+    let replica_table = &mut fleet.routers[0].replica_table;
+    assert!(replica_table.may_still_start(START, number));
+    replica_table.set_entries(START, vec![entry("i-0", "z", SLOW_START)]);
+    assert!(!replica_table.may_still_start(START, number));
 }
 
 #[test]
-fn one_that_was_seen_to_end_is_spared_when_it_is_back_before_its_news() {
+fn a_replica_seen_to_exit_gets_slow_start_though_its_entry_does_not_say_so() {
     let mut fleet = one_zone(1, 1);
     let entry = entry("i-0", "z", Duration::ZERO);
-    let board = &mut fleet.routers[0].board;
-    board.set_entries(START, vec![entry.clone()]);
-    board.record_exit(START, &entry);
-    fleet.play(START, SLOW_FOR, |_, _| true);
-    assert!(fleet.most() as f64 <= PER_SECOND, "{}", fleet.most());
-    assert!(fleet.all() > 0);
+    let replica_table = &mut fleet.routers[0].replica_table;
+    replica_table.set_entries(START, vec![entry.clone()]);
+    replica_table.record_exit(START, &entry);
+    fleet.run(START, SLOW_START, |_, _| true);
+    assert!(
+        fleet.max_per_second() as f64 <= PER_SECOND,
+        "{}",
+        fleet.max_per_second()
+    );
+    assert!(fleet.total() > 0);
 }
 
 #[test]
-fn where_no_replica_bears_more_the_caller_is_told_when_to_come_back() {
+fn a_refusal_in_slow_start_carries_a_retry_time() {
     let mut fleet = one_zone(1, 1);
-    fleet.see(START, |_, _| true);
-    while fleet.ask(START, 0).is_some() {}
+    fleet.update_membership(START, |_, _| true);
+    while fleet.choose(START, 0).is_some() {}
     let request = PlacementRequest {
         service: SERVICE,
         zone: "z",
@@ -354,7 +386,7 @@
         tried: &[],
         regions: None,
     };
-    match fleet.routers[0].board.choose(START, &request) {
+    match fleet.routers[0].replica_table.choose(START, &request) {
         Choice::Refuse { retry_after, .. } => {
             assert!(retry_after <= Duration::from_secs(1), "{retry_after:?}");
         }
@@ -363,18 +395,18 @@
 }
 
 #[test]
-fn the_bound_is_what_replicas_say_where_the_operator_allows_no_more() {
+fn without_an_allowance_the_limit_is_the_rate_that_replicas_state() {
     let strict = SlowStartBounds {
         overage: 1.0,
         tolerance: 0.0,
     };
-    let each = |bounds: SlowStartBounds, per_second| {
-        let limit = bounds.limit(per_second, SLOW_FOR);
+    let limit_per_router = |bounds: SlowStartBounds, per_second| {
+        let limit = bounds.limit(per_second, SLOW_START);
         limit.map(|limit| limit.per_second)
     };
-    assert_eq!(each(strict, 9.8), Some(4));
-    assert_eq!(each(BOUNDS, 9.8), Some(9));
-    assert_eq!(each(BOUNDS, 4.0), Some(5));
-    assert_eq!(each(strict, 0.5), Some(0));
-    assert_eq!(each(strict, 0.0), None, "0 is no bound");
+    assert_eq!(limit_per_router(strict, 9.8), Some(4));
+    assert_eq!(limit_per_router(BOUNDS, 9.8), Some(9));
+    assert_eq!(limit_per_router(BOUNDS, 4.0), Some(5));
+    assert_eq!(limit_per_router(strict, 0.5), Some(0));
+    assert_eq!(limit_per_router(strict, 0.0), None, "0 is no bound");
 }
