--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -1,5 +1,5 @@
-//! What a process believes of the configuration and the upstreams never goes
-//! back, whoever tells it and in whatever order.
+//! The configuration and the upstream list of a process never go back, whatever the source and
+//! order of updates.
 
 use {
     archmast::{
@@ -50,19 +50,19 @@
     Arc::new(Catalog::new(parse_config, parse_replica))
 }
 
-/// Offers changes of the list that reach up to the revision `at`.
+/// Offers changes of the upstream list up to `revision`.
 fn offer(
     catalog: &Catalog,
     records: Vec<UpstreamRecord>,
-    at: u64,
+    revision: u64,
     from: &str,
 ) {
-    let news = UpstreamUpdate {
+    let update = UpstreamUpdate {
         records,
-        revision: at,
+        revision,
         is_snapshot: false,
     };
-    catalog.offer_upstreams(news, from);
+    catalog.offer_upstreams(update, from);
 }
 
 fn ids(catalog: &Catalog) -> Vec<String> {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_upstream_that_is_gone_does_not_come_back_from_a_peer_that_is_behind() {
+fn a_stale_peer_does_not_bring_back_a_removed_upstream() {
     let catalog = catalog();
     let ready = Some(entry("ready", 1));
     offer(&catalog, vec![record("a", 5, ready.clone())], 5, "store");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_whole_reading_drops_what_it_lacks_but_nothing_newer() {
+fn a_listing_removes_absent_upstreams_unless_they_are_newer() {
     let catalog = catalog();
     let ready = || Some(entry("ready", 1));
     let known = vec![record("a", 3, ready()), record("b", 12, ready())];
@@ -124,17 +124,25 @@
     offer(&catalog, known, 5, "store");
     let lapsed = ["a", "b", "c"].map(|id| record(id, 9, None));
     offer(&catalog, lapsed.to_vec(), 9, "store");
-    assert_eq!(ids(&catalog), ["a", "b"], "one that was leaving is gone");
+    assert_eq!(
+        ids(&catalog),
+        ["a", "b"],
+        "a draining one is removed at once"
+    );
     offer(&catalog, vec![record("a", 10, ready(1))], 10, "store");
     tokio::time::advance(Duration::from_secs(2)).await;
     catalog.remove_expired_lapsed();
-    assert_eq!(ids(&catalog), ["a"], "one that did not come back is gone");
+    assert_eq!(
+        ids(&catalog),
+        ["a"],
+        "one that did not come back is removed"
+    );
     catalog.remove_expired_lapsed();
     assert_eq!(ids(&catalog), ["a"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_upstream_that_vanishes_alone_is_gone_at_once() {
+async fn an_upstream_that_is_removed_alone_is_removed_at_once() {
     let catalog = catalog();
     let known = (0..4).map(|n| record(&format!("u{n}"), 3, Some(entry("ready", n + 1))));
     offer(&catalog, known.collect(), 3, "store");
@@ -143,7 +151,7 @@
 }
 
 #[test]
-fn peers_are_given_what_they_lack() {
+fn peers_get_the_records_that_they_lack() {
     let catalog = catalog();
     let known = vec![
         record("a", 3, Some(entry("ready", 1))),
@@ -151,9 +159,9 @@
         record("c", 7, Some(entry("draining", 2))),
     ];
     offer(&catalog, known, 7, "store");
-    let told = catalog.upstream_update_after(3);
-    assert_eq!((told.revision, told.is_snapshot), (7, false));
-    let ids: Vec<_> = told
+    let update = catalog.upstream_update_after(3);
+    assert_eq!((update.revision, update.is_snapshot), (7, false));
+    let ids: Vec<_> = update
         .records
         .iter()
         .map(|record| record.id.as_str())
@@ -169,7 +177,7 @@
 
 proptest! {
     #[test]
-    fn any_order_of_news_ends_the_same(
+    fn updates_in_any_order_give_the_same_catalog(
         order in Just((1..=12u64).collect::<Vec<_>>()).prop_shuffle()
     ) {
         let catalog = catalog();
@@ -178,23 +186,23 @@
             let id = ["a", "b", "c"][revision as usize % 3];
             offer(&catalog, vec![record(id, revision, text)], revision, "peer");
         }
-        // The newest of "a" is 12, which says that it is gone.
+        // The newest record of "a" has revision 12 and removes it.
         prop_assert_eq!(ids(&catalog), ["b", "c"]);
         let ports: Vec<u16> = catalog.upstreams().iter().map(|e| e.address.port()).collect();
         prop_assert_eq!(ports, [10, 11]);
     }
 }
 
-/// A store that answers from a script, then with nothing new for ever.
+/// A store that answers from a script, and afterwards never.
 struct ScriptedStore {
     lists: Mutex<VecDeque<Result<CatalogChange, Fault>>>,
     watches: Mutex<VecDeque<Result<Option<CatalogChange>, Fault>>>,
-    asked: Mutex<Vec<String>>,
+    calls: Mutex<Vec<String>>,
 }
 
 impl CatalogSource for ScriptedStore {
     async fn list(&self) -> Result<CatalogChange, Fault> {
-        self.asked.lock().expect("lock").push("list".to_owned());
+        self.calls.lock().expect("lock").push("list".to_owned());
         let next = self.lists.lock().expect("lock").pop_front();
         match next {
             Some(answer) => answer,
@@ -207,7 +215,7 @@
         after: u64,
         _wait: Duration,
     ) -> Result<Option<CatalogChange>, Fault> {
-        self.asked
+        self.calls
             .lock()
             .expect("lock")
             .push(format!("watch {after}"));
@@ -221,12 +229,12 @@
 
 fn listing(
     version: u64,
-    at: u64,
+    revision: u64,
 ) -> CatalogChange {
     let text = config(version);
     CatalogChange {
         items: vec![CatalogItem::Config { text }],
-        revision: at,
+        revision,
     }
 }
 
@@ -248,7 +256,7 @@
             Err(Fault::new(ResultCode::PlatformBudget, "429")),
             Ok(None),
         ])),
-        asked: Mutex::default(),
+        calls: Mutex::default(),
     });
     let catalog = catalog();
     let mut changes = catalog.subscribe();
@@ -257,7 +265,7 @@
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
     };
-    let following = tokio::spawn(follow_store(
+    let follower = tokio::spawn(follow_store(
         catalog.clone(),
         store.clone(),
         Arc::new(AlwaysReader),
@@ -265,22 +273,22 @@
     ));
     let reached = changes.wait_for(|version| version.config == 5).await;
     assert!(reached.is_ok());
-    let asked = || store.asked.lock().expect("lock").clone();
-    while asked().len() < 7 {
+    let calls = || store.calls.lock().expect("lock").clone();
+    while calls().len() < 7 {
         tokio::task::yield_now().await;
     }
-    following.abort();
+    follower.abort();
     let expected = [
         "list", "list", "watch 10", "watch 14", "watch 14", "list", "watch 30",
     ];
-    assert_eq!(asked(), expected);
+    assert_eq!(calls(), expected);
 }
 
-/// A duty that is taken over when the test says so.
+/// A reader role that the test assigns.
 #[derive(Default)]
-struct Switch(AtomicBool);
+struct SwitchedRole(AtomicBool);
 
-impl ReaderRole for Switch {
+impl ReaderRole for SwitchedRole {
     fn is_reader(&self) -> bool {
         self.0.load(Ordering::SeqCst)
     }
@@ -293,21 +301,21 @@
 }
 
 #[tokio::test]
-async fn a_process_that_takes_reading_over_goes_on_from_what_it_was_told() {
+async fn a_process_that_becomes_reader_continues_from_the_revision_that_peers_sent() {
     let store = Arc::new(ScriptedStore {
         lists: Mutex::default(),
         watches: Mutex::default(),
-        asked: Mutex::default(),
+        calls: Mutex::default(),
     });
     let catalog = catalog();
-    let duty = Arc::new(Switch::default());
+    let role = Arc::new(SwitchedRole::default());
     let pace = WatchPacing {
         apply: Duration::from_secs(60),
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
     };
     let source = store.clone();
-    let following = tokio::spawn(follow_store(catalog.clone(), source, duty.clone(), pace));
+    let follower = tokio::spawn(follow_store(catalog.clone(), source, role.clone(), pace));
     assert_eq!(catalog.offer_config(&config(7), "peer"), Ok(true));
     offer(&catalog, Vec::new(), 40, "peer");
     let cordons = CordonSnapshot {
@@ -315,14 +323,14 @@
         revision: 40,
     };
     catalog.offer_cordons(cordons, "peer");
-    let asked = || store.asked.lock().expect("lock").clone();
-    assert!(asked().is_empty());
-    duty.0.store(true, Ordering::SeqCst);
-    while asked().is_empty() {
+    let calls = || store.calls.lock().expect("lock").clone();
+    assert!(calls().is_empty());
+    role.0.store(true, Ordering::SeqCst);
+    while calls().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    following.abort();
-    assert_eq!(asked(), ["watch 40"]);
+    follower.abort();
+    assert_eq!(calls(), ["watch 40"]);
 }
 
 #[tokio::test]
@@ -330,7 +338,7 @@
     let store = Arc::new(ScriptedStore {
         lists: Mutex::default(),
         watches: Mutex::default(),
-        asked: Mutex::default(),
+        calls: Mutex::default(),
     });
     let catalog = catalog();
     assert_eq!(catalog.offer_config(&config(7), "peer"), Ok(true));
@@ -340,12 +348,12 @@
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
     };
-    let (source, duty) = (store.clone(), Arc::new(AlwaysReader));
-    let following = tokio::spawn(follow_store(catalog.clone(), source, duty, pace));
-    let asked = || store.asked.lock().expect("lock").clone();
-    while asked().is_empty() {
+    let (source, role) = (store.clone(), Arc::new(AlwaysReader));
+    let follower = tokio::spawn(follow_store(catalog.clone(), source, role, pace));
+    let calls = || store.calls.lock().expect("lock").clone();
+    while calls().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    following.abort();
-    assert_eq!(asked(), ["list"]);
+    follower.abort();
+    assert_eq!(calls(), ["list"]);
 }
--- a/tests/engine_model.rs
+++ b/tests/engine_model.rs
@@ -1,4 +1,4 @@
-//! How long engines take to a first token is learnt, whatever their speed.
+//! The time of engines to a first token is estimated, whatever their speed.
 
 use {
     archmast::policy::placement::{
@@ -8,7 +8,7 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// An engine made up for a test.
+/// A simulated engine.
 #[derive(Debug, Clone, Copy)]
 struct Engine {
     fixed_ms: f64,
@@ -30,8 +30,8 @@
     }
 }
 
-/// What an engine shows in so many first tokens of prompts of several sizes.
-fn learnt(
+/// The model after `samples` first tokens of prompts of several lengths.
+fn model_after(
     engine: Engine,
     samples: u32,
     noise_ms: f64,
@@ -46,20 +46,20 @@
 }
 
 fn is_near(
-    believed: f64,
+    estimate: f64,
     actual: f64,
 ) -> bool {
-    (believed - actual).abs() <= actual * 0.15
+    (estimate - actual).abs() <= actual * 0.15
 }
 
 proptest! {
     #[test]
-    fn any_engine_is_learnt_within_two_hundred_first_tokens(
+    fn the_model_fits_any_engine_within_two_hundred_first_tokens(
         speed in 5.0..500.0f64,
         fixed_ms in 20.0..100.0f64,
     ) {
         let engine = Engine { fixed_ms, tokens_per_ms: speed };
-        let times = learnt(engine, 200, 5.0).times();
+        let times = model_after(engine, 200, 5.0).times();
         let whole = times.fixed_ms + times.prefill_ms(8000);
         prop_assert!(is_near(whole, fixed_ms + 8000.0 / speed), "{times:?}");
         let small = times.fixed_ms + times.prefill_ms(500);
@@ -67,12 +67,12 @@
     }
 
     #[test]
-    fn engines_that_change_are_learnt_anew(
+    fn the_model_adapts_to_an_engine_that_changes(
         before in 5.0..500.0f64,
         after in 5.0..500.0f64,
     ) {
         let engine = |tokens_per_ms| Engine { fixed_ms: 50.0, tokens_per_ms };
-        let mut model = learnt(engine(before), 1000, 5.0);
+        let mut model = model_after(engine(before), 1000, 5.0);
         for sample in 0..3000 {
             model.record(engine(after).first_token(200 + (sample * 2953) % 9000, 0.0));
         }
@@ -83,25 +83,25 @@
 }
 
 #[test]
-fn a_few_first_tokens_overrule_the_guess() {
+fn a_few_first_tokens_replace_the_initial_estimate() {
     for tokens_per_ms in [20.0, 38.0, 112.0, 300.0] {
         let engine = Engine {
             fixed_ms: 50.0,
             tokens_per_ms,
         };
-        let times = learnt(engine, 12, 0.0).times();
+        let times = model_after(engine, 12, 0.0).times();
         let whole = times.fixed_ms + times.prefill_ms(8000);
         assert!(is_near(whole, 50.0 + 8000.0 / tokens_per_ms), "{times:?}");
     }
 }
 
 #[test]
-fn one_first_token_that_hung_changes_little() {
+fn one_outlier_changes_little() {
     let engine = Engine {
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
-    let mut model = learnt(engine, 300, 2.0);
+    let mut model = model_after(engine, 300, 2.0);
     let before = model.times();
     model.record(engine.first_token(5000, 20_000.0));
     let after = model.times();
@@ -109,25 +109,25 @@
 }
 
 #[test]
-fn what_was_in_front_does_not_count_as_reading() {
+fn time_in_the_queue_does_not_count_as_prefill() {
     let engine = Engine {
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
     let mut model = LatencyModel::default();
     for sample in 0..300 {
-        let front_ms = f64::from(sample % 4) * 60.0;
+        let queue_ms = f64::from(sample % 4) * 60.0;
         let tokens = 200 + (sample * 2953) % 9000;
         model.record(FirstToken {
-            queue_ms: front_ms,
-            ..engine.first_token(tokens, front_ms)
+            queue_ms,
+            ..engine.first_token(tokens, queue_ms)
         });
     }
     assert!(is_near(1.0 / model.times().token_ms, 40.0));
 }
 
 #[test]
-fn prompts_that_are_all_alike_leave_a_belief_that_is_a_number() {
+fn prompts_of_equal_length_give_a_finite_estimate() {
     let engine = Engine {
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
@@ -142,10 +142,10 @@
 }
 
 #[test]
-fn a_router_that_starts_begins_from_what_peers_have_learnt() {
+fn a_router_that_starts_uses_the_latency_reports_of_peers() {
     let service: Arc<str> = "model".into();
-    let mut fresh = LatencyModels::default();
-    let told = LatencyReport {
+    let mut models = LatencyModels::default();
+    let report = LatencyReport {
         service_hash: 1,
         times: EngineLatency {
             fixed_ms: 60.0,
@@ -154,47 +154,47 @@
         },
         samples: 5000,
     };
-    assert!(fresh.reports().is_empty(), "nothing learnt is told");
-    fresh.apply_report(&service, &told);
-    assert!(!fresh.times("model").differs(&told.times, 0.01));
-    // What it sees itself moves it, as if it had learnt all that.
+    assert!(models.reports().is_empty(), "no samples, no report");
+    models.apply_report(&service, &report);
+    assert!(!models.times("model").differs(&report.times, 0.01));
+    // Its own first tokens change the estimate as if it had seen all samples of the report.
     let engine = Engine {
         fixed_ms: 60.0,
         tokens_per_ms: 50.0,
     };
     for sample in 0..400 {
-        fresh.record(
+        models.record(
             &service,
             engine.first_token(200 + (sample * 2953) % 9000, 0.0),
         );
     }
-    assert!(is_near(1.0 / fresh.times("model").token_ms, 50.0));
-    // A router that knows the engines itself keeps to what it knows.
-    fresh.apply_report(&service, &told);
-    assert!(fresh.times("model").token_ms > 0.015);
+    assert!(is_near(1.0 / models.times("model").token_ms, 50.0));
+    // A router with enough samples of its own ignores reports.
+    models.apply_report(&service, &report);
+    assert!(models.times("model").token_ms > 0.015);
 }
 
 #[test]
-fn a_belief_is_news_when_it_changed_by_a_fifth() {
+fn a_change_of_the_estimate_is_returned_when_it_exceeds_a_fifth() {
     let service: Arc<str> = "model".into();
     let engine = Engine {
         fixed_ms: 50.0,
         tokens_per_ms: 40.0,
     };
     let mut models = LatencyModels::default();
-    let news = (0..2000).filter(|sample| {
-        let seen = engine.first_token(200 + (sample * 2953) % 9000, 0.0);
-        models.record(&service, seen).is_some()
+    let changes = (0..2000).filter(|sample| {
+        let first_token = engine.first_token(200 + (sample * 2953) % 9000, 0.0);
+        models.record(&service, first_token).is_some()
     });
-    assert!((1..=12).contains(&news.count()));
+    assert!((1..=12).contains(&changes.count()));
 }
 
-/// Load: the first second of a fleet, in which no router knows what others send: ten first
-/// tokens come 400 ms late. Reason: what a belief is usually off is kept back from every later
-/// request's time; the guess of the times may be far off at first, that figure need not follow.
+/// In the first second of a fleet no router knows what others send, and first tokens come late,
+/// here ten by 400 ms. The residual is subtracted from the time available to every later request:
+/// it must not grow with these, even though the initial estimate is far off.
 #[test]
-fn first_tokens_that_come_late_at_first_do_not_make_the_belief_unsure() {
-    let usual = LatencyModel::default().times().residual_ms;
+fn late_first_tokens_at_the_start_do_not_inflate_the_residual() {
+    let initial = LatencyModel::default().times().residual_ms;
     let mut model = LatencyModel::default();
     for _ in 0..10 {
         model.record(FirstToken {
@@ -204,5 +204,5 @@
         });
     }
     let residual = model.times().residual_ms;
-    assert!(residual < usual * 2.0, "{residual}");
+    assert!(residual < initial * 2.0, "{residual}");
 }
--- a/tests/exchange_model.rs
+++ b/tests/exchange_model.rs
@@ -1,11 +1,9 @@
-//! Every interleaving of one request's exchange, for promises 4 and 5: what a
-//! caller is told of "not run" is true, and what may not be repeated runs at
-//! most once.
+//! Explores every interleaving of the exchange of one request: when a caller is told that its
+//! request did not run, that is true, and a request that must not be repeated runs at most once.
 //!
-//! The model drives the product's own state machines. The network may lose or
-//! delay each message for ever, either process may crash at any step, a frozen
-//! one acts later on what it had, grants expire, and the router retries where
-//! its own rule allows it.
+//! The model drives the state machines of the product. The network may lose or delay each message
+//! for ever, either process may crash at any step, a process that was suspended acts later on its
+//! old state, grants expire, and the router retries where its own rule allows it.
 
 use {
     archmast::{
@@ -17,7 +15,7 @@
 
 const MAX_ATTEMPTS: usize = 2;
 
-/// A message on its way. Any may never arrive.
+/// A message in the network. Any may be lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     Request(usize),
@@ -29,11 +27,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
     router: Vec<RouterExchange>,           // one per attempt
-    sidecar: Vec<Option<SidecarExchange>>, // one per attempt, none before arrival
-    alive: Vec<bool>,                      // the sidecar of each attempt
+    sidecar: Vec<Option<SidecarExchange>>, // one per attempt, `None` before its arrival
+    is_sidecar_alive: Vec<bool>,           // one per attempt
     network: Vec<Message>,                 // sorted
     runs: usize,
-    told: Option<Ran>, // what the caller was told in the end
+    reported: Option<Ran>, // the answer to the caller
     repeatable: bool,
     attempts: Attempts,
 }
@@ -43,16 +41,16 @@
         Self {
             router: vec![RouterExchange::Unsent],
             sidecar: vec![None],
-            alive: vec![true],
+            is_sidecar_alive: vec![true],
             network: Vec::new(),
             runs: 0,
-            told: None,
+            reported: None,
             repeatable,
             attempts: Attempts::default(),
         }
     }
 
-    /// Every world one step on.
+    /// All states that are one step ahead.
     fn next(&self) -> Vec<World> {
         let mut worlds = Vec::new();
         for attempt in 0..self.router.len() {
@@ -64,9 +62,9 @@
             world.network.remove(index);
             worlds.push(world.clone()); // lost
             worlds.push(world.delivered(*message));
-            let mut twice = self.clone().delivered(*message);
-            twice.network.sort();
-            worlds.push(twice); // delivered, and a copy stays behind
+            let mut duplicated = self.clone().delivered(*message);
+            duplicated.network.sort();
+            worlds.push(duplicated); // delivered, and a copy remains
         }
         worlds
     }
@@ -77,13 +75,13 @@
     ) -> Vec<World> {
         let mut worlds = Vec::new();
         let state = self.router[attempt];
-        if state == RouterExchange::Unsent && self.told.is_none() {
+        if state == RouterExchange::Unsent && self.reported.is_none() {
             let mut sent = self.clone();
             sent.router[attempt] = state.after(AnswerEvent::Sending);
             sent.send(Message::Request(attempt));
             worlds.push(sent);
         }
-        // The connection breaks, or patience ends, at any time.
+        // The connection may break, or the time limit end, at any time.
         worlds.push(self.observe(attempt, AnswerEvent::Lost));
         worlds
     }
@@ -93,11 +91,11 @@
         attempt: usize,
     ) -> Vec<World> {
         let mut worlds = Vec::new();
-        let (Some(state), true) = (self.sidecar[attempt], self.alive[attempt]) else {
+        let (Some(state), true) = (self.sidecar[attempt], self.is_sidecar_alive[attempt]) else {
             return worlds;
         };
         let mut crashed = self.clone();
-        crashed.alive[attempt] = false;
+        crashed.is_sidecar_alive[attempt] = false;
         worlds.push(crashed);
         let mut starting = state;
         if starting.start() {
@@ -107,16 +105,16 @@
             world.send(Message::Begun(attempt));
             worlds.push(world);
             let mut refused = self.clone();
-            let mut unreached = starting;
-            assert!(unreached.refused_by_upstream());
-            refused.sidecar[attempt] = Some(unreached);
+            let mut refused_exchange = starting;
+            assert!(refused_exchange.refused_by_upstream());
+            refused.sidecar[attempt] = Some(refused_exchange);
             refused.send(Message::NotRun(attempt));
             worlds.push(refused);
         }
-        let mut handing_back = state;
-        if handing_back.hand_back() {
+        let mut returned = state;
+        if returned.hand_back() {
             let mut world = self.clone();
-            world.sidecar[attempt] = Some(handing_back);
+            world.sidecar[attempt] = Some(returned);
             world.send(Message::NotRun(attempt));
             worlds.push(world);
         }
@@ -137,8 +135,8 @@
     ) -> World {
         match message {
             Message::Request(attempt) => {
-                // A stream delivers its request once; a copy finds it taken.
-                if self.alive[attempt] && self.sidecar[attempt].is_none() {
+                // A stream delivers its request once; a copy is ignored.
+                if self.is_sidecar_alive[attempt] && self.sidecar[attempt].is_none() {
                     self.sidecar[attempt] = Some(SidecarExchange::Received);
                 }
                 self
@@ -151,8 +149,7 @@
         }
     }
 
-    /// The router observes something and, at an end, tells its caller or tries
-    /// again.
+    /// The router observes an event and, if that ends the exchange, answers its caller or retries.
     fn observe(
         &self,
         attempt: usize,
@@ -162,21 +159,21 @@
         let before = world.router[attempt];
         let after = before.after(event);
         world.router[attempt] = after;
-        if before == after || world.told.is_some() || attempt + 1 < world.router.len() {
+        if before == after || world.reported.is_some() || attempt + 1 < world.router.len() {
             return world;
         }
         let answered = before == RouterExchange::Answering;
         match after {
-            RouterExchange::Delivered => world.told = Some(Ran::Yes),
+            RouterExchange::Delivered => world.reported = Some(Ran::Yes),
             RouterExchange::Ended(ran, _) => {
                 world.attempts.ended(after);
-                let again = after.may_retry(world.repeatable, answered);
-                if again && world.router.len() < MAX_ATTEMPTS {
+                let may_retry = after.may_retry(world.repeatable, answered);
+                if may_retry && world.router.len() < MAX_ATTEMPTS {
                     world.router.push(RouterExchange::Unsent);
                     world.sidecar.push(None);
-                    world.alive.push(true);
+                    world.is_sidecar_alive.push(true);
                 } else {
-                    world.told = Some(world.attempts.ran(ran));
+                    world.reported = Some(world.attempts.ran(ran));
                 }
             }
             _ => {}
@@ -198,13 +195,13 @@
     check: impl Fn(&World),
 ) -> usize {
     let mut seen = HashSet::new();
-    let mut open = vec![World::new(repeatable)];
-    while let Some(world) = open.pop() {
+    let mut unexplored = vec![World::new(repeatable)];
+    while let Some(world) = unexplored.pop() {
         if !seen.insert(world.clone()) {
             continue;
         }
         check(&world);
-        open.extend(world.next());
+        unexplored.extend(world.next());
     }
     seen.len()
 }
@@ -213,7 +210,7 @@
 fn not_run_is_true_in_every_interleaving() {
     for repeatable in [false, true] {
         let worlds = explore(repeatable, |world| {
-            if world.told == Some(Ran::No) {
+            if world.reported == Some(Ran::No) {
                 assert_eq!(world.runs, 0, "{world:?}");
             }
         });
@@ -227,11 +224,11 @@
 }
 
 #[test]
-fn the_model_can_tell_a_wrong_rule() {
-    let most = std::cell::Cell::new(0);
-    explore(true, |world| most.set(most.get().max(world.runs)));
+fn the_model_finds_a_wrong_rule() {
+    let max_runs = std::cell::Cell::new(0);
+    explore(true, |world| max_runs.set(max_runs.get().max(world.runs)));
     assert_eq!(
-        most.get(),
+        max_runs.get(),
         2,
         "a repeatable request does run twice somewhere"
     );
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -1,4 +1,5 @@
-//! What routers tell each other in reports: changes at once, the rest in turn.
+//! Reports that routers send each other: changes at once, the rest in turn; and what routers
+//! conclude from them about each other.
 
 use {
     archmast::{
@@ -39,27 +40,30 @@
 }
 
 #[test]
-fn only_replicas_that_changed_are_told_at_once() {
-    let mut told = SentReports::default();
+fn only_changed_replicas_are_reported_at_once() {
+    let mut sent_reports = SentReports::default();
     let all = vec![replica(1, 1), replica(2, 1)];
-    assert_eq!(told.replicas(ms(0), REFRESH, all.clone()), all);
-    assert_eq!(told.replicas(ms(100), REFRESH, all), []);
+    assert_eq!(sent_reports.replicas(ms(0), REFRESH, all.clone()), all);
+    assert_eq!(sent_reports.replicas(ms(100), REFRESH, all), []);
     let changed = vec![replica(1, 1), replica(2, 5)];
     assert_eq!(
-        told.replicas(ms(200), REFRESH, changed.clone()),
+        sent_reports.replicas(ms(200), REFRESH, changed.clone()),
         [replica(2, 5)]
     );
-    // The first was told longest ago: its turn comes first.
+    // The first was sent longest ago: its turn comes first.
     assert_eq!(
-        told.replicas(ms(500), REFRESH, changed.clone()),
+        sent_reports.replicas(ms(500), REFRESH, changed.clone()),
         [replica(1, 1)]
     );
-    assert_eq!(told.replicas(ms(700), REFRESH, changed), [replica(2, 5)]);
+    assert_eq!(
+        sent_reports.replicas(ms(700), REFRESH, changed),
+        [replica(2, 5)]
+    );
 }
 
 #[test]
-fn an_account_whose_usage_only_fades_is_told_in_its_turn_only() {
-    let mut told = SentReports::default();
+fn an_account_whose_usage_only_decays_is_reported_once_per_refresh() {
+    let mut sent_reports = SentReports::default();
     let usage = AccountUsage {
         requested: 90_000.0,
         allocated: 30_000.0,
@@ -68,7 +72,7 @@
     let mut times = 0;
     for step in 0..=10 {
         let now = ms(step * 100);
-        times += told.accounts(now, REFRESH, WINDOW, &at(now)).len();
+        times += sent_reports.accounts(now, REFRESH, WINDOW, &at(now)).len();
     }
     assert_eq!(times, 3, "at the start and after each refresh");
     let more = vec![(
@@ -78,20 +82,31 @@
             ..usage
         },
     )];
-    assert_eq!(told.accounts(ms(1100), REFRESH, WINDOW, &more).len(), 1);
+    assert_eq!(
+        sent_reports
+            .accounts(ms(1100), REFRESH, WINDOW, &more)
+            .len(),
+        1
+    );
 }
 
 #[test]
-fn a_note_is_told_once_in_a_while() {
-    let mut told = SentReports::default();
-    let note = PartPlacement {
+fn a_placement_is_reported_once_per_refresh() {
+    let mut sent_reports = SentReports::default();
+    let placement = PartPlacement {
         start_hash: 1,
         part: 9,
         shared: true,
     };
-    assert_eq!(told.notes(ms(0), REFRESH, vec![note, note]), [note]);
-    assert_eq!(told.notes(ms(400), REFRESH, vec![note]), []);
-    assert_eq!(told.notes(ms(600), REFRESH, vec![note]), [note]);
+    assert_eq!(
+        sent_reports.notes(ms(0), REFRESH, vec![placement, placement]),
+        [placement]
+    );
+    assert_eq!(sent_reports.notes(ms(400), REFRESH, vec![placement]), []);
+    assert_eq!(
+        sent_reports.notes(ms(600), REFRESH, vec![placement]),
+        [placement]
+    );
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -125,29 +140,29 @@
     }
 }
 
-const BELIEVED: Duration = Duration::from_secs(1);
+const MAX_AGE: Duration = Duration::from_secs(1);
 
-fn heard_busy(
+fn apply_busy_report(
     table: &PeerTable,
     port: u16,
-    busy: u8,
-    leaving: bool,
+    busy_percent: u8,
+    is_leaving: bool,
 ) {
     let report = RouterReport {
-        is_leaving: leaving,
-        busy_percent: busy,
+        is_leaving,
+        busy_percent,
         ..report(port)
     };
-    assert!(table.apply_report(ms(1000), &report, BELIEVED));
+    assert!(table.apply_report(ms(1000), &report, MAX_AGE));
 }
 
 #[test]
 fn how_busy_the_others_are_counts_those_heard_of_that_stay() {
     let table = PeerTable::new(router(1, 1), &[address(9)]);
     assert_eq!(table.mean_busy(ms(1000), ms(500)), None);
-    heard_busy(&table, 2, 40, false);
-    heard_busy(&table, 3, 20, false);
-    heard_busy(&table, 4, 100, true);
+    apply_busy_report(&table, 2, 40, false);
+    apply_busy_report(&table, 3, 20, false);
+    apply_busy_report(&table, 4, 100, true);
     assert_eq!(table.mean_busy(ms(1200), ms(500)), Some(30.0));
     assert_eq!(table.mean_busy(ms(1600), ms(500)), None);
 }
@@ -155,59 +170,65 @@
 #[test]
 fn a_router_whose_clock_stepped_back_is_heard_once_its_old_reports_are_not_believed() {
     let table = PeerTable::new(router(1, 1), &[]);
-    let later = RouterReport {
+    let before_step_back = RouterReport {
         incarnation: 5000,
         sequence: 70,
         ..report(2)
     };
-    let anew = RouterReport {
+    let after_step_back = RouterReport {
         incarnation: 3000,
         sequence: 1,
         ..report(2)
     };
-    assert!(table.apply_report(ms(1000), &later, BELIEVED));
+    assert!(table.apply_report(ms(1000), &before_step_back, MAX_AGE));
     assert!(
-        !table.apply_report(ms(1500), &anew, BELIEVED),
+        !table.apply_report(ms(1500), &after_step_back, MAX_AGE),
         "may be late"
     );
-    assert!(table.apply_report(ms(2100), &anew, BELIEVED));
+    assert!(table.apply_report(ms(2100), &after_step_back, MAX_AGE));
     assert!(!table.apply_report(
         ms(2200),
         &RouterReport {
             sequence: 0,
-            ..anew
+            ..after_step_back
         },
-        BELIEVED
+        MAX_AGE
     ));
 }
 
 #[test]
-fn one_router_of_a_zone_speaks_to_each_other_zone_and_another_when_it_is_silent() {
+fn one_router_represents_its_zone_to_each_other_zone_and_another_when_it_is_silent() {
     let ports: Vec<u16> = (1..=20).collect();
     let tables: Vec<PeerTable> = ports
         .iter()
         .map(|own| {
             let table = PeerTable::new(router(*own, 1), &[]);
             for other in ports.iter().filter(|other| *other != own) {
-                table.apply_report(ms(1000), &report(*other), BELIEVED);
+                table.apply_report(ms(1000), &report(*other), MAX_AGE);
             }
             table
         })
         .collect();
-    let speakers = |now, zone| {
-        let speak = tables
+    let representatives = |now, zone| {
+        let representing = tables
             .iter()
             .filter(|table| table.represents_zone_to(now, ms(500), zone));
-        speak.map(|table| table.own().address).collect::<Vec<_>>()
+        representing
+            .map(|table| table.own().address)
+            .collect::<Vec<_>>()
     };
-    let by_zone: Vec<_> = (2..=9).map(|zone| speakers(ms(1000), zone)).collect();
+    let by_zone: Vec<_> = (2..=9)
+        .map(|zone| representatives(ms(1000), zone))
+        .collect();
     assert!(
-        by_zone.iter().all(|speakers| speakers.len() == 1),
+        by_zone
+            .iter()
+            .all(|representatives| representatives.len() == 1),
         "{by_zone:?}"
     );
     let distinct: HashSet<_> = by_zone.iter().flatten().collect();
     assert!(distinct.len() >= 4, "the work is spread: {distinct:?}");
-    // All but the speaker are heard on: one of them takes its place.
+    // All but one representative keep sending reports: another router takes its place.
     let silent = by_zone[0][0];
     for table in &tables {
         for port in &ports {
@@ -216,11 +237,11 @@
                 ..report(*port)
             };
             if again.address != silent {
-                table.apply_report(ms(1600), &again, BELIEVED);
+                table.apply_report(ms(1600), &again, MAX_AGE);
             }
         }
     }
-    let next: Vec<_> = speakers(ms(1700), 2)
+    let next: Vec<_> = representatives(ms(1700), 2)
         .into_iter()
         .filter(|address| *address != silent)
         .collect();
@@ -228,41 +249,41 @@
 }
 
 #[test]
-fn two_routers_of_a_zone_read_the_store_and_others_where_these_lost_it() {
+fn two_routers_of_a_zone_read_the_store_and_others_when_it_is_unavailable_to_them() {
     let ports: Vec<u16> = (1..=12).collect();
     let tables: Vec<PeerTable> = ports
         .iter()
         .map(|own| PeerTable::new(router(*own, 1), &[]))
         .collect();
-    let readers = |sequence: u64, lost: &[SocketAddr]| {
+    let readers = |sequence: u64, without_store: &[SocketAddr]| {
         let now = ms(1000 * sequence);
         for table in &tables {
             for port in &ports {
                 let report = RouterReport {
                     sequence,
-                    is_store_unavailable: lost.contains(&address(*port)),
+                    is_store_unavailable: without_store.contains(&address(*port)),
                     ..report(*port)
                 };
-                table.apply_report(now, &report, BELIEVED);
+                table.apply_report(now, &report, MAX_AGE);
             }
         }
         let own = |table: &PeerTable| table.own().address;
-        let reading = tables
-            .iter()
-            .filter(|table| table.is_store_reader(now, ms(500), lost.contains(&own(table))));
-        reading.map(own).collect::<Vec<_>>()
+        let readers_now = tables.iter().filter(|table| {
+            table.is_store_reader(now, ms(500), without_store.contains(&own(table)))
+        });
+        readers_now.map(own).collect::<Vec<_>>()
     };
     let first = readers(1, &[]);
     assert_eq!(first.len(), 2);
-    // One lost it: another reads, and it goes on trying.
+    // The store is unavailable to one reader: another reads, and the first goes on trying.
     let second = readers(2, &first[..1]);
     assert_eq!(second.len(), 3);
     assert!(second.contains(&first[0]) && second.contains(&first[1]));
-    // All lost it: the first two go on trying, the rest spares the store.
+    // The store is unavailable to all: the first two go on trying, the others make no calls.
     let all: Vec<SocketAddr> = ports.iter().map(|port| address(*port)).collect();
     assert_eq!(readers(3, &all), first);
     assert_eq!(readers(4, &[]), first);
-    // A router that hears of nobody reads for itself.
+    // A router that gets no reports reads for itself.
     assert!(
         tables
             .iter()
@@ -277,28 +298,28 @@
         config: 9,
         upstreams: 9,
     };
-    let told = RouterReport {
+    let report = RouterReport {
         version,
-        ..report(2)
+        ..self::report(2)
     };
-    assert!(table.apply_report(ms(100), &told, ms(1000)));
+    assert!(table.apply_report(ms(100), &report, ms(1000)));
     assert_eq!(
         table.catalog_sources(ms(500), ms(800)),
-        [(told.update_address, version)]
+        [(report.update_address, version)]
     );
     assert_eq!(table.catalog_sources(ms(1000), ms(800)), []);
     let zones = ZoneTable::default();
-    let sum = sum(3, 1, 1);
-    assert!(zones.apply_summary(ms(100), &sum));
+    let summary = summary(3, 1, 1);
+    assert!(zones.apply_summary(ms(100), &summary));
     assert_eq!(
         zones.catalog_sources(ms(500), ms(800)),
-        [(sum.update_address, sum.version)]
+        [(summary.update_address, summary.version)]
     );
     assert_eq!(zones.catalog_sources(ms(1000), ms(800)), []);
 }
 
 #[test]
-fn routers_that_were_only_named_are_not_named_on() {
+fn contacts_known_only_from_others_are_not_passed_to_more_routers() {
     let table = PeerTable::new(router(1, 1), &[address(9)]);
     table.add_contacts(ms(0), &[router(2, 1), router(3, 2)]);
     assert_eq!(table.own_zone_addresses(), [address(2)]);
@@ -309,21 +330,21 @@
     table.record_contact(ms(0), router(5, 1));
     let names = [router(1, 1), router(3, 2), router(5, 1)];
     assert_eq!(table.contacts(ms(100), ms(500), 1, 1), names);
-    // Whoever was silent for long is forgotten, but for the seeds.
+    // Routers that were silent for long are removed, except the seeds.
     table.remove_silent(ms(9000), ms(5000));
     assert!(table.own_zone_addresses().is_empty());
     assert_eq!(table.discovery_addresses(), [address(9)]);
 }
 
-fn sum(
-    carrier: u16,
+fn summary(
+    representative: u16,
     sequence: u64,
     routers: u32,
 ) -> ZoneSummary {
     ZoneSummary {
         zone: 7,
-        representative: address(carrier),
-        update_address: address(carrier),
+        representative: address(representative),
+        update_address: address(representative),
         incarnation: 1,
         sequence,
         routers,
@@ -334,14 +355,20 @@
 }
 
 #[test]
-fn a_sum_replaces_the_last_one_of_its_zone_whoever_made_it() {
+fn a_summary_replaces_the_last_one_of_its_zone_whichever_router_sent_it() {
     let zones = ZoneTable::default();
-    assert!(zones.apply_summary(ms(0), &sum(1, 5, 10)));
-    assert!(!zones.apply_summary(ms(10), &sum(1, 5, 10)), "doubled");
-    assert!(!zones.apply_summary(ms(20), &sum(1, 4, 99)), "reordered");
+    assert!(zones.apply_summary(ms(0), &summary(1, 5, 10)));
+    assert!(
+        !zones.apply_summary(ms(10), &summary(1, 5, 10)),
+        "duplicated"
+    );
+    assert!(
+        !zones.apply_summary(ms(20), &summary(1, 4, 99)),
+        "reordered"
+    );
     assert_eq!(zones.router_count(ms(20), ms(500)), 10);
-    // Another router speaks for the zone: its routers are not counted twice.
-    assert!(zones.apply_summary(ms(30), &sum(2, 1, 9)));
+    // Another router represents the zone: its routers are not counted twice.
+    assert!(zones.apply_summary(ms(30), &summary(2, 1, 9)));
     assert_eq!(zones.router_count(ms(30), ms(500)), 9);
     assert_eq!(zones.representative(ms(30), 7, ms(500)), Some(address(2)));
     assert_eq!(zones.representative(ms(900), 7, ms(500)), None, "silent");
@@ -350,19 +377,20 @@
 
 proptest! {
     #[test]
-    fn sums_in_any_order_and_number_leave_one_carriers_last_word(
+    fn summaries_in_any_order_leave_the_last_one_of_one_representative(
         sent in proptest::collection::vec((1u16..=2, 1u64..=6), 1..40)
     ) {
         let zones = ZoneTable::default();
-        let mut taken: Vec<(u16, u64)> = Vec::new();
-        for (carrier, sequence) in sent {
-            if zones.apply_summary(ms(0), &sum(carrier, sequence, carrier.into())) {
-                if let Some((last, before)) = taken.last() {
-                    prop_assert!(*last != carrier || *before < sequence);
+        let mut applied: Vec<(u16, u64)> = Vec::new();
+        for (representative, sequence) in sent {
+            let received = summary(representative, sequence, representative.into());
+            if zones.apply_summary(ms(0), &received) {
+                if let Some((last, before)) = applied.last() {
+                    prop_assert!(*last != representative || *before < sequence);
                 }
-                taken.push((carrier, sequence));
+                applied.push((representative, sequence));
             }
-            let last = taken.last().map(|(carrier, _)| usize::from(*carrier));
+            let last = applied.last().map(|(representative, _)| usize::from(*representative));
             prop_assert_eq!(Some(zones.router_count(ms(0), ms(500))), last);
         }
     }
--- a/tests/silent_store.rs
+++ b/tests/silent_store.rs
@@ -1,16 +1,11 @@
-//! A configuration that the store confirmed is in force within 2 s, also where the
-//! store, or the connections to it, had fallen silent. So is that an upstream leaves, and
-//! that a key is taken away: each version here does both.
+//! A configuration that the store has confirmed is in force within 2 s, even where the store, or
+//! the connections to it, had fallen silent. The same holds for the removal of an upstream and of a
+//! key: each version here contains both.
 //!
-//! Symptom: routers answered 404 for a route of a version that had been confirmed
-//! 2,685 ms before, with nothing wrong for 2.7 s. Sequence: the store falls silent for
-//! 9.2 s, without a reset; a router's watch ends by its limit of 5.5 s; its next watch
-//! is sent 3 s before the store returns, and is not answered either; the store
-//! returns and confirms five versions; the router waits for that watch to its end.
-//! Cause: a watch that got lost looks like one that waits for a change, and only its
-//! limit, chosen without regard to the time that a configuration has, ended it. What
-//! settled it: no router called the store in the 3 s after its return, each router's
-//! calls were 5.5 s apart, and every acceptance named the store.
+//! A lost watch looks like one that waits for a change, so only its time limit ends it. If that
+//! limit does not respect the time within which a configuration must be in force, a router that
+//! sent a watch into the silence waits for it after the store has returned: with a limit of 5.5 s a
+//! route of a confirmed version was answered 404 for 2.7 s.
 
 use {
     archmast::{
@@ -32,24 +27,24 @@
     },
 };
 
-/// Within this time a confirmed configuration is in force.
+/// Time within which a confirmed configuration must be in force.
 const APPLY: Duration = Duration::from_secs(2);
 
-/// The limit that a client of the store puts on a call beyond what it waits.
-const CLIENT_LIMIT: Duration = Duration::from_millis(1500);
+/// Time-out of a call of the client, beyond the time that the call waits at the store.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long an answer takes.
-const ANSWER: Duration = Duration::from_millis(4);
+/// Time that an answer takes.
+const ANSWER_TIME: Duration = Duration::from_millis(4);
 
-/// Upstreams that never leave.
-const STAYING: usize = 5;
+/// Upstreams that are never removed.
+const STAYING_UPSTREAMS: usize = 5;
 
-/// The upstream that comes with a version and is gone with the next.
-fn moving(version: u64) -> String {
+/// The upstream that is added with a version and removed with the next.
+fn upstream_of(version: u64) -> String {
     format!("of-{version}")
 }
 
-/// The key that comes with a version and is taken away with the next.
+/// The key that is added with a version and removed with the next.
 fn key(version: u64) -> String {
     format!("key-{version}")
 }
@@ -65,27 +60,27 @@
 fn upstream(
     id: &str,
     revision: u64,
-    is_there: bool,
+    exists: bool,
 ) -> UpstreamRecord {
     let text = r#"{"service":"s","address":"127.0.0.1:1","zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1}"#;
     UpstreamRecord {
         id: id.to_owned(),
         revision,
-        text: is_there.then(|| text.to_owned()),
+        text: exists.then(|| text.to_owned()),
     }
 }
 
-/// A store whose calls get lost: those that are open when it, or the connections to
-/// it, fall silent, and those that are sent while it is silent.
+/// A store whose calls get lost: those in progress when it or its connections fall silent, and
+/// those that are sent during the silence.
 struct SilencedStore {
-    version: watch::Sender<u64>, // of the configuration, and the store's revision
-    silence: Mutex<Silence>,
+    version: watch::Sender<u64>, // of the configuration, also the revision of the store
+    silence: Mutex<SilenceState>,
 }
 
 #[derive(Default, Clone, Copy)]
-struct Silence {
-    lasts: bool,
-    begun: u64, // how many times it began
+struct SilenceState {
+    is_active: bool,
+    started: u64, // number of silences so far
 }
 
 impl SilencedStore {
@@ -96,71 +91,72 @@
         })
     }
 
-    /// Loses all open calls, and those that are sent until `end_silence`.
+    /// Loses all calls in progress, and those that are sent until `end_silence`.
     fn begin_silence(&self) {
         let mut silence = self.silence.lock().expect("lock");
-        silence.begun += 1;
-        silence.lasts = true;
+        silence.started += 1;
+        silence.is_active = true;
     }
 
     fn end_silence(&self) {
-        self.silence.lock().expect("lock").lasts = false;
+        self.silence.lock().expect("lock").is_active = false;
     }
 
-    /// Confirms the next version.
+    /// Confirms the next version and returns it.
     fn confirm(&self) -> u64 {
         self.version.send_modify(|version| *version += 1);
         *self.version.borrow()
     }
 
-    /// The answer of a call, or the client's own limit if it got lost.
+    /// The answer to a call, or the client's time-out if the call got lost.
     async fn answer<T>(
         &self,
         wait: Duration,
         answer: impl Future<Output = T>,
     ) -> Result<T, Fault> {
         let at_start = *self.silence.lock().expect("lock");
-        let lost = || Fault::new(ResultCode::PlatformDown, "timed out");
-        if at_start.lasts {
-            sleep(wait + CLIENT_LIMIT).await;
-            return Err(lost());
+        let timed_out = || Fault::new(ResultCode::PlatformDown, "timed out");
+        if at_start.is_active {
+            sleep(wait + CLIENT_TIMEOUT).await;
+            return Err(timed_out());
         }
-        let begun = tokio::time::Instant::now();
+        let call_start = tokio::time::Instant::now();
         let answer = answer.await;
-        sleep(ANSWER).await;
-        if self.silence.lock().expect("lock").begun != at_start.begun {
-            sleep((wait + CLIENT_LIMIT).saturating_sub(begun.elapsed())).await;
-            return Err(lost());
+        sleep(ANSWER_TIME).await;
+        if self.silence.lock().expect("lock").started != at_start.started {
+            sleep((wait + CLIENT_TIMEOUT).saturating_sub(call_start.elapsed())).await;
+            return Err(timed_out());
         }
         Ok(answer)
     }
 
-    /// All that it holds: the newest configuration, and the upstream of its version
-    /// beside those that stay.
+    /// The content: the newest configuration, the upstream of its version, and those that are never
+    /// removed.
     fn listing(&self) -> CatalogChange {
         let version = *self.version.borrow();
-        let stay = (0..STAYING).map(|number| upstream(&format!("stays-{number}"), 1, true));
-        let moves = upstream(&moving(version), version, true);
-        let upstreams = stay.chain([moves]).map(CatalogItem::Upstream);
+        let permanent =
+            (0..STAYING_UPSTREAMS).map(|number| upstream(&format!("stays-{number}"), 1, true));
+        let current = upstream(&upstream_of(version), version, true);
+        let upstreams = permanent.chain([current]).map(CatalogItem::Upstream);
         CatalogChange {
             items: upstreams.chain([config(version)]).collect(),
             revision: version,
         }
     }
 
-    /// What changed since: with each version one upstream comes and one is gone.
+    /// The changes since `after`: with each version one upstream is added and one removed.
     fn changes_after(
         &self,
         after: u64,
     ) -> CatalogChange {
         let version = *self.version.borrow();
-        let moved = (after + 1..=version).flat_map(|version| {
-            let comes = upstream(&moving(version), version, true);
-            let gone = upstream(&moving(version - 1), version, false);
-            [CatalogItem::Upstream(comes), CatalogItem::Upstream(gone)]
+        let upstreams = (after + 1..=version).flat_map(|version| {
+            let added = upstream(&upstream_of(version), version, true);
+            let removed = upstream(&upstream_of(version - 1), version, false);
+            [CatalogItem::Upstream(added), CatalogItem::Upstream(removed)]
         });
         CatalogChange {
-            items: moved.chain([config(version)]).collect(),
+            items: upstreams.chain([config(version)]).collect(),
             revision: version,
         }
     }
@@ -191,8 +187,8 @@
     }
 }
 
-/// The pace of the settings that are shipped.
-fn shipped_pace() -> WatchPacing {
+/// The pacing of the shipped settings.
+fn shipped_pacing() -> WatchPacing {
     let addresses = "[process]\nhost = r\nzone = z\n[callers]\nlisten = 10.0.0.1:1\n\
                      [ready]\nlisten = 10.0.0.1:2\n[operator]\nlisten = 10.0.0.1:3\n\
                      [peers]\nlisten = 10.0.0.1:4\nnews = 10.0.0.1:5\nseeds = 10.0.0.1:4\n\
@@ -202,20 +198,20 @@
     settings.catalog_pace
 }
 
-/// A catalog that follows the store by the shipped settings.
+/// A catalog that follows the store with the shipped settings.
 fn follow(store: &Arc<SilencedStore>) -> Arc<Catalog> {
     let catalog = Arc::new(Catalog::new(parse_config, parse_replica));
     tokio::spawn(follow_store(
         catalog.clone(),
         store.clone(),
         Arc::new(AlwaysReader),
-        shipped_pace(),
+        shipped_pacing(),
     ));
     catalog
 }
 
-/// Whether a version is in force: its configuration, without the key of the one before,
-/// and its upstreams, without the one that left.
+/// Whether a version is in force: its configuration without the key of the one before, and its
+/// upstreams without the one removed.
 fn is_in_force(
     catalog: &Catalog,
     version: u64,
@@ -228,11 +224,11 @@
     config.version >= version
         && config.account(&key(version)).is_some()
         && config.account(&key(version - 1)).is_none()
-        && lists(moving(version))
-        && !lists(moving(version - 1))
+        && lists(upstream_of(version))
+        && !lists(upstream_of(version - 1))
 }
 
-/// Confirms a version; whether it is in force in time.
+/// Confirms a version. Returns whether it is in force in time.
 async fn confirmed_in_time(
     store: &SilencedStore,
     catalog: &Catalog,
@@ -261,11 +257,11 @@
     assert!(late.is_empty(), "late after silences of {late:?} ms");
 }
 
-/// Load: a router that starts in a silence of any length, as when all are replaced in it.
-/// Reason: it can serve nobody until the store has answered once; a call that was sent into
-/// the silence held the next one back for half of the time that a configuration has.
+/// A router that starts during a silence can serve no request until the store has answered once. A
+/// call that was sent into the silence must not delay the next one for long after the store has
+/// returned.
 #[tokio::test(start_paused = true)]
-async fn a_router_that_knows_nothing_asks_again_before_its_call_is_lost() {
+async fn a_router_without_a_catalog_retries_before_its_call_times_out() {
     let mut late = Vec::new();
     for step in 1..60 {
         let store = SilencedStore::new();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between processes, and bytes that are none.
+//! Encoding and decoding of the messages between processes, and of bytes that are no message.
 
 use {
     archmast::{
