--- a/tests/catching_up.rs
+++ b/tests/catching_up.rs
@@ -1,4 +1,4 @@
-//! When a router asks another for news of the catalog that the store did not tell it.
+//! When a router requests a catalog update from a peer because the store has not sent it.
 
 use {
     archmast::{catalog::CatalogVersion, peers::CatchUpTimer},
@@ -15,15 +15,15 @@
     }
 }
 
-/// A replica is listed as starting slowly a second before it serves. The readers of a zone
-/// hear of it from the store; those of another zone, whose connections fell silent, from
-/// them, and their fellows after them: each step has half of that second at most, and takes
-/// a question and its answer besides.
+/// A replica is listed as starting slowly one second before it serves. Readers of one zone get that
+/// from the store; readers of another zone, whose connections to it fell silent, from those; and
+/// the other routers of that zone from their readers. Each of these two steps may take half of that
+/// second at most, including a request and its answer.
 #[test]
 fn a_reader_whose_connection_to_the_store_fell_silent_asks_in_time() {
-    let mut behind = CatchUpTimer::default();
+    let mut timer = CatchUpTimer::default();
     let mut now = START;
-    while !behind.should_ask(now, version(1), Some(version(2)), true) {
+    while !timer.should_ask(now, version(1), Some(version(2)), true) {
         now += TICK;
     }
     assert!(
@@ -34,33 +34,33 @@
     assert!(CatchUpTimer::default().should_ask(START, version(1), Some(version(2)), false));
 }
 
-/// Load: fifty changes a second for ten seconds, which the store tells this router 60 ms
-/// after others.
+/// Fifty changes per second for ten seconds, which the store sends to this router 60 ms after
+/// others.
 #[test]
 fn a_reader_that_keeps_up_with_many_changes_asks_nobody() {
-    let mut behind = CatchUpTimer::default();
+    let mut timer = CatchUpTimer::default();
     for tick in 0..1000_u32 {
         let now = START + TICK * tick;
         let theirs = version(u64::from(tick / 2) + 10);
-        let ours = version(theirs.upstreams - 3);
+        let own = version(theirs.upstreams - 3);
         assert!(
-            !behind.should_ask(now, ours, Some(theirs), true),
+            !timer.should_ask(now, own, Some(theirs), true),
             "tick {tick}"
         );
     }
 }
 
-/// A router that got the first change and waits for the second has its time anew, and what
-/// it asked for may take some.
+/// The wait starts again for a router that got one change and waits for the next, and after a
+/// request for an update.
 #[test]
-fn patience_begins_anew_with_each_change_and_each_question() {
-    let mut behind = CatchUpTimer::default();
+fn the_wait_restarts_with_each_change_and_each_request() {
+    let mut timer = CatchUpTimer::default();
     let ms = |ms| START + Duration::from_millis(ms);
-    assert!(!behind.should_ask(ms(0), version(1), Some(version(2)), true));
-    assert!(!behind.should_ask(ms(140), version(2), Some(version(3)), true));
-    assert!(!behind.should_ask(ms(280), version(2), Some(version(3)), true));
-    assert!(behind.should_ask(ms(300), version(2), Some(version(3)), true));
-    behind.reset();
-    assert!(!behind.should_ask(ms(310), version(2), Some(version(3)), true));
-    assert!(!behind.should_ask(ms(320), version(3), None, true));
+    assert!(!timer.should_ask(ms(0), version(1), Some(version(2)), true));
+    assert!(!timer.should_ask(ms(140), version(2), Some(version(3)), true));
+    assert!(!timer.should_ask(ms(280), version(2), Some(version(3)), true));
+    assert!(timer.should_ask(ms(300), version(2), Some(version(3)), true));
+    timer.reset();
+    assert!(!timer.should_ask(ms(310), version(2), Some(version(3)), true));
+    assert!(!timer.should_ask(ms(320), version(3), None, true));
 }
--- a/tests/direct_settings.rs
+++ b/tests/direct_settings.rs
@@ -1,5 +1,5 @@
-//! Settings of a router that carries requests itself: checked, and the same
-//! keys in the file that the users' platform fills in.
+//! Settings of a router of the direct form: their checks, and that the file which the platform
+//! fills in has the same keys.
 
 use {
     archmast::{
@@ -9,21 +9,21 @@
     std::time::Duration,
 };
 
-/// The deploy file's template with every gap filled, on a sheet that names all bounds.
+/// The template of the settings file, filled in with all optional bounds.
 fn filled() -> String {
     let lines = include_str!("../deploy/router.ini").lines();
     let kept = lines.map(|line| match line.strip_prefix("{{#") {
         Some(rest) => {
-            let (_, rest) = rest.split_once("}}").expect("the condition ends");
-            rest.rsplit_once("{{/").expect("the part ends").0
+            let (_, rest) = rest.split_once("}}").expect("the end of the condition");
+            rest.rsplit_once("{{/").expect("the end of the section").0
         }
         None => line,
     });
     fill(&kept.collect::<Vec<_>>().join("\n"))
 }
 
-/// The same on a sheet that names none of the bounds that are optional.
-fn filled_where_bounds_lack() -> String {
+/// The same without the optional bounds.
+fn filled_without_optional_bounds() -> String {
     let lines = include_str!("../deploy/router.ini").lines();
     let kept = lines.filter(|line| !line.starts_with("{{#"));
     fill(&kept.collect::<Vec<_>>().join("\n"))
@@ -52,10 +52,10 @@
         ("{{bounds.cold_tolerance}}", "5"),
     ];
     let mut text = template.to_owned() + "\n";
-    for (gap, value) in values {
-        text = text.replace(gap, value);
+    for (placeholder, value) in values {
+        text = text.replace(placeholder, value);
     }
-    assert!(!text.contains("{{"), "a gap is left:\n{text}");
+    assert!(!text.contains("{{"), "a placeholder is left:\n{text}");
     text
 }
 
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn where_the_sheet_names_no_bounds_of_starts_and_cordons_the_strictest_hold() {
-    let settings = read(&filled_where_bounds_lack()).expect("a valid file");
+fn without_bounds_of_slow_start_and_cordons_the_strictest_apply() {
+    let settings = read(&filled_without_optional_bounds()).expect("a valid file");
     assert_eq!(settings.catalog_pace.apply, Duration::from_secs(3));
     let starts = settings.start_bounds;
     assert_eq!((starts.overage, starts.tolerance), (1.0, 0.0));
@@ -103,22 +103,28 @@
     assert_eq!(with("balancer_lag = soon"), ResultCode::BadValue);
     assert_eq!(with("balancer_lag = 2 h"), ResultCode::OutOfRange);
     assert_eq!(with("[placement]\naim_share = 99"), ResultCode::OutOfRange);
-    let waits = filled().replace("[catalog]", "[catalog]\npause = 2300 ms");
+    let long_pause = filled().replace("[catalog]", "[catalog]\npause = 2300 ms");
     assert_eq!(
-        read(&waits).expect_err("refused"),
+        read(&long_pause).expect_err("refused"),
         ResultCode::SettingsContradict
     );
-    let rests = filled().replace("[catalog]", "[catalog]\nretry_pause = 3 s");
+    let long_retry_pause = filled().replace("[catalog]", "[catalog]\nretry_pause = 3 s");
     assert_eq!(
-        read(&rests).expect_err("refused"),
+        read(&long_retry_pause).expect_err("refused"),
         ResultCode::SettingsContradict
     );
     let busy = filled().replace("[callers]", "[callers]\nmost_busy = 60");
     assert_eq!(read(&busy).expect_err("refused"), ResultCode::OutOfRange);
-    let hasty = filled().replace("[callers]", "[callers]\nhand_on = 1.5");
-    assert_eq!(read(&hasty).expect_err("refused"), ResultCode::OutOfRange);
-    let lacking = filled().replace("host = edge-1", "host =");
-    assert_eq!(read(&lacking).expect_err("refused"), ResultCode::MissingKey);
+    let high_ratio = filled().replace("[callers]", "[callers]\nhand_on = 1.5");
+    assert_eq!(
+        read(&high_ratio).expect_err("refused"),
+        ResultCode::OutOfRange
+    );
+    let without_host = filled().replace("host = edge-1", "host =");
+    assert_eq!(
+        read(&without_host).expect_err("refused"),
+        ResultCode::MissingKey
+    );
     let seeds = filled().replace("10.0.0.2:82", "here");
     assert_eq!(read(&seeds).expect_err("refused"), ResultCode::BadValue);
 }
--- a/tests/foreign_text.rs
+++ b/tests/foreign_text.rs
@@ -1,8 +1,8 @@
-//! Nothing that others write makes a reader panic, and what cannot be read costs itself
-//! only. A configuration that named a time of 1e300 ms ended the task that follows the
-//! store; a caller that named four billion tokens overflowed the sum of its prompt.
+//! No input of others makes a parser panic, and input that cannot be parsed affects nothing else. A
+//! configured time of 1e300 ms once ended the task that follows the store, and a prompt of four
+//! billion tokens overflowed the sum of its tokens.
 //!
-//! `PROPTEST_CASES=1000000 cargo test --release --test foreign_text` for a long run.
+//! Long run: `PROPTEST_CASES=1000000 cargo test --release --test foreign_text`.
 
 use {
     archmast::{
@@ -16,7 +16,7 @@
     serde_json::{Map, Number, Value},
 };
 
-/// Names that the platform's texts have, and one that they have not.
+/// Field names of the JSON of the platform, and one that it does not have.
 const NAMES: [&str; 24] = [
     "service",
     "address",
@@ -52,7 +52,7 @@
     ]
 }
 
-/// Any JSON, with the platform's own names so that it comes deep into the readers.
+/// Any JSON, with field names of the platform so that it gets deep into the parsers.
 fn json() -> impl Strategy<Value = Value> {
     let word = prop_oneof![
         Just("ready".to_owned()),
@@ -82,7 +82,7 @@
     })
 }
 
-/// A configuration whose every value may be anything.
+/// A configuration with arbitrary values.
 fn config() -> impl Strategy<Value = Value> {
     let route = (json(), json(), json(), number()).prop_map(|(kind, service, split, time)| {
         serde_json::json!({"name": "r", "host": "h", "path_prefix": "/", "kind": kind,
--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -1,4 +1,4 @@
-//! Which neighbour takes a caller's connection over.
+//! Which neighbour a connection of a caller is handed on to.
 
 use {
     archmast::policy::{Neighbour, choose_neighbour},
@@ -16,7 +16,7 @@
 }
 
 /// How many of 1,000 evenly spread draws fall on the neighbour with this port.
-fn taken(
+fn times_chosen(
     neighbours: &[Neighbour],
     port: u16,
 ) -> usize {
@@ -26,17 +26,20 @@
 }
 
 #[test]
-fn connections_are_spread_by_what_neighbours_have_to_spare() {
+fn connections_are_spread_by_the_spare_cores_of_neighbours() {
     let fleet = [neighbour(1, 0.04), neighbour(2, 0.4), neighbour(3, 0.36)];
-    assert_eq!(taken(&fleet, 1) + taken(&fleet, 2) + taken(&fleet, 3), 1000);
-    assert!(taken(&fleet, 1).abs_diff(50) <= 1);
-    assert!(taken(&fleet, 2).abs_diff(500) <= 1);
+    assert_eq!(
+        times_chosen(&fleet, 1) + times_chosen(&fleet, 2) + times_chosen(&fleet, 3),
+        1000
+    );
+    assert!(times_chosen(&fleet, 1).abs_diff(50) <= 1);
+    assert!(times_chosen(&fleet, 2).abs_diff(500) <= 1);
 }
 
 #[test]
-fn a_neighbour_that_is_short_itself_gets_none() {
+fn a_neighbour_without_spare_cores_gets_none() {
     let fleet = [neighbour(1, 0.001), neighbour(2, 0.1)];
-    assert_eq!(taken(&fleet, 2), 1000);
+    assert_eq!(times_chosen(&fleet, 2), 1000);
     assert_eq!(choose_neighbour(&fleet[..1], 0.5), None);
     assert_eq!(choose_neighbour(&[], 0.5), None);
     assert_eq!(choose_neighbour(&fleet, 1.0), Some(fleet[1].caller_address));
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -1,4 +1,4 @@
-//! Labels, selectors and placement.
+//! Labels, selectors and placement by rules.
 
 use {
     archmast::{
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs stay within their rate and never hold anything up.
+//! Logs stay within their rate and never block their writers.
 
 use {
     archmast::ops::{LogPipe, LogRate},
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_was_left_out_is_counted() {
+fn dropped_lines_are_counted() {
     let mut rate = LogRate::new(10.0, START);
     let written = (0..25)
         .filter(|_| rate.admit(START, false).is_some())
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_long_rest_saves_no_more_than_a_second() {
+fn a_long_idle_time_allows_no_more_than_one_second_of_lines() {
     let mut rate = LogRate::new(10.0, START);
     let later = START + Duration::from_secs(3600);
     let written = (0..100)
@@ -42,7 +42,7 @@
     assert_eq!(written, 10);
 }
 
-/// A reader that stands still until it is let go.
+/// A reader that blocks until it is released.
 struct StuckReader(Arc<(Mutex<bool>, Condvar)>);
 
 impl Write for StuckReader {
@@ -50,9 +50,13 @@
         &mut self,
         bytes: &[u8],
     ) -> io::Result<usize> {
-        let (free, changed) = &*self.0;
-        let free = free.lock().expect("lock");
-        drop(changed.wait_while(free, |free| !*free).expect("lock"));
+        let (is_released, changed) = &*self.0;
+        let is_released = is_released.lock().expect("lock");
+        drop(
+            changed
+                .wait_while(is_released, |is_released| !*is_released)
+                .expect("lock"),
+        );
         Ok(bytes.len())
     }
 
@@ -62,11 +66,11 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_costs_lines_and_holds_nobody_up() {
+fn a_stuck_reader_loses_lines_and_blocks_no_writer() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let mut pipe = LogPipe::start(StuckReader(gate.clone())).expect("a thread");
     let lost = pipe.lost();
-    // Every write returns, although nothing is read: this test would not end.
+    // Every write returns although nothing is read; if one blocked, this test would not end.
     for number in 0..20_000 {
         writeln!(pipe, "line {number} of many that nobody reads").expect("writing never fails");
     }
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -382,15 +382,14 @@
     ) {
         let zones = ZoneTable::default();
         let mut applied: Vec<(u16, u64)> = Vec::new();
-        for (representative, sequence) in sent {
-            let received = summary(representative, sequence, representative.into());
-            if zones.apply_summary(ms(0), &received) {
+        for (sender, sequence) in sent {
+            if zones.apply_summary(ms(0), &summary(sender, sequence, sender.into())) {
                 if let Some((last, before)) = applied.last() {
-                    prop_assert!(*last != representative || *before < sequence);
+                    prop_assert!(*last != sender || *before < sequence);
                 }
-                applied.push((representative, sequence));
+                applied.push((sender, sequence));
             }
-            let last = applied.last().map(|(representative, _)| usize::from(*representative));
+            let last = applied.last().map(|(sender, _)| usize::from(*sender));
             prop_assert_eq!(Some(zones.router_count(ms(0), ms(500))), last);
         }
     }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -11,7 +11,7 @@
     name: &str,
     host: &str,
     prefix: &str,
-    shares: &[(&str, f64)],
+    services: &[(&str, f64)],
 ) -> Route {
     Route {
         name: name.to_owned(),
@@ -22,7 +22,7 @@
         target_latency: Duration::from_millis(name.len() as u64 * 100),
         target_pause: None,
         priority: 1,
-        services: shares
+        services: services
             .iter()
             .map(|(service, weight)| WeightedService {
                 service: (*service).into(),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_share_without_weight_gets_nothing() {
+fn a_service_with_weight_zero_gets_nothing() {
     let only = route("r", "h", "/", &[("old", 0.0), ("new", 5.0), ("gone", 0.0)]);
     for draw in [0.0, 0.5, 0.999_999_999] {
         assert_eq!(only.service(draw).map(|service| &**service), Some("new"));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn the_shortest_aim_counts_for_a_service() {
+fn the_shortest_target_latency_counts_for_a_service() {
     let table = table();
     assert_eq!(
         table.shortest_target_latency("first"),
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn only_what_may_run_twice_may_be_repeated() {
+fn only_idempotent_and_resumable_requests_may_be_repeated() {
     assert!(RouteKind::Idempotent.may_repeat());
     assert!(RouteKind::Stream { resumable: true }.may_repeat());
     assert!(!RouteKind::Stream { resumable: false }.may_repeat());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and configurations are checked, and faults are named.
+//! Settings and configurations are checked, and errors name their place.
 
 use {
     archmast::{
@@ -59,8 +59,9 @@
     expect!["error 14: router.ini:7 [process] host: is required"].assert_eq(&error.to_string());
 }
 
-/// A published configuration was not in force in 18 s where a watch got lost: a watch
-/// of 15 s counted as lost 5 s later (20 s by the shipped settings).
+/// A lost watch must time out early enough for a published configuration to be in force in time.
+/// With a watch of 15 s that counted as lost after 5 s more, a configuration was not in force
+/// within 18 s.
 #[test]
 fn a_watch_that_gets_lost_costs_less_than_a_configuration_may_take() {
     let pace = sidecar(SIDECAR).expect("good settings").platform.pace;
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -1,9 +1,9 @@
-//! Where streams run and where prompts are read, when an engine that reads holds up the
-//! streams that it runs: a stream is late when one pause between its events is too long.
+//! Placement with regard to pauses: an engine that prefills a prompt holds up the streams that it
+//! runs, and a stream is late when one pause between its events is too long.
 //!
-//! One router's board is played against engines: each takes steps, reads up to a chunk of
-//! the prompts in front in each, and an event of a stream holds five steps. What is counted
-//! is what callers see, with and without a pause aim told to the board.
+//! The replica table of one router is run against simulated engines. In each step an engine
+//! prefills up to one chunk of the queued prompts; an event of a stream takes five steps. The tests
+//! count what callers see with and without a target pause.
 
 use {
     archmast::{
@@ -28,74 +28,77 @@
     link_mbps: 0.0,
     can_transfer_kv: false,
 };
-const PAUSE_AIM: Duration = Duration::from_millis(300);
+const TARGET_PAUSE: Duration = Duration::from_millis(300);
 const TICK: Duration = Duration::from_millis(5);
 const START: Moment = Duration::from_secs(100);
 
-/// An engine of speed 1 reads so many tokens a millisecond, a chunk of this many in each
-/// step, and takes so long to a step beside.
+/// An engine of speed 1 prefills this many tokens per millisecond, one [`CHUNK`] of them per step,
+/// and needs [`STEP_MS`] for a step besides.
 const TOKENS_PER_MS: f64 = 64.0;
 const CHUNK: f64 = 2048.0;
 const STEP_MS: f64 = 4.0;
-const STEPS: f64 = 5.0; // in an event
+const STEPS_PER_EVENT: f64 = 5.0;
 
-/// A kind of request, and how many come in a second.
+/// A kind of request, and its rate.
 #[derive(Clone, Copy)]
 struct Kind {
     per_s: f64,
     tokens: u32,
     events: u32,
-    aim: Duration,
+    target_latency: Duration,
 }
 
 const CHAT: Kind = Kind {
     per_s: 100.0,
     tokens: 1100,
     events: 34,
-    aim: Duration::from_millis(400),
+    target_latency: Duration::from_millis(400),
 };
 const REVIEW: Kind = Kind {
     per_s: 35.0,
     tokens: 7000,
     events: 20,
-    aim: Duration::from_millis(800),
+    target_latency: Duration::from_millis(800),
 };
 
-/// What callers saw of one kind, and where it went.
+/// The outcome of the requests of one kind, and the replicas that they were sent to.
 #[derive(Clone, Default)]
-struct Seen {
+struct Outcome {
     ended: u32,
-    late: u32,    // by a pause
-    first: u32,   // whose first event came after the aim
-    at: Vec<u32>, // by replica
+    late: u32,              // by a pause
+    late_first_events: u32, // first event after the target latency
+    by_replica: Vec<u32>,   // requests sent, by replica
 }
 
-impl Seen {
-    fn late_share(&self) -> f64 {
+impl Outcome {
+    fn late_fraction(&self) -> f64 {
         f64::from(self.late) / f64::from(self.ended.max(1))
     }
 
-    fn first_late_share(&self) -> f64 {
-        f64::from(self.first) / f64::from(self.ended.max(1))
+    fn late_first_fraction(&self) -> f64 {
+        f64::from(self.late_first_events) / f64::from(self.ended.max(1))
     }
 
-    /// The part of it that went where much of another kind is read: to replicas that got
-    /// more than half of what they would if that were at all of them alike.
-    fn share_beside(
+    /// The fraction that was sent to replicas that prefill much of another kind: to those that got
+    /// more than half of the mean.
+    fn fraction_beside(
         &self,
         other: &Self,
     ) -> f64 {
-        let part = other.at.iter().sum::<u32>() / other.at.len() as u32;
-        let pairs = self.at.iter().zip(&other.at);
-        let beside = pairs.filter(|(_, other)| **other * 2 > part);
+        let mean = other.by_replica.iter().sum::<u32>() / other.by_replica.len() as u32;
+        let pairs = self.by_replica.iter().zip(&other.by_replica);
+        let beside = pairs.filter(|(_, other)| **other * 2 > mean);
         let beside: u32 = beside.map(|(own, _)| own).sum();
-        f64::from(beside) / f64::from(self.at.iter().sum::<u32>())
+        f64::from(beside) / f64::from(self.by_replica.iter().sum::<u32>())
     }
 
-    /// How many replicas it would be at if it were at all of them alike.
-    fn spread(&self) -> f64 {
-        let all: f64 = self.at.iter().copied().map(f64::from).sum();
-        let squares = self.at.iter().map(|at| (f64::from(*at) / all).powi(2));
+    /// The number of replicas that would give the same concentration if it were spread evenly.
+    fn effective_replicas(&self) -> f64 {
+        let all: f64 = self.by_replica.iter().copied().map(f64::from).sum();
+        let squares = self
+            .by_replica
+            .iter()
+            .map(|sent| (f64::from(*sent) / all).powi(2));
         1.0 / squares.sum::<f64>()
     }
 }
@@ -104,70 +107,70 @@
     kind: usize,
     number: InFlightId,
     sent: Moment,
-    begun: Moment,
+    first_event_at: Moment,
     watch: Option<PauseWatch>,
-    since: Moment, // its last event
-    part: f64,     // of the next event
-    left: u32,     // events
+    last_event_at: Moment, // or the first event
+    progress: f64,         // of the next event, 0 to 1
+    events_remaining: u32,
     late: bool,
 }
 
 #[derive(Default)]
 struct Replica {
     speed: f64,
-    unread: VecDeque<(f64, Stream)>,
+    prefill_queue: VecDeque<(f64, Stream)>,
     running: Vec<Stream>,
 }
 
-struct World {
-    board: ReplicaTable,
+struct Simulation {
+    replica_table: ReplicaTable,
     replicas: Vec<Replica>,
     kinds: Vec<Kind>,
     due: Vec<f64>,
-    seen: Vec<Seen>,
+    outcomes: Vec<Outcome>,
     sent_to: Vec<usize>,
-    pause_aim: Option<Duration>,
+    target_pause: Option<Duration>,
     now: Moment,
 }
 
-impl World {
+impl Simulation {
     fn new(
         speeds: &[f64],
         kinds: &[Kind],
-        pause_aim: Option<Duration>,
+        target_pause: Option<Duration>,
     ) -> Self {
-        let mut board = ReplicaTable::new(PlacementSettings::default());
+        let mut replica_table = ReplicaTable::new(PlacementSettings::default());
         let entries = (0..speeds.len()).map(|index| entry(index, None));
-        board.set_entries(START, entries.collect());
-        let seen = Seen {
-            at: vec![0; speeds.len()],
-            ..Seen::default()
+        replica_table.set_entries(START, entries.collect());
+        let outcome = Outcome {
+            by_replica: vec![0; speeds.len()],
+            ..Outcome::default()
         };
         let replicas = speeds.iter().map(|speed| Replica {
             speed: *speed,
             ..Replica::default()
         });
         Self {
-            board,
+            replica_table,
             replicas: replicas.collect(),
             kinds: kinds.to_vec(),
             due: vec![0.0; kinds.len()],
-            seen: vec![seen; kinds.len()],
+            outcomes: vec![outcome; kinds.len()],
             sent_to: Vec::new(),
-            pause_aim,
+            target_pause,
             now: START,
         }
     }
 
-    /// Plays some seconds; what was seen before counts no more.
-    fn play(
+    /// Runs for some seconds, and counts only the outcomes of these.
+    fn run_for(
         &mut self,
         seconds: u64,
     ) {
-        for seen in &mut self.seen {
-            *seen = Seen {
-                at: vec![0; self.replicas.len()],
-                ..Seen::default()
+        for outcome in &mut self.outcomes {
+            *outcome = Outcome {
+                by_replica: vec![0; self.replicas.len()],
+                ..Outcome::default()
             };
         }
         let end = self.now + Duration::from_secs(seconds);
@@ -181,8 +184,8 @@
                 }
             }
             for index in 0..self.replicas.len() {
-                self.read(index);
-                self.write(index);
+                self.prefill(index);
+                self.decode(index);
             }
         }
     }
@@ -194,130 +197,140 @@
         let Kind {
             tokens,
             events,
-            aim,
+            target_latency,
             ..
         } = self.kinds[kind];
         let id = self.sent_to.len() as u64;
         let shape = PromptShape {
             parts: vec![PromptPart { id, tokens }],
-            output_tokens: events * STEPS as u32,
+            output_tokens: events * STEPS_PER_EVENT as u32,
         };
-        let request = request(&shape, self.pause_aim);
+        let request = request(&shape, self.target_pause);
         let Choice::Send {
             replica,
-            prefill_tokens: reading,
-            queue_ms: front_ms,
+            prefill_tokens,
+            queue_ms,
             ..
-        } = self.board.choose(self.now, &request)
+        } = self.replica_table.choose(self.now, &request)
         else {
             return;
         };
         let sent = SentPrompt {
             shape: &shape,
             engine: ENGINE,
-            target_latency: aim,
-            target_pause: self.pause_aim,
-            prefill_tokens: reading,
-            queue_ms: front_ms,
+            target_latency,
+            target_pause: self.target_pause,
+            prefill_tokens,
+            queue_ms,
         };
-        let number = self.board.start(self.now, &replica, Some(sent));
+        let number = self.replica_table.start(self.now, &replica, Some(sent));
         let index: usize = replica.parse().expect("an index");
         self.sent_to.push(index);
-        self.seen[kind].at[index] += 1;
+        self.outcomes[kind].by_replica[index] += 1;
         let stream = Stream {
             kind,
             number: number.expect("started"),
             sent: self.now,
-            begun: self.now,
+            first_event_at: self.now,
             watch: None,
-            since: self.now,
-            part: 0.0,
-            left: events,
+            last_event_at: self.now,
+            progress: 0.0,
+            events_remaining: events,
             late: false,
         };
-        let unread = &mut self.replicas[index].unread;
-        unread.push_back((f64::from(reading), stream));
+        let prefill_queue = &mut self.replicas[index].prefill_queue;
+        prefill_queue.push_back((f64::from(prefill_tokens), stream));
     }
 
-    fn read(
+    fn prefill(
         &mut self,
         index: usize,
     ) {
         let replica = &mut self.replicas[index];
         let mut tokens = TICK.as_secs_f64() * 1000.0 * TOKENS_PER_MS * replica.speed;
-        while let Some((left, _)) = replica.unread.front_mut() {
-            let read = left.min(tokens);
-            *left -= read;
-            tokens -= read;
-            if *left > 0.0 {
+        while let Some((remaining, _)) = replica.prefill_queue.front_mut() {
+            let taken = remaining.min(tokens);
+            *remaining -= taken;
+            tokens -= taken;
+            if *remaining > 0.0 {
                 return;
             }
-            let (_, mut stream) = replica.unread.pop_front().expect("the first");
-            self.board.first_token(self.now, stream.number);
-            let late = self.now - stream.sent > self.kinds[stream.kind].aim;
-            self.seen[stream.kind].first += u32::from(late);
-            stream.begun = self.now;
-            stream.since = self.now;
-            stream.watch = self.pause_aim.map(|aim| PauseWatch::new(self.now, aim));
+            let (_, mut stream) = replica.prefill_queue.pop_front().expect("a queued stream");
+            self.replica_table.first_token(self.now, stream.number);
+            let late = self.now - stream.sent > self.kinds[stream.kind].target_latency;
+            self.outcomes[stream.kind].late_first_events += u32::from(late);
+            stream.first_event_at = self.now;
+            stream.last_event_at = self.now;
+            stream.watch = self
+                .target_pause
+                .map(|target| PauseWatch::new(self.now, target));
             replica.running.push(stream);
         }
     }
 
-    fn write(
+    fn decode(
         &mut self,
         index: usize,
     ) {
         let replica = &mut self.replicas[index];
-        let reads = !replica.unread.is_empty();
-        let chunk_ms = if reads { CHUNK / TOKENS_PER_MS } else { 0.0 };
-        let event_ms = STEPS * (STEP_MS + chunk_ms) / replica.speed;
-        let part = TICK.as_secs_f64() * 1000.0 / event_ms;
+        let is_prefilling = !replica.prefill_queue.is_empty();
+        let chunk_ms = if is_prefilling {
+            CHUNK / TOKENS_PER_MS
+        } else {
+            0.0
+        };
+        let event_ms = STEPS_PER_EVENT * (STEP_MS + chunk_ms) / replica.speed;
+        let progress = TICK.as_secs_f64() * 1000.0 / event_ms;
         let entry = entry(index, None);
         let mut ended = Vec::new();
-        for (place, stream) in replica.running.iter_mut().enumerate() {
-            stream.part += part;
-            let waited = self.now - stream.since;
-            if stream.part < 1.0 {
+        for (position, stream) in replica.running.iter_mut().enumerate() {
+            stream.progress += progress;
+            let waited = self.now - stream.last_event_at;
+            if stream.progress < 1.0 {
                 let watch = stream.watch.as_mut();
-                let open =
-                    watch.filter(|watch| watch.target_pause().is_some_and(|aim| waited > aim));
-                if let Some(watch) = open {
-                    let seen = watch.record_overrun(self.now);
-                    self.board.record_pauses(self.now, &entry, seen);
+                let overdue = watch
+                    .filter(|watch| watch.target_pause().is_some_and(|target| waited > target));
+                if let Some(watch) = overdue {
+                    let evidence = watch.record_overrun(self.now);
+                    self.replica_table.record_pauses(self.now, &entry, evidence);
                 }
                 continue;
             }
-            stream.part -= 1.0;
-            stream.left -= 1;
-            stream.since = self.now;
-            stream.late |= waited > PAUSE_AIM;
+            stream.progress -= 1.0;
+            stream.events_remaining -= 1;
+            stream.last_event_at = self.now;
+            stream.late |= waited > TARGET_PAUSE;
             let watch = stream.watch.as_mut();
-            if let Some(seen) = watch.and_then(|watch| watch.record_event(self.now, waited)) {
-                self.board.record_pauses(self.now, &entry, seen);
+            if let Some(evidence) = watch.and_then(|watch| watch.record_event(self.now, waited)) {
+                self.replica_table.record_pauses(self.now, &entry, evidence);
             }
-            if stream.left == 0 {
-                ended.push(place);
+            if stream.events_remaining == 0 {
+                ended.push(position);
             }
         }
-        for place in ended.into_iter().rev() {
-            let stream = replica.running.swap_remove(place);
-            let tokens = self.kinds[stream.kind].events * STEPS as u32;
-            self.board.finish(stream.number);
-            self.board
-                .record_stream(self.now, &entry, tokens, self.now - stream.begun);
-            self.seen[stream.kind].ended += 1;
-            self.seen[stream.kind].late += u32::from(stream.late);
+        for position in ended.into_iter().rev() {
+            let stream = replica.running.swap_remove(position);
+            let tokens = self.kinds[stream.kind].events * STEPS_PER_EVENT as u32;
+            self.replica_table.finish(stream.number);
+            self.replica_table.record_stream(
+                self.now,
+                &entry,
+                tokens,
+                self.now - stream.first_event_at,
+            );
+            self.outcomes[stream.kind].ended += 1;
+            self.outcomes[stream.kind].late += u32::from(stream.late);
         }
     }
 }
 
 fn entry(
     index: usize,
-    born: Option<u64>,
+    started_unix_ms: Option<u64>,
 ) -> Arc<UpstreamEntry> {
     Arc::new(UpstreamEntry {
         id: index.to_string().into(),
-        started_unix_ms: born,
+        started_unix_ms,
         service: "model".into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "z".into(),
@@ -329,7 +342,7 @@
 
 fn request(
     prompt: &PromptShape,
-    pause_aim: Option<Duration>,
+    target_pause: Option<Duration>,
 ) -> PlacementRequest<'_> {
     PlacementRequest {
         regions: None,
@@ -337,31 +350,31 @@
         zone: "z",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        target_latency: CHAT.aim,
-        target_pause: pause_aim,
+        target_latency: CHAT.target_latency,
+        target_pause,
         standing: ShareStatus::Within,
         tried: &[],
     }
 }
 
-/// What callers saw with and without a pause aim told, once streams have run for a while.
-fn both(
+/// Runs with and without a target pause. The outcomes are those after a warm-up of 6 s.
+fn with_and_without_target(
     speeds: &[f64],
     kinds: &[Kind],
-) -> (World, World) {
-    let played = |pause_aim| {
-        let mut world = World::new(speeds, kinds, pause_aim);
-        world.play(6);
-        world.play(20);
-        world
+) -> (Simulation, Simulation) {
+    let run = |target_pause| {
+        let mut simulation = Simulation::new(speeds, kinds, target_pause);
+        simulation.run_for(6);
+        simulation.run_for(20);
+        simulation
     };
-    (played(Some(PAUSE_AIM)), played(None))
+    (run(Some(TARGET_PAUSE)), run(None))
 }
 
 /// Half of the engines are so slow that a long prompt holds up what they run.
 const UNEQUAL: [f64; 8] = [1.7, 1.7, 1.7, 1.7, 0.5, 0.5, 0.5, 0.5];
 
-/// Any of them is held up for too long by one long prompt of [`LONG_REVIEW`].
+/// Engines that one long prompt of [`LONG_REVIEW`] holds up for too long.
 const SLOW: [f64; 8] = [0.4; 8];
 const FEWER_CHATS: Kind = Kind {
     per_s: 60.0,
@@ -373,11 +386,12 @@
     ..REVIEW
 };
 
-/// 100 chats and 45 long prompts a second take three quarters of what the engines can read,
-/// and as much as the quick ones can: chats are to go where little is read, or where reading holds nothing up.
+/// 100 chats and 45 long prompts per second use three quarters of what the engines can prefill, and
+/// as much as the fast ones can: chats must go where little is prefilled or where prefill does not
+/// delay streams.
 #[test]
 fn fewer_chats_are_late_where_some_engines_are_slow() {
-    let (told, _) = both(
+    let (with_target, _) = with_and_without_target(
         &UNEQUAL,
         &[
             CHAT,
@@ -387,27 +401,30 @@
             },
         ],
     );
-    let (chats, reviews) = (&told.seen[0], &told.seen[1]);
-    assert!(chats.late_share() < 0.01);
-    assert!(chats.first_late_share() < 0.05);
-    assert!(reviews.first_late_share() < 0.05);
+    let (chats, reviews) = (&with_target.outcomes[0], &with_target.outcomes[1]);
+    assert!(chats.late_fraction() < 0.01);
+    assert!(chats.late_first_fraction() < 0.05);
+    assert!(reviews.late_first_fraction() < 0.05);
 }
 
-/// 60 chats and 8 long prompts a second take two thirds of what eight slow engines can
-/// read, and every long prompt breaks the pauses of all streams beside it: the two kinds
-/// part, though no engine is better than another.
+/// 60 chats and 8 long prompts per second use two thirds of what eight slow engines can prefill,
+/// and every long prompt makes all streams beside it late: the two kinds must go to different
+/// replicas, though no engine is faster than another.
 #[test]
-fn chats_and_long_prompts_part_where_engines_are_alike() {
-    let (told, untold) = both(&SLOW, &[FEWER_CHATS, LONG_REVIEW]);
-    let (chats, reviews) = (&told.seen[0], &told.seen[1]);
-    assert!(chats.late_share() < untold.seen[0].late_share() / 2.0);
-    assert!(chats.share_beside(reviews) < untold.seen[0].share_beside(&untold.seen[1]) / 2.0);
-    assert!(reviews.first_late_share() < 0.05);
+fn chats_and_long_prompts_go_to_different_replicas_of_equal_speed() {
+    let (with_target, without_target) = with_and_without_target(&SLOW, &[FEWER_CHATS, LONG_REVIEW]);
+    let (chats, reviews) = (&with_target.outcomes[0], &with_target.outcomes[1]);
+    assert!(chats.late_fraction() < without_target.outcomes[0].late_fraction() / 2.0);
+    assert!(
+        chats.fraction_beside(reviews)
+            < without_target.outcomes[0].fraction_beside(&without_target.outcomes[1]) / 2.0
+    );
+    assert!(reviews.late_first_fraction() < 0.05);
 }
 
-/// 2 long prompts a second, then 12, beside 40 chats: fewer replicas run chats then.
+/// 2, then 12 long prompts per second, beside 40 chats: fewer replicas run chats then.
 #[test]
-fn borders_move_with_the_load() {
+fn the_number_of_replicas_for_chats_follows_the_load() {
     let kinds = [
         Kind {
             per_s: 40.0,
@@ -418,138 +435,137 @@
             ..LONG_REVIEW
         },
     ];
-    let mut world = World::new(&SLOW, &kinds, Some(PAUSE_AIM));
-    world.play(6);
-    world.play(20);
-    let before = world.seen[0].spread();
-    world.kinds[1].per_s = 12.0;
-    world.play(10);
-    world.play(20);
-    assert!(world.seen[0].spread() < before - 0.5);
-    assert!(world.seen[0].late_share() < 0.1);
-    assert!(world.seen[1].first_late_share() < 0.05);
+    let mut simulation = Simulation::new(&SLOW, &kinds, Some(TARGET_PAUSE));
+    simulation.run_for(6);
+    simulation.run_for(20);
+    let before = simulation.outcomes[0].effective_replicas();
+    simulation.kinds[1].per_s = 12.0;
+    simulation.run_for(10);
+    simulation.run_for(20);
+    assert!(simulation.outcomes[0].effective_replicas() < before - 0.5);
+    assert!(simulation.outcomes[0].late_fraction() < 0.1);
+    assert!(simulation.outcomes[1].late_first_fraction() < 0.05);
 }
 
-/// 200 chats a second, nothing long: no pause breaks, and every request goes where it
-/// would without a pause aim.
+/// 200 chats per second and no long prompts: no pause is too long, and every request goes where it
+/// would without a target pause.
 #[test]
-fn short_prompts_go_where_they_went() {
-    let (told, untold) = both(
+fn short_prompts_go_to_the_same_replicas_with_a_target_pause() {
+    let (with_target, without_target) = with_and_without_target(
         &UNEQUAL,
         &[Kind {
             per_s: 200.0,
             ..CHAT
         }],
     );
-    assert_eq!(told.sent_to, untold.sent_to);
+    assert_eq!(with_target.sent_to, without_target.sent_to);
 }
 
-/// So many seconds of streams were watched, and so many streams paused for too long.
+/// Evidence: for how many seconds streams were watched, and how many of them were late.
 fn pauses(
     watched_s: f32,
-    broken: f32,
+    late: f32,
 ) -> PauseEvidence {
-    PauseEvidence {
-        watched_s,
-        late: broken,
-    }
+    PauseEvidence { watched_s, late }
 }
 
-/// Two replicas that have run streams, and the one to which a prompt goes that is alone.
-fn idle_board() -> (ReplicaTable, PromptShape, usize) {
-    let world = World::new(&[1.0, 1.0], &[CHAT], Some(PAUSE_AIM));
-    let mut board = world.board;
-    board.record_stream(START, &entry(0, None), 170, Duration::from_secs(2));
+/// Two replicas that have run streams, a prompt, and the replica that it is sent to while both are
+/// idle.
+fn idle_replica_table() -> (ReplicaTable, PromptShape, usize) {
+    let simulation = Simulation::new(&[1.0, 1.0], &[CHAT], Some(TARGET_PAUSE));
+    let mut replica_table = simulation.replica_table;
+    replica_table.record_stream(START, &entry(0, None), 170, Duration::from_secs(2));
     let shape = PromptShape {
         parts: vec![PromptPart { id: 7, tokens: 500 }],
         output_tokens: 170,
     };
-    let home = chosen(&mut board, START, &shape);
-    (board, shape, home)
+    let preferred = chosen(&mut replica_table, START, &shape);
+    (replica_table, shape, preferred)
 }
 
 fn chosen(
-    board: &mut ReplicaTable,
+    replica_table: &mut ReplicaTable,
     now: Moment,
     shape: &PromptShape,
 ) -> usize {
-    board.refresh_estimates(now);
-    match board.choose(now, &request(shape, Some(PAUSE_AIM))) {
+    replica_table.refresh_estimates(now);
+    match replica_table.choose(now, &request(shape, Some(TARGET_PAUSE))) {
         Choice::Send { replica, .. } => replica.parse().expect("an index"),
         Choice::Refuse { reason, .. } => panic!("refused: {reason:?}"),
     }
 }
 
-/// Nothing runs there any more that could show that pauses are short again.
+/// No stream runs there any more that could show that pauses are short again: the evidence must
+/// expire.
 #[test]
-fn a_replica_where_streams_paused_is_used_again_later() {
-    let (mut board, shape, home) = idle_board();
-    board.record_pauses(START, &entry(home, None), pauses(20.0, 15.0));
-    assert_ne!(chosen(&mut board, START, &shape), home);
+fn a_replica_with_late_streams_is_used_again_later() {
+    let (mut replica_table, shape, preferred) = idle_replica_table();
+    replica_table.record_pauses(START, &entry(preferred, None), pauses(20.0, 15.0));
+    assert_ne!(chosen(&mut replica_table, START, &shape), preferred);
     let later = START + Duration::from_secs(60);
-    assert_eq!(chosen(&mut board, later, &shape), home);
+    assert_eq!(chosen(&mut replica_table, later, &shape), preferred);
 }
 
-/// A fellow told of pauses at a replica and is not heard of again: its word counts for
-/// some seconds. What was said of one start of a replica is nothing to the next.
+/// A peer that reported pauses at a replica falls silent: its evidence counts for some seconds.
+/// Evidence on one start of a replica does not count for the next.
 #[test]
-fn what_fellows_told_ends_with_them_and_with_the_start() {
-    let (mut board, shape, home) = idle_board();
-    let told = ReplicaEvidence {
-        start_hash: entry(home, None).start_hash(),
+fn evidence_of_peers_ends_with_their_reports_and_with_the_start() {
+    let (mut replica_table, shape, preferred) = idle_replica_table();
+    let evidence = ReplicaEvidence {
+        start_hash: entry(preferred, None).start_hash(),
         pace: PaceEvidence::default(),
         pauses: pauses(20.0, 15.0),
     };
-    board.apply_evidence(START, 1, &[told]);
-    let soon = START + Duration::from_millis(100);
-    assert_ne!(chosen(&mut board, soon, &shape), home);
+    replica_table.apply_evidence(START, 1, &[evidence]);
+    let shortly_after = START + Duration::from_millis(100);
+    assert_ne!(chosen(&mut replica_table, shortly_after, &shape), preferred);
     let later = START + Duration::from_secs(4);
-    assert_eq!(chosen(&mut board, later, &shape), home);
-
-    board.apply_evidence(later, 1, &[told]);
-    board.record_pauses(later, &entry(home, None), pauses(20.0, 15.0));
-    let other = 1 - home;
-    board.set_entries(later, vec![entry(home, Some(2)), entry(other, None)]);
-    board.apply_evidence(later, 1, &[told]);
-    assert_eq!(chosen(&mut board, later, &shape), home);
+    assert_eq!(chosen(&mut replica_table, later, &shape), preferred);
+
+    replica_table.apply_evidence(later, 1, &[evidence]);
+    replica_table.record_pauses(later, &entry(preferred, None), pauses(20.0, 15.0));
+    let other = 1 - preferred;
+    replica_table.set_entries(later, vec![entry(preferred, Some(2)), entry(other, None)]);
+    replica_table.apply_evidence(later, 1, &[evidence]);
+    assert_eq!(chosen(&mut replica_table, later, &shape), preferred);
 }
 
-/// A stream is late once, however often it pauses afterwards, and a pause that goes on
-/// counts before it is over.
+/// A stream counts as late once, however often it pauses afterwards, and a pause counts while it
+/// still lasts.
 #[test]
-fn a_stream_breaks_once_and_at_once() {
-    let mut watch = PauseWatch::new(START, PAUSE_AIM);
+fn a_stream_counts_as_late_once_and_at_once() {
+    let mut watch = PauseWatch::new(START, TARGET_PAUSE);
     let ms = Duration::from_millis;
     assert_eq!(watch.record_event(START + ms(100), ms(100)), None);
-    let seen = watch.record_overrun(START + ms(400));
-    assert_eq!(seen, pauses(0.4, 1.0));
+    let evidence = watch.record_overrun(START + ms(400));
+    assert_eq!(evidence, pauses(0.4, 1.0));
     assert_eq!(watch.record_event(START + ms(900), ms(800)), None);
     assert_eq!(watch.end(START + ms(950)), None);
-    // One that stays in time hands in what was watched now and then.
-    let mut watch = PauseWatch::new(START, PAUSE_AIM);
+    // A stream that stays within the target yields evidence from time to time.
+    let mut watch = PauseWatch::new(START, TARGET_PAUSE);
     assert_eq!(watch.record_event(START + ms(250), ms(250)), None);
-    let seen = watch.record_event(START + ms(500), ms(250));
-    assert_eq!(seen, Some(pauses(0.5, 0.0)));
+    let evidence = watch.record_event(START + ms(500), ms(250));
+    assert_eq!(evidence, Some(pauses(0.5, 0.0)));
     assert_eq!(watch.end(START + ms(600)), None);
 }
 
-/// Thirty streams run at each of two slow replicas, where blocks of reading are known to
-/// break pauses. An account over its share is not lent what would make them late, however
-/// idle the reading is; one within its share is served.
+/// Thirty streams run at each of two slow replicas, where prefill is known to make streams late. A
+/// request over its share is refused there, however short the prefill queue is; one within its
+/// share is accepted.
 #[test]
-fn what_is_lent_makes_hardly_any_stream_late() {
+fn requests_over_the_share_make_hardly_any_stream_late() {
     let chats = Kind {
         per_s: 30.0,
         tokens: 50,
         ..CHAT
     };
-    let mut world = World::new(&[0.4, 0.4], &[chats], Some(PAUSE_AIM));
-    world.play(8);
+    let mut simulation = Simulation::new(&[0.4, 0.4], &[chats], Some(TARGET_PAUSE));
+    simulation.run_for(8);
     for index in 0..2 {
-        let broken = pauses(20.0, 15.0);
-        world
-            .board
-            .record_pauses(world.now, &entry(index, None), broken);
+        let evidence = pauses(20.0, 15.0);
+        simulation
+            .replica_table
+            .record_pauses(simulation.now, &entry(index, None), evidence);
     }
     let long = PromptShape {
         parts: vec![PromptPart {
@@ -561,17 +577,19 @@
     let standing = |standing| PlacementRequest {
         standing,
         target_latency: Duration::from_secs(20),
-        ..request(&long, Some(PAUSE_AIM))
+        ..request(&long, Some(TARGET_PAUSE))
     };
     let over = ShareStatus::Over {
         wait: Duration::from_secs(1),
         factor: 1.1,
     };
-    let choice = world
-        .board
-        .choose(world.now, &standing(ShareStatus::Within));
+    let choice = simulation
+        .replica_table
+        .choose(simulation.now, &standing(ShareStatus::Within));
     assert!(matches!(choice, Choice::Send { pauses_ms, .. } if pauses_ms > 0.0));
-    let choice = world.board.choose(world.now, &standing(over));
+    let choice = simulation
+        .replica_table
+        .choose(simulation.now, &standing(over));
     let reason = RefusalReason::OverShare;
     assert!(matches!(choice, Choice::Refuse { reason: given, .. } if given == reason));
 }
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -1,5 +1,5 @@
-//! Requests under which replicas ended: what speaks against one, what for it, how long it
-//! is held back, and what routers make of each other's word on it, in any order.
+//! Requests during which replicas crashed: what counts against one and what clears it, how long it
+//! is held back, and that reports of routers give the same result in any order.
 
 use {
     archmast::policy::{
@@ -20,225 +20,250 @@
     Duration::from_millis(millis)
 }
 
-/// A run from `began` to the end of its replica, which brought no event.
-fn run(
+/// An attempt from `started_ms` to the crash of its replica, without any event.
+fn attempt(
     key: u32,
-    began: u64,
-    ended: u64,
+    started_ms: u64,
+    crashed_ms: u64,
 ) -> CrashedAttempt {
-    CrashedAttempt::observed(key, key, ms(began), None, ms(ended))
+    CrashedAttempt::observed(key, key, ms(started_ms), None, ms(crashed_ms))
 }
 
-/// A book in which runs of the request ended with their replicas.
-fn book(runs: &[(u64, u64)]) -> SuspectTracker {
-    let mut book = SuspectTracker::default();
-    for (key, (began, ended)) in (0..).zip(runs) {
-        book.record_crash(NOW, REQUEST, ACCOUNT, run(key, *began, *ended));
+/// A tracker with these attempts at the request, each with the crash of its replica.
+fn tracker(attempts: &[(u64, u64)]) -> SuspectTracker {
+    let mut tracker = SuspectTracker::default();
+    for (key, (started_ms, crashed_ms)) in (0..).zip(attempts) {
+        tracker.record_crash(
+            NOW,
+            REQUEST,
+            ACCOUNT,
+            attempt(key, *started_ms, *crashed_ms),
+        );
     }
-    book
+    tracker
 }
 
 fn is_held(
-    book: &SuspectTracker,
+    tracker: &SuspectTracker,
     now: Moment,
 ) -> bool {
-    book.held_requests(now)
+    tracker
+        .held_requests(now)
         .iter()
         .any(|held| held.request == REQUEST)
 }
 
 #[test]
-fn one_end_says_nothing_and_a_second_after_it_holds_the_request_back() {
-    let mut one = book(&[(0, 500)]);
+fn one_crash_holds_nothing_back_and_a_second_one_does() {
+    let mut one = tracker(&[(0, 500)]);
     assert_eq!(one.hold_remaining(ms(600), REQUEST), None);
-    let mut two = book(&[(0, 500), (600, 900)]);
+    let mut two = tracker(&[(0, 500), (600, 900)]);
     assert_eq!(two.hold_remaining(ms(1000), REQUEST), Some(ms(14_900)));
     assert_eq!(two.hold_remaining(ms(1000), RequestDigest(8)), None);
 }
 
 #[test]
-fn replicas_that_end_together_under_copies_of_one_request_say_no_more_than_one() {
+fn replicas_that_crash_together_under_copies_of_one_request_count_once() {
     let together: Vec<(u64, u64)> = (0..6).map(|copy| (copy * 10, 1000 + copy)).collect();
-    assert!(!is_held(&book(&together), ms(1100)));
-    let rolling: Vec<(u64, u64)> = (0..6).map(|copy| (0, 1000 + copy * 200)).collect();
-    assert!(!is_held(&book(&rolling), ms(2100)));
+    assert!(!is_held(&tracker(&together), ms(1100)));
+    let staggered: Vec<(u64, u64)> = (0..6).map(|copy| (0, 1000 + copy * 200)).collect();
+    assert!(!is_held(&tracker(&staggered), ms(2100)));
 }
 
 #[test]
 fn one_replica_that_ends_under_several_copies_counts_once() {
-    let mut book = SuspectTracker::default();
-    for (key, began) in [(1, 998), (2, 999), (3, 1001)] {
-        let end = CrashedAttempt::observed(key, 7, ms(began), None, ms(began + 2));
-        book.record_crash(NOW, REQUEST, ACCOUNT, end);
+    let mut tracker = SuspectTracker::default();
+    for (key, started_ms) in [(1, 998), (2, 999), (3, 1001)] {
+        let crash = CrashedAttempt::observed(key, 7, ms(started_ms), None, ms(started_ms + 2));
+        tracker.record_crash(NOW, REQUEST, ACCOUNT, crash);
     }
-    assert!(!is_held(&book, ms(1100)));
+    assert!(!is_held(&tracker, ms(1100)));
     let later = CrashedAttempt::observed(4, 7, ms(2500), None, ms(2600));
-    book.record_crash(NOW, REQUEST, ACCOUNT, later);
-    assert!(is_held(&book, ms(2600)), "it came back, and ended again");
+    tracker.record_crash(NOW, REQUEST, ACCOUNT, later);
+    assert!(
+        is_held(&tracker, ms(2600)),
+        "it restarted, and crashed again"
+    );
 }
 
 #[test]
-fn runs_that_had_brought_events_for_long_count_half() {
-    let mut book = SuspectTracker::default();
+fn attempts_that_had_sent_events_for_long_count_half() {
+    let mut tracker = SuspectTracker::default();
     for key in 0..4u32 {
-        let began = u64::from(key) * 3000;
-        let end =
-            CrashedAttempt::observed(key, key, ms(began), Some(ms(began + 100)), ms(began + 2000));
-        assert!(!is_held(&book, ms(began)));
-        book.record_crash(NOW, REQUEST, ACCOUNT, end);
+        let started_ms = u64::from(key) * 3000;
+        let crash = CrashedAttempt::observed(
+            key,
+            key,
+            ms(started_ms),
+            Some(ms(started_ms + 100)),
+            ms(started_ms + 2000),
+        );
+        assert!(!is_held(&tracker, ms(started_ms)));
+        tracker.record_crash(NOW, REQUEST, ACCOUNT, crash);
     }
-    assert!(is_held(&book, ms(11_100)));
+    assert!(is_held(&tracker, ms(11_100)));
 }
 
 #[test]
-fn a_whole_answer_speaks_for_the_request_until_more_replicas_end_long_after() {
-    let mut book = book(&[(0, 500), (600, 900)]);
-    assert!(book.record_answered(ms(1000), REQUEST));
-    assert!(!is_held(&book, ms(1000)));
+fn a_complete_answer_clears_the_request_until_more_replicas_crash_long_after() {
+    let mut tracker = tracker(&[(0, 500), (600, 900)]);
+    assert!(tracker.record_answered(ms(1000), REQUEST));
+    assert!(!is_held(&tracker, ms(1000)));
     for (key, at) in [(10, 1500), (11, 2500), (12, 61_500)] {
-        let end = run(key, at, at + 500);
-        book.record_crash(ms(at + 500), REQUEST, ACCOUNT, end);
-        assert!(!is_held(&book, ms(at + 500)));
+        let crash = attempt(key, at, at + 500);
+        tracker.record_crash(ms(at + 500), REQUEST, ACCOUNT, crash);
+        assert!(!is_held(&tracker, ms(at + 500)));
     }
-    book.record_crash(ms(63_000), REQUEST, ACCOUNT, run(13, 62_500, 63_000));
-    assert!(is_held(&book, ms(63_000)));
+    tracker.record_crash(ms(63_000), REQUEST, ACCOUNT, attempt(13, 62_500, 63_000));
+    assert!(is_held(&tracker, ms(63_000)));
 }
 
 #[test]
-fn a_request_that_was_answered_lately_is_held_back_by_nobody() {
-    let mut book = SuspectTracker::default();
-    book.record_answered(ms(100), REQUEST);
-    book.record_crash(ms(500), REQUEST, ACCOUNT, run(1, 200, 500));
-    book.record_crash(ms(900), REQUEST, ACCOUNT, run(2, 600, 900));
-    assert!(!is_held(&book, ms(900)));
+fn a_recently_answered_request_is_held_back_by_no_router() {
+    let mut tracker = SuspectTracker::default();
+    tracker.record_answered(ms(100), REQUEST);
+    tracker.record_crash(ms(500), REQUEST, ACCOUNT, attempt(1, 200, 500));
+    tracker.record_crash(ms(900), REQUEST, ACCOUNT, attempt(2, 600, 900));
+    assert!(!is_held(&tracker, ms(900)));
     let mut other = SuspectTracker::default();
-    let notes = book.reports_for(ms(900), &[REQUEST]);
-    other.apply_reports(ms(900), ReporterScope::Router, &notes);
+    let reports = tracker.reports_for(ms(900), &[REQUEST]);
+    other.apply_reports(ms(900), ReporterScope::Router, &reports);
     assert!(!is_held(&other, ms(900)));
 }
 
 #[test]
-fn after_the_hold_one_try_goes_and_the_next_end_holds_for_longer() {
-    let mut book = book(&[(0, 500), (600, 900)]);
-    assert_eq!(book.hold_remaining(ms(15_900), REQUEST), None);
-    let others = book.hold_remaining(ms(15_950), REQUEST);
+fn after_the_hold_one_attempt_is_let_through_and_the_next_crash_holds_for_longer() {
+    let mut tracker = tracker(&[(0, 500), (600, 900)]);
+    assert_eq!(tracker.hold_remaining(ms(15_900), REQUEST), None);
+    let others = tracker.hold_remaining(ms(15_950), REQUEST);
     assert_eq!(
         others,
         Some(ms(9950)),
-        "they wait for the one that was let through"
+        "they wait for the attempt that was let through"
+    );
+    tracker.record_crash(NOW, REQUEST, ACCOUNT, attempt(10, 15_900, 16_200));
+    assert_eq!(
+        tracker.hold_remaining(ms(16_200), REQUEST),
+        Some(ms(120_000))
+    );
+    tracker.record_crash(NOW, REQUEST, ACCOUNT, attempt(11, 139_000, 140_000));
+    assert_eq!(
+        tracker.hold_remaining(ms(140_000), REQUEST),
+        Some(ms(600_000))
     );
-    book.record_crash(NOW, REQUEST, ACCOUNT, run(10, 15_900, 16_200));
-    assert_eq!(book.hold_remaining(ms(16_200), REQUEST), Some(ms(120_000)));
-    book.record_crash(NOW, REQUEST, ACCOUNT, run(11, 139_000, 140_000));
-    assert_eq!(book.hold_remaining(ms(140_000), REQUEST), Some(ms(600_000)));
 }
 
 #[test]
-fn what_the_operator_lets_through_is_not_held_back() {
-    let mut book = book(&[(0, 500), (600, 900)]);
-    book.set_exempt(BTreeSet::from([REQUEST]));
-    assert_eq!(book.hold_remaining(ms(1000), REQUEST), None);
-    assert!(!is_held(&book, ms(1000)));
-    book.set_exempt(BTreeSet::new());
-    assert!(book.hold_remaining(ms(1000), REQUEST).is_some());
+fn an_exempt_request_is_not_held_back() {
+    let mut tracker = tracker(&[(0, 500), (600, 900)]);
+    tracker.set_exempt(BTreeSet::from([REQUEST]));
+    assert_eq!(tracker.hold_remaining(ms(1000), REQUEST), None);
+    assert!(!is_held(&tracker, ms(1000)));
+    tracker.set_exempt(BTreeSet::new());
+    assert!(tracker.hold_remaining(ms(1000), REQUEST).is_some());
 }
 
 #[test]
-fn an_account_that_changes_its_requests_fills_its_own_part_only() {
-    let mut book = book(&[(0, 500), (600, 900)]);
+fn an_account_with_many_requests_fills_its_own_part_only() {
+    let mut tracker = tracker(&[(0, 500), (600, 900)]);
     for number in 0..20_000u64 {
         let now = 1000 + number;
         let request = RequestDigest(1000 + number);
-        book.record_crash(NOW, request, 99, run(number as u32, now - 100, now));
+        tracker.record_crash(NOW, request, 99, attempt(number as u32, now - 100, now));
     }
-    assert!(is_held(&book, ms(14_000)));
+    assert!(is_held(&tracker, ms(14_000)));
     let flood: Vec<RequestDigest> = (1000..21_000).map(RequestDigest).collect();
-    let told = book.reports_for(ms(21_000), &flood);
-    assert!(told.len() <= 512, "{} are remembered", told.len());
+    let updates = tracker.reports_for(ms(21_000), &flood);
+    assert!(updates.len() <= 512, "{} are kept", updates.len());
 }
 
 #[test]
-fn a_request_is_forgotten_after_its_time() {
-    let mut book = book(&[(0, 500), (600, 900)]);
+fn a_request_is_removed_after_its_time() {
+    let mut tracker = tracker(&[(0, 500), (600, 900)]);
     let hour = 3_600_000;
-    book.record_crash(NOW, RequestDigest(8), ACCOUNT, run(10, hour - 10, hour));
-    book.remove_expired(ms(hour));
-    assert_eq!(book.reports_for(ms(hour), &[REQUEST]).len(), 1);
+    tracker.record_crash(NOW, RequestDigest(8), ACCOUNT, attempt(10, hour - 10, hour));
+    tracker.remove_expired(ms(hour));
+    assert_eq!(tracker.reports_for(ms(hour), &[REQUEST]).len(), 1);
     let later = hour + 2000;
-    book.record_crash(NOW, RequestDigest(9), ACCOUNT, run(11, later - 10, later));
-    book.remove_expired(ms(later));
-    assert_eq!(book.reports_for(ms(later), &[REQUEST]).len(), 0);
+    tracker.record_crash(
+        NOW,
+        RequestDigest(9),
+        ACCOUNT,
+        attempt(11, later - 10, later),
+    );
+    tracker.remove_expired(ms(later));
+    assert_eq!(tracker.reports_for(ms(later), &[REQUEST]).len(), 0);
 }
 
 #[test]
-fn what_was_before_a_routers_start_keeps_its_order() {
-    let notes = |runs: &[(u64, u64)]| book(runs).reports_for(ms(60_000), &[REQUEST]);
+fn crashes_before_a_routers_start_keep_their_order() {
+    let reports = |attempts: &[(u64, u64)]| tracker(attempts).reports_for(ms(60_000), &[REQUEST]);
     let together: Vec<(u64, u64)> = (0..6).map(|copy| (copy * 10, 1000 + copy)).collect();
     let mut started = SuspectTracker::default();
-    started.apply_reports(ms(5), ReporterScope::Router, &notes(&together));
+    started.apply_reports(ms(5), ReporterScope::Router, &reports(&together));
     assert!(!is_held(&started, ms(5)));
     let mut started = SuspectTracker::default();
     let held = started.apply_reports(
         ms(5),
         ReporterScope::Router,
-        &notes(&[(0, 50_500), (50_600, 50_900)]),
+        &reports(&[(0, 50_500), (50_600, 50_900)]),
     );
     assert_eq!(held.len(), 1);
     assert_eq!(started.hold_remaining(ms(5), REQUEST), Some(ms(5900)));
 }
 
 #[test]
-fn what_was_learnt_is_told_twice_and_what_lasts_is_listed() {
-    let mut book = book(&[(0, 500), (600, 900)]);
+fn updates_are_sent_twice_and_held_requests_are_listed() {
+    let mut tracker = tracker(&[(0, 500), (600, 900)]);
     for _ in 0..2 {
-        assert_eq!(book.take_local_updates(ms(1000)).len(), 1);
-        assert_eq!(book.take_zone_updates(ms(1000)).len(), 1);
+        assert_eq!(tracker.take_local_updates(ms(1000)).len(), 1);
+        assert_eq!(tracker.take_zone_updates(ms(1000)).len(), 1);
     }
-    assert_eq!(book.take_local_updates(ms(1000)).len(), 0);
-    assert_eq!(book.requests_with_hold(), &BTreeSet::from([REQUEST]));
-    let notes = book.reports_for(ms(1000), &[REQUEST]);
+    assert_eq!(tracker.take_local_updates(ms(1000)).len(), 0);
+    assert_eq!(tracker.requests_with_hold(), &BTreeSet::from([REQUEST]));
+    let reports = tracker.reports_for(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
     assert_eq!(
         other
-            .apply_reports(ms(9), ReporterScope::Router, &notes)
+            .apply_reports(ms(9), ReporterScope::Router, &reports)
             .len(),
         1
     );
     assert_eq!(
         other.take_local_updates(ms(9)).len(),
         0,
-        "its zone was told by who told it"
+        "the sender informs its own zone"
     );
     assert_eq!(other.take_zone_updates(ms(9)).len(), 1);
     assert_eq!(
         other
-            .apply_reports(ms(10), ReporterScope::Router, &notes)
+            .apply_reports(ms(10), ReporterScope::Router, &reports)
             .len(),
         0
     );
-    let mut far = SuspectTracker::default();
-    far.apply_reports(ms(9), ReporterScope::Zone, &notes);
-    assert_eq!(far.take_zone_updates(ms(9)).len(), 0);
+    let mut other_zone = SuspectTracker::default();
+    other_zone.apply_reports(ms(9), ReporterScope::Zone, &reports);
+    assert_eq!(other_zone.take_zone_updates(ms(9)).len(), 0);
 }
 
 #[test]
-fn a_router_that_missed_the_excuse_hears_of_it_when_it_tells_what_it_knows() {
-    let mut missed = book(&[(0, 500), (600, 900)]);
-    let notes = missed.reports_for(ms(1000), &[REQUEST]);
+fn a_router_that_missed_a_clearing_answer_learns_of_it_when_it_sends_its_report() {
+    let mut uninformed = tracker(&[(0, 500), (600, 900)]);
+    let reports = uninformed.reports_for(ms(1000), &[REQUEST]);
     let mut other = SuspectTracker::default();
-    other.apply_reports(ms(1000), ReporterScope::Router, &notes);
+    other.apply_reports(ms(1000), ReporterScope::Router, &reports);
     other.record_answered(ms(1000), REQUEST);
     for _ in 0..2 {
         other.take_local_updates(ms(1100));
     }
-    other.apply_reports(ms(2000), ReporterScope::Router, &notes);
-    let told = other.take_local_updates(ms(2000));
-    missed.apply_reports(ms(2000), ReporterScope::Router, &told);
-    assert!(!is_held(&missed, ms(2000)));
+    other.apply_reports(ms(2000), ReporterScope::Router, &reports);
+    let updates = other.take_local_updates(ms(2000));
+    uninformed.apply_reports(ms(2000), ReporterScope::Router, &updates);
+    assert!(!is_held(&uninformed, ms(2000)));
 }
 
-fn notes_of_ends() -> impl Strategy<Value = Vec<SuspectReport>> {
-    let end = (0..6u32, any::<bool>()).prop_map(|(key, is_cleared)| CrashReport {
+fn suspect_reports() -> impl Strategy<Value = Vec<SuspectReport>> {
+    let crash = (0..6u32, any::<bool>()).prop_map(|(key, is_cleared)| CrashReport {
         key,
         replica: key / 2,
         began_ms: 10_000 - 1000 * key,
@@ -246,32 +271,32 @@
         is_early: key % 3 > 0,
         is_cleared,
     });
-    let note = prop::collection::vec(end, 0..4).prop_map(|ends| SuspectReport {
+    let report = prop::collection::vec(crash, 0..4).prop_map(|crashes| SuspectReport {
         request: REQUEST,
         account: ACCOUNT,
-        crashes: ends,
+        crashes,
     });
-    prop::collection::vec(note, 0..8)
+    prop::collection::vec(report, 0..8)
 }
 
 proptest! {
-    /// Datagrams are lost, doubled and overtake each other: who heard the same knows the
-    /// same.
+    /// Datagrams are lost, duplicated and reordered: routers that received the same reports know
+    /// the same.
     #[test]
-    fn notes_add_up_in_any_order_and_however_often(
-        notes in notes_of_ends(),
+    fn reports_in_any_order_and_number_give_the_same_state(
+        reports in suspect_reports(),
         order in any::<prop::sample::Index>(),
     ) {
         let now = ms(20_000);
         let mut one = SuspectTracker::default();
-        for note in &notes {
-            one.apply_reports(now, ReporterScope::Router, std::slice::from_ref(note));
+        for report in &reports {
+            one.apply_reports(now, ReporterScope::Router, std::slice::from_ref(report));
         }
         let mut other = SuspectTracker::default();
-        let turn = if notes.is_empty() { 0 } else { order.index(notes.len()) };
-        let turned = notes.iter().cycle().skip(turn).take(notes.len());
-        for note in turned.chain(notes.iter().rev()) {
-            other.apply_reports(now, ReporterScope::Zone, std::slice::from_ref(note));
+        let offset = if reports.is_empty() { 0 } else { order.index(reports.len()) };
+        let rotated = reports.iter().cycle().skip(offset).take(reports.len());
+        for report in rotated.chain(reports.iter().rev()) {
+            other.apply_reports(now, ReporterScope::Zone, std::slice::from_ref(report));
         }
         prop_assert_eq!(one.held_requests(now), other.held_requests(now));
         prop_assert_eq!(one.reports_for(now, &[REQUEST]), other.reports_for(now, &[REQUEST]));
