--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -152,8 +152,8 @@
     tracker.record_requested(then, small, 600.0);
     tracker.record_allocated(then, small, 600.0);
     tracker.record_requested(then, big, 100.0);
-    let left = wait_if_over(&mut tracker, then, big).unwrap_or_default();
-    assert!(left < wait, "{left:?} after {wait:?}");
+    let remaining = wait_if_over(&mut tracker, then, big).unwrap_or_default();
+    assert!(remaining < wait, "{remaining:?} after {wait:?}");
 }
 
 #[test]
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -238,9 +238,9 @@
 
 #[test]
 fn an_entry_whose_start_is_no_whole_number_is_refused() {
-    let parsed_start = |started_unix_ms: &str| {
+    let parsed_start = |born_field: &str| {
         let text = format!(
-            r#"{{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1{started_unix_ms}}}"#
+            r#"{{"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":4,"state":"ready","cold_remaining_ms":0,"sequence":1{born_field}}}"#
         );
         parse_replica("i-1", &text)
             .map(|entry| entry.started_unix_ms)
