--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn allocations_of_peers_count_until_they_are_old() {
+fn what_peers_gave_counts_until_it_is_old() {
     let (big, small) = (name_hash("big"), name_hash("small"));
     let mut here = ShareTracker::new(WINDOW, AGE);
     let mut there = ShareTracker::new(WINDOW, AGE);
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -424,7 +424,7 @@
 
 /// 2, then 12 long prompts per second, beside 40 chats: fewer replicas run chats then.
 #[test]
-fn the_number_of_replicas_for_chats_follows_the_load() {
+fn borders_move_with_the_load() {
     let kinds = [
         Kind {
             per_s: 40.0,
