--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -102,7 +102,10 @@
         sent_reports.placements(ms(0), REFRESH, vec![placement, placement]),
         [placement]
     );
-    assert_eq!(sent_reports.placements(ms(400), REFRESH, vec![placement]), []);
+    assert_eq!(
+        sent_reports.placements(ms(400), REFRESH, vec![placement]),
+        []
+    );
     assert_eq!(
         sent_reports.placements(ms(600), REFRESH, vec![placement]),
         [placement]
