--- a/testbed/src/soak/attempt.rs
+++ b/testbed/src/soak/caller_request.rs
@@ -1,15 +1,15 @@
 use {crate::direct::ClientAnswer, std::time::Instant};
 
-/// The kinds of request that callers send.
+/// Kinds of request that callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    Read,   // may run more than once
-    Charge, // runs once at most
-    Events, // a stream that may be resumed
+pub enum RequestKind {
+    Read,   // idempotent
+    Charge, // must run at most once
+    Events, // a resumable stream
 }
 
-impl Kind {
-    /// What its path begins with.
+impl RequestKind {
+    /// Path prefix of the route.
     pub fn path(self) -> &'static str {
         match self {
             Self::Read => "/read/",
@@ -18,7 +18,7 @@
         }
     }
 
-    /// The service whose replicas run it.
+    /// Service whose replicas run the request.
     pub fn service(self) -> &'static str {
         match self {
             Self::Read | Self::Charge => "plain",
@@ -27,20 +27,20 @@
     }
 }
 
-/// One request of a caller and what came of it.
+/// One request of a caller and its answer.
 #[derive(Debug, Clone)]
-pub struct Attempt {
+pub struct CallerRequest {
     pub id: String,
-    pub kind: Kind,
+    pub kind: RequestKind,
     pub router: usize,
     pub sent: Instant,
     pub ended: Instant,
-    pub answer: Option<ClientAnswer>, // none: the caller gave up
+    pub answer: Option<ClientAnswer>, // none if the caller timed out
 }
 
-impl Attempt {
-    /// The status, 0 if the connection ended before one, none if none came in
-    /// the caller's time.
+impl CallerRequest {
+    /// Status of the answer: 0 if the connection ended before one arrived, none if the caller
+    /// timed out.
     pub fn status(&self) -> Option<u16> {
         self.answer.as_ref().map(|answer| answer.status)
     }
--- a/testbed/src/soak/callers.rs
+++ b/testbed/src/soak/callers.rs
@@ -1,5 +1,5 @@
 use {
-    super::attempt::{Attempt, Kind},
+    super::caller_request::{CallerRequest, RequestKind},
     crate::direct::{Client, ClientAnswer, ClientRequest},
     rand::{Rng, SeedableRng, rngs::StdRng},
     std::{
@@ -10,53 +10,53 @@
     tokio::{sync::watch, task::JoinSet, time::timeout},
 };
 
-/// How long a caller says that it waits, and how long it does.
-const PATIENCE_MS: &str = "4000";
-const GIVES_UP: Duration = Duration::from_secs(8);
+/// Deadline that a caller states in its request, and the time after which it gives up.
+const DEADLINE_MS: &str = "4000";
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Pause of a caller that finds no router.
-const NOBODY: Duration = Duration::from_millis(50);
+/// Pause of a caller whose connection was refused.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Callers that send one request after the other until they are told to stop.
+/// Callers that send one request after the other until `end`.
 pub struct Callers {
-    attempts: Arc<Mutex<Vec<Attempt>>>,
+    requests: Arc<Mutex<Vec<CallerRequest>>>,
     stop: watch::Sender<bool>,
     tasks: JoinSet<()>,
 }
 
 impl Callers {
-    /// Starts so many for each router.
+    /// Starts `per_router` callers for each router.
     pub fn start(
         seed: u64,
         routers: &[SocketAddr],
-        each: usize,
+        per_router: usize,
     ) -> Self {
-        let attempts = Arc::new(Mutex::new(Vec::new()));
+        let requests = Arc::new(Mutex::new(Vec::new()));
         let stop = watch::Sender::new(false);
         let mut tasks = JoinSet::new();
-        for number in 0..routers.len() * each {
+        for number in 0..routers.len() * per_router {
             let router = number % routers.len();
             let caller = Caller {
                 number,
                 router,
                 address: routers[router],
                 random: StdRng::seed_from_u64(seed ^ (number as u64) << 32),
-                attempts: attempts.clone(),
+                requests: requests.clone(),
             };
             tasks.spawn(caller.run(stop.subscribe()));
         }
         Self {
-            attempts,
+            requests,
             stop,
             tasks,
         }
     }
 
-    /// Ends them after their last answers, and gives what they saw.
-    pub async fn end(self) -> Vec<Attempt> {
+    /// Stops the callers after their last answers, and returns all their requests.
+    pub async fn end(self) -> Vec<CallerRequest> {
         self.stop.send_replace(true);
         self.tasks.join_all().await;
-        std::mem::take(&mut *self.attempts.lock().expect("attempts lock"))
+        std::mem::take(&mut *self.requests.lock().expect("attempts lock"))
     }
 }
 
@@ -65,7 +65,7 @@
     router: usize,
     address: SocketAddr,
     random: StdRng,
-    attempts: Arc<Mutex<Vec<Attempt>>>,
+    requests: Arc<Mutex<Vec<CallerRequest>>>,
 }
 
 impl Caller {
@@ -76,38 +76,38 @@
         let mut client = None;
         let mut sent = 0u64;
         while !*stop.borrow() {
-            let Some(open) = client.take() else {
+            let Some(connected) = client.take() else {
                 client = Client::connect(self.address).await.ok();
                 if client.is_none() {
-                    tokio::time::sleep(NOBODY).await;
+                    tokio::time::sleep(RECONNECT_DELAY).await;
                 }
                 continue;
             };
             sent += 1;
-            client = self.call(open, sent).await;
+            client = self.call(connected, sent).await;
             let pause = self.random.random_range(2..20);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
     }
 
-    /// One request. Gives the connection back if it may be used again.
+    /// Sends one request. Returns the connection if it can be reused.
     async fn call(
         &mut self,
         mut client: Client,
         sent: u64,
     ) -> Option<Client> {
         let kind = match self.random.random_range(0..10) {
-            0..4 => Kind::Read,
-            4..8 => Kind::Charge,
-            _ => Kind::Events,
+            0..4 => RequestKind::Read,
+            4..8 => RequestKind::Charge,
+            _ => RequestKind::Events,
         };
         let id = format!("c{}-{sent}", self.number);
         let request =
-            ClientRequest::post(kind.path(), &id, "{}").header("Archmast-Deadline-Ms", PATIENCE_MS);
+            ClientRequest::post(kind.path(), &id, "{}").header("Archmast-Deadline-Ms", DEADLINE_MS);
         let began = Instant::now();
-        let answer = timeout(GIVES_UP, client.call(&request)).await.ok();
-        let keeps = answer.as_ref().is_some_and(may_go_on);
-        let attempt = Attempt {
+        let answer = timeout(ANSWER_TIMEOUT, client.call(&request)).await.ok();
+        let is_reusable = answer.as_ref().is_some_and(allows_reuse);
+        let request = CallerRequest {
             id,
             kind,
             router: self.router,
@@ -115,11 +115,11 @@
             ended: Instant::now(),
             answer,
         };
-        self.attempts.lock().expect("attempts lock").push(attempt);
-        keeps.then_some(client)
+        self.requests.lock().expect("attempts lock").push(request);
+        is_reusable.then_some(client)
     }
 }
 
-fn may_go_on(answer: &ClientAnswer) -> bool {
+fn allows_reuse(answer: &ClientAnswer) -> bool {
     answer.status != 0 && answer.whole && answer.header("connection") != "close"
 }
--- a/testbed/src/soak/checks.rs
+++ b/testbed/src/soak/checks.rs
@@ -1,14 +1,14 @@
-//! The promises, held against what callers and replicas saw.
+//! Checks what callers and replicas observed against the documented guarantees.
 
 use {
     super::{
-        attempt::{Attempt, Kind},
+        caller_request::{CallerRequest, RequestKind},
         drain_check::late_arrivals,
         fault_span::FaultSpan,
-        notice_check::unheeded,
+        notice_check::ignored_notices,
         record::Record,
-        replica_slot::{EVENTS, PLAIN_BODY},
-        zone_check::{emptied, overrun},
+        replica_slot::{EVENTS_PER_STREAM, PLAIN_BODY},
+        zone_check::{emptied_zone_arrivals, slow_start_excess},
     },
     crate::direct::{ClientAnswer, event},
     archmast::codes::ResultCode,
@@ -18,26 +18,26 @@
     },
 };
 
-/// Within this time of its confirmation, or of the end of what hid the store, a
-/// configuration is in force: twice the routers' [catalog] apply, since the machine's
-/// other work takes its time too.
-const IN_FORCE: Duration = Duration::from_secs(4);
+/// Time within which a configuration must be in force after the store confirmed it, or after
+/// the end of a fault that hid the store. Twice the routers' setting `[catalog] apply`, since
+/// the test machine runs other work as well.
+const CONFIG_APPLY_LIMIT: Duration = Duration::from_secs(4);
 
-/// Statuses that say that a request did not run and never will.
-const NOT_RUN: &[u16] = &[408, 421, 429, 503];
+/// Statuses that tell a caller that its request did not run and never will.
+const NOT_RUN_STATUSES: &[u16] = &[408, 421, 429, 503];
 
-/// Each broken promise, in words.
+/// Returns one text for each guarantee that did not hold.
 pub fn broken(record: &Record) -> Vec<String> {
-    let attempts = record.attempts.iter();
-    let mut broken: Vec<String> = attempts
-        .flat_map(|attempt| broken_by(record, attempt))
+    let requests = record.requests.iter();
+    let mut broken: Vec<String> = requests
+        .flat_map(|request| request_violations(record, request))
         .collect();
-    broken.extend(unasked(record));
+    broken.extend(unsent_requests(record));
     broken.extend(late_arrivals(record).late);
-    broken.extend(unheeded(record));
-    broken.extend(emptied(record));
-    broken.extend(overrun(record));
-    broken.extend(outdated(record));
+    broken.extend(ignored_notices(record));
+    broken.extend(emptied_zone_arrivals(record));
+    broken.extend(slow_start_excess(record));
+    broken.extend(late_configurations(record));
     broken.extend(
         record
             .unserved
@@ -47,82 +47,83 @@
     broken
 }
 
-fn broken_by(
+fn request_violations(
     record: &Record,
-    attempt: &Attempt,
+    request: &CallerRequest,
 ) -> Vec<String> {
-    let id = &attempt.id;
+    let id = &request.id;
     let none = Vec::new();
     let runs = record.runs.get(id).unwrap_or(&none);
     let mut broken = Vec::new();
-    if attempt.kind == Kind::Charge && runs.len() > 1 {
+    if request.kind == RequestKind::Charge && runs.len() > 1 {
         broken.push(format!("twice: {id} ran {} times", runs.len()));
     }
     if runs
         .iter()
-        .any(|service| *service != attempt.kind.service())
+        .any(|service| *service != request.kind.service())
     {
         broken.push(format!("route: {id} ran at {runs:?}"));
     }
-    let refused = attempt
+    let refused = request
         .status()
-        .is_some_and(|status| NOT_RUN.contains(&status));
+        .is_some_and(|status| NOT_RUN_STATUSES.contains(&status));
     if refused && !runs.is_empty() {
-        broken.push(format!("refused: {id} got {:?} and ran", attempt.status()));
+        broken.push(format!("refused: {id} got {:?} and ran", request.status()));
     }
-    if let Some(why) = mixed(attempt) {
+    if let Some(why) = wrong_answer(request) {
         broken.push(format!("mixed: {id} {why}"));
     }
-    if let Some(why) = lost(record, attempt, !runs.is_empty()) {
-        broken.push(format!("lost: {id} at router {} {why}", attempt.router));
+    if let Some(why) = lost_request(record, request, !runs.is_empty()) {
+        broken.push(format!("lost: {id} at router {} {why}", request.router));
     }
     broken
 }
 
-/// A success must be the replica's whole answer to this very request.
-fn mixed(attempt: &Attempt) -> Option<String> {
-    let answer = attempt.answer.as_ref()?;
+/// Returns what is wrong with a success: it must be the replica's complete answer to this
+/// very request.
+fn wrong_answer(request: &CallerRequest) -> Option<String> {
+    let answer = request.answer.as_ref()?;
     if answer.status != 200 || !answer.whole {
         return None;
     }
-    if answer.header("archmast-attempt-id") != attempt.id {
+    if answer.header("archmast-attempt-id") != request.id {
         let other = answer.header("archmast-attempt-id");
         return Some(format!("got the answer to {other:?}"));
     }
     if answer.header("archmast-replica-signature").is_empty() {
         return Some("got a success without a signature".to_owned());
     }
-    let expected = match attempt.kind {
-        Kind::Events => (1..=EVENTS).map(event).collect(),
-        Kind::Read | Kind::Charge => PLAIN_BODY.to_owned(),
+    let expected = match request.kind {
+        RequestKind::Events => (1..=EVENTS_PER_STREAM).map(event).collect(),
+        RequestKind::Read | RequestKind::Charge => PLAIN_BODY.to_owned(),
     };
     (answer.text() != expected).then(|| format!("got {:?}", answer.text()))
 }
 
-/// Where nothing but planned work was going on, every request is served, or
-/// refused by a router that stops.
-fn lost(
+/// Returns how a request was lost. While nothing but planned work went on, every request must
+/// be served, or refused by a router that stops.
+fn lost_request(
     record: &Record,
-    attempt: &Attempt,
+    request: &CallerRequest,
     ran: bool,
 ) -> Option<String> {
-    let touching = |span: &&FaultSpan| span.touches(attempt.sent, attempt.ended);
-    let mut around = record.spans.iter().filter(touching);
+    let affecting = |span: &&FaultSpan| span.affects(request.sent, request.ended);
+    let mut around = record.spans.iter().filter(affecting);
     if around.any(|span| !span.fault.is_planned()) {
         return None;
     }
-    let Some(answer) = &attempt.answer else {
+    let Some(answer) = &request.answer else {
         return Some("got no answer in calm".to_owned());
     };
-    if is_starved(record, attempt, answer) {
+    if is_starved(record, request, answer) {
         return None;
     }
     let served = answer.status == 200 && answer.whole;
-    let crossed = answer.status == 0 && !ran;
-    let refused = NOT_RUN.contains(&answer.status);
-    let calm = !record.spans.iter().any(|span| touching(&span));
-    let fine = served || (!calm && (crossed || refused));
-    (!fine).then(|| {
+    let closed_unread = answer.status == 0 && !ran;
+    let refused = NOT_RUN_STATUSES.contains(&answer.status);
+    let is_calm = !record.spans.iter().any(|span| affecting(&span));
+    let is_allowed = served || (!is_calm && (closed_unread || refused));
+    (!is_allowed).then(|| {
         format!(
             "got {} (code {:?}, whole: {}) with ran = {ran}",
             answer.status,
@@ -132,55 +133,56 @@
     })
 }
 
-/// Requests that routers refused for want of processor while the machine gave them none.
+/// Number of requests that routers refused for lack of processor while the machine gave them
+/// none.
 pub fn starved_refusals(record: &Record) -> usize {
-    let attempts = record.attempts.iter();
-    let answered = attempts.filter_map(|attempt| Some((attempt, attempt.answer.as_ref()?)));
-    let starved = answered.filter(|(attempt, answer)| is_starved(record, attempt, answer));
+    let requests = record.requests.iter();
+    let answered = requests.filter_map(|request| Some((request, request.answer.as_ref()?)));
+    let starved = answered.filter(|(request, answer)| is_starved(record, request, answer));
     starved.count()
 }
 
-/// Whether a router refused for want of processor, and the machine gave it none: that it
-/// does so then is what it promises.
+/// Whether a router refused for lack of processor while the machine gave it none. Such a
+/// refusal is what the product promises.
 fn is_starved(
     record: &Record,
-    attempt: &Attempt,
+    request: &CallerRequest,
     answer: &ClientAnswer,
 ) -> bool {
     let is_busy = answer.code() == Some(ResultCode::RouterBusy.number().into());
     is_busy
         && record
             .starvation
-            .explains_refusal(attempt.router, attempt.ended)
+            .explains_refusal(request.router, request.ended)
 }
 
-fn unasked(record: &Record) -> Vec<String> {
-    let known: HashSet<&str> = record.attempts.iter().map(|a| a.id.as_str()).collect();
+fn unsent_requests(record: &Record) -> Vec<String> {
+    let known: HashSet<&str> = record.requests.iter().map(|a| a.id.as_str()).collect();
     let runs = record.runs.keys();
     runs.filter(|id| !known.contains(id.as_str()) && !id.starts_with("probe"))
         .map(|id| format!("unasked: {id:?} ran, and nobody sent it"))
         .collect()
 }
 
-/// A confirmed configuration is in force in time, counted from the end of what kept a
-/// router from hearing of it.
-fn outdated(record: &Record) -> Vec<String> {
-    let mut outdated = Vec::new();
+/// Configurations that came into force too late, counted from the end of the faults that hid
+/// the store from the router.
+fn late_configurations(record: &Record) -> Vec<String> {
+    let mut late_configurations = Vec::new();
     for change in &record.changes {
-        let until = change.served;
+        let served = change.served;
         let hiding = |span: &&FaultSpan| {
             let hides = span.fault.hides_the_store_from(change.router);
-            hides && until.is_none_or(|until| span.began <= until)
+            hides && served.is_none_or(|served| span.began <= served)
         };
         let ends = record.spans.iter().filter(hiding).map(|span| span.ended);
-        let due = ends.fold(change.confirmed, Instant::max) + IN_FORCE;
-        if until.is_none_or(|until| until > due) {
-            let took = until.map(|until| until - change.confirmed);
-            outdated.push(format!(
+        let due = ends.fold(change.confirmed, Instant::max) + CONFIG_APPLY_LIMIT;
+        if served.is_none_or(|served| served > due) {
+            let took = served.map(|served| served - change.confirmed);
+            late_configurations.push(format!(
                 "config: version {} was in force at router {} after {took:?}",
                 change.version, change.router
             ));
         }
     }
-    outdated
+    late_configurations
 }
--- a/testbed/src/soak/drain_check.rs
+++ b/testbed/src/soak/drain_check.rs
@@ -3,16 +3,17 @@
     std::time::Duration,
 };
 
-/// What reached replicas after they had left.
+/// Requests that reached replicas after the store had confirmed that they leave.
 #[derive(Debug, Default)]
 pub struct LateArrivals {
-    pub late: Vec<String>, // the broken promises, in words
-    pub excused: usize,    // late too, but their router, or the store, was in trouble
+    pub late: Vec<String>, // not allowed, one text each
+    pub excused: usize,    // late too, but a fault had hidden the store from their router
     pub in_time: usize,
 }
 
-/// Holds each request that reached a leaving replica against the store's word. A router
-/// is not held to it while it, or the store, is in trouble, nor for `contact` after.
+/// Classifies each request that reached a leaving replica by its time since the store's
+/// confirmation. A router is excused while a fault interrupts it or hides the store from it,
+/// and for the setting `contact` afterwards.
 pub fn late_arrivals(record: &Record) -> LateArrivals {
     let senders = record.senders();
     let mut found = LateArrivals::default();
@@ -22,17 +23,17 @@
             let sender = senders.get(arrival.id.as_str()).copied();
             if after <= record.fleet.drain {
                 found.in_time += 1;
-            } else if sender.is_some_and(|router| record.excuses(router, arrival.at)) {
+            } else if sender.is_some_and(|router| record.had_store_trouble(router, arrival.at)) {
                 found.excused += 1;
             } else {
-                found.late.push(in_words(drain, arrival, sender, after));
+                found.late.push(describe(drain, arrival, sender, after));
             }
         }
     }
     found
 }
 
-fn in_words(
+fn describe(
     drain: &DrainSeen,
     arrival: &Arrival,
     sender: Option<usize>,
--- a/testbed/src/soak/ending_kind.rs
+++ b/testbed/src/soak/ending_kind.rs
@@ -1,20 +1,22 @@
 /// What happens in a run beside the harmless requests.
+///
+/// The variants are printed by name in the result line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndingKind {
-    /// Replicas come back under new ids.
+    /// Crashed replicas restart under new ids.
     NewIds,
-    /// They come back after a second under the ids that they had.
+    /// Crashed replicas restart under the same ids, after one second.
     SameIds,
-    /// Routers are killed one after the other.
+    /// Replicas restart under new ids, and routers are killed one after the other.
     RoutersKilled,
-    /// All harmless requests are one and the same.
+    /// All harmless requests have the same body.
     OneRequest,
-    /// No such request; replicas break off a fifth of their connections and live on.
+    /// No request crashes a replica; replicas close a fifth of their connections and keep running.
     CutOff,
 }
 
 impl EndingKind {
-    /// All of them.
+    /// All scenarios.
     pub const ALL: [Self; 5] = [
         Self::NewIds,
         Self::SameIds,
--- a/testbed/src/soak/ending_result.rs
+++ b/testbed/src/soak/ending_result.rs
@@ -1,19 +1,19 @@
 use super::EndingKind;
 
-/// What a run showed.
+/// Outcome of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndingResult {
     pub kind: EndingKind,
     pub seed: u64,
-    pub ended: usize,    // replicas
-    pub late: usize,     // sends later than allowed after the third end
-    pub harmless: usize, // requests
+    pub ended: usize,    // replicas that crashed
+    pub late: usize,     // arrivals of the fatal request after every router had to know it
+    pub harmless: usize, // harmless requests sent
     pub served: usize,
-    pub held: usize, // harmless ones that were held back
+    pub held: usize, // harmless requests that a router held back
 }
 
 impl EndingResult {
-    /// One line for people.
+    /// One line for the terminal.
     pub fn summary(&self) -> String {
         let served = self.served as f64 / self.harmless.max(1) as f64;
         format!(
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -16,58 +16,58 @@
     },
 };
 
-/// Routers of each zone, and replicas in all.
-const ZONES: [usize; 3] = [2, 2, 2];
+/// Number of routers in each zone, and of replicas in all.
+const ROUTERS_PER_ZONE: [usize; 3] = [2, 2, 2];
 const REPLICAS: usize = 18;
 
-/// The request that ends each replica that begins to run it, and how often it comes, at a
-/// router drawn at random.
-const FATAL: &str = "a prompt that no engine survives";
-const FATAL_EVERY: Duration = Duration::from_millis(400);
+/// Body of the request that crashes each replica that begins to run it, and how often it is
+/// sent, to a router drawn at random.
+const FATAL_PROMPT: &str = "a prompt that no engine survives";
+const FATAL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Callers of each router that send harmless requests, and their pause between two, in
-/// milliseconds: some 80 a second in all.
-const CALLERS: usize = 4;
+/// milliseconds: about 80 requests a second in all.
+const CALLERS_PER_ROUTER: usize = 4;
 const PAUSE_MS: std::ops::Range<u64> = 150..350;
 
-/// How long a replica works on a request.
-const WORK: Duration = Duration::from_millis(50);
+/// Time in which a replica answers a request.
+const SERVICE_TIME: Duration = Duration::from_millis(50);
 
-/// How long a replica is away after it ended.
-const AWAY: Duration = Duration::from_secs(3);
-const AWAY_BRIEFLY: Duration = Duration::from_secs(1);
+/// Time from the crash of a replica to its restart.
+const RESTART_DELAY: Duration = Duration::from_secs(3);
+const SHORT_RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// A router is killed this often, where the run says so, and started again after this.
-const KILL_EVERY: Duration = Duration::from_millis(2500);
-const DOWN: Duration = Duration::from_millis(300);
+/// How often a router is killed in the scenario that does so, and when it is started again.
+const KILL_INTERVAL: Duration = Duration::from_millis(2500);
+const ROUTER_DOWNTIME: Duration = Duration::from_millis(300);
 
-/// Ends after which all routers are to know the request, the time that they have for it,
-/// and the sends that may come later than that.
-const KNOWN_AFTER: usize = 3;
-const CONTACT: Duration = Duration::from_secs(3);
+/// Crashes after which all routers have to hold the fatal request back, the time until they
+/// all do, and the arrivals at replicas that are tolerated after that.
+const CRASHES_UNTIL_KNOWN: usize = 3;
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 pub const MOST_LATE: usize = 3;
 
-/// How long a caller waits.
-const GIVES_UP: Duration = Duration::from_secs(6);
+/// Time after which a caller gives up.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The replicas that run, and what those that ended had seen.
-struct Place {
+/// A replica and its place in the fleet.
+struct PlacedReplica {
     replica: Replica,
     number: usize,
-    lives: usize,
+    generation: usize,
 }
 
-/// Runs six routers in three zones before 18 replicas for `length`, while a request comes
-/// again and again that ends each replica that begins to run it.
+/// Runs six routers in three zones with 18 replicas for `length`, while callers repeatedly
+/// send a request that crashes each replica that begins to run it.
 pub async fn ending_run(
     kind: EndingKind,
     seed: u64,
     length: Duration,
 ) -> EndingResult {
-    let mut fleet = DirectFleet::start_in_zones(&ZONES, "").await;
+    let mut fleet = DirectFleet::start_in_zones(&ROUTERS_PER_ZONE, "").await;
     let mut places = Vec::new();
     for number in 0..REPLICAS {
-        places.push(Place::start(&fleet, kind, number, 0).await);
+        places.push(PlacedReplica::start(&fleet, kind, number, 0).await);
     }
     let read = RouteText {
         attempts: 3,
@@ -83,138 +83,149 @@
         fleet.serves(router, "/read/", 200).await;
     }
     let stop = watch::Sender::new(false);
-    let tally: Arc<Mutex<Tally>> = Arc::default();
+    let counts: Arc<Mutex<HarmlessCounts>> = Arc::default();
     let mut work = JoinSet::new();
     for (number, router) in fleet.callers.clone().into_iter().enumerate() {
-        for caller in 0..CALLERS {
-            let random = StdRng::seed_from_u64(seed ^ ((number * CALLERS + caller) as u64) << 32);
-            let harmless = harmless(kind, router, random, stop.subscribe(), tally.clone());
+        for caller in 0..CALLERS_PER_ROUTER {
+            let random =
+                StdRng::seed_from_u64(seed ^ ((number * CALLERS_PER_ROUTER + caller) as u64) << 32);
+            let harmless = send_harmless(kind, router, random, stop.subscribe(), counts.clone());
             work.spawn(harmless);
         }
     }
     if kind != EndingKind::CutOff {
         let random = StdRng::seed_from_u64(seed);
-        work.spawn(fatal_again(fleet.callers.clone(), random, stop.subscribe()));
+        work.spawn(send_fatal(fleet.callers.clone(), random, stop.subscribe()));
     }
-    let seen = play(&mut fleet, kind, seed, length, places).await;
+    let seen = replace_crashed(&mut fleet, kind, seed, length, places).await;
     stop.send_replace(true);
     work.join_all().await;
-    let tally = tally.lock().expect("tally lock").clone();
+    let counts = counts.lock().expect("tally lock").clone();
     EndingResult {
         kind,
         seed,
-        ended: seen.ends.len(),
+        ended: seen.crashes.len(),
         late: seen.late(),
-        harmless: tally.sent,
-        served: tally.served,
-        held: tally.held,
+        harmless: counts.sent,
+        served: counts.served,
+        held: counts.held,
     }
 }
 
-/// When replicas ended, and when the request reached one.
+/// When replicas crashed, and when the fatal request reached a replica.
 #[derive(Default)]
 struct Seen {
-    ends: Vec<Instant>,
+    crashes: Vec<Instant>,
     arrivals: Vec<Instant>,
 }
 
 impl Seen {
-    fn note(
+    fn record(
         &mut self,
         replica: &Replica,
     ) {
         let seen = replica.seen();
-        let fatal = seen.iter().filter(|request| request.text().contains(FATAL));
+        let fatal = seen
+            .iter()
+            .filter(|request| request.text().contains(FATAL_PROMPT));
         self.arrivals.extend(fatal.map(|request| request.arrived));
     }
 
-    /// Sends that came later than all routers had to know.
+    /// Arrivals after the time at which all routers had to know the request.
     fn late(&self) -> usize {
-        let mut ends = self.ends.clone();
-        ends.sort();
-        let Some(third) = ends.get(KNOWN_AFTER - 1) else {
+        let mut crashes = self.crashes.clone();
+        crashes.sort();
+        let Some(third) = crashes.get(CRASHES_UNTIL_KNOWN - 1) else {
             return 0;
         };
-        let late = self.arrivals.iter().filter(|at| **at > *third + CONTACT);
+        let late = self
+            .arrivals
+            .iter()
+            .filter(|at| **at > *third + PROPAGATION_TIME);
         late.count()
     }
 }
 
-impl Place {
+impl PlacedReplica {
     async fn start(
         fleet: &DirectFleet,
         kind: EndingKind,
         number: usize,
-        lives: usize,
+        generation: usize,
     ) -> Self {
         let usual = ReplicaAnswer::Slow {
             body: "served".to_owned(),
-            after: WORK,
+            after: SERVICE_TIME,
         };
         let id = match kind {
             EndingKind::SameIds => format!("i-{number}"),
-            _ => format!("i-{number}-{lives}"),
+            _ => format!("i-{number}-{generation}"),
         };
         let replica = Replica::start(fleet.standins(), &id, usual).await;
-        replica.ends_under(FATAL);
+        replica.ends_under(FATAL_PROMPT);
         if kind == EndingKind::CutOff {
             replica.cuts_one_in(5);
         }
-        let zone = zone_name(number % ZONES.len());
-        let born = lives as u64 + 1;
+        let zone = zone_name(number % ROUTERS_PER_ZONE.len());
+        let start_number = generation as u64 + 1;
         fleet
             .store
-            .list_start(&zone, &id, born, "s", replica.address);
+            .list_start(&zone, &id, start_number, "s", replica.address);
         Self {
             replica,
             number,
-            lives,
+            generation,
         }
     }
 }
 
-/// Starts replicas again that ended, and kills routers where the run says so.
-async fn play(
+/// Restarts crashed replicas, and kills routers where the scenario does so, for `length`.
+async fn replace_crashed(
     fleet: &mut DirectFleet,
     kind: EndingKind,
     seed: u64,
     length: Duration,
-    mut places: Vec<Place>,
+    mut places: Vec<PlacedReplica>,
 ) -> Seen {
     let mut random = StdRng::seed_from_u64(seed ^ 1);
     let began = Instant::now();
     let mut seen = Seen::default();
-    let mut away: Vec<(Instant, Place)> = Vec::new();
-    let mut kill_at = began + KILL_EVERY;
+    let mut away: Vec<(Instant, PlacedReplica)> = Vec::new();
+    let mut kill_at = began + KILL_INTERVAL;
     let mut down: Option<(Instant, usize)> = None;
-    let briefly = kind == EndingKind::SameIds;
+    let keeps_ids = kind == EndingKind::SameIds;
     while began.elapsed() < length {
         for index in (0..places.len()).rev() {
             if places[index].replica.has_ended() {
                 let now = Instant::now();
-                seen.ends.push(now);
+                seen.crashes.push(now);
                 away.push((now, places.remove(index)));
             }
         }
-        let time = if briefly { AWAY_BRIEFLY } else { AWAY };
+        let time = if keeps_ids {
+            SHORT_RESTART_DELAY
+        } else {
+            RESTART_DELAY
+        };
         for index in (0..away.len()).rev() {
             if away[index].0.elapsed() >= time {
                 let (_, place) = away.remove(index);
-                seen.note(&place.replica);
-                if !briefly {
+                seen.record(&place.replica);
+                if !keeps_ids {
                     fleet.store.remove(&place.replica.id);
                 }
-                let next = Place::start(fleet, kind, place.number, place.lives + 1).await;
+                let next =
+                    PlacedReplica::start(fleet, kind, place.number, place.generation + 1).await;
                 places.push(next);
             }
         }
         if kind == EndingKind::RoutersKilled && Instant::now() >= kill_at {
-            kill_at += KILL_EVERY;
+            kill_at += KILL_INTERVAL;
             let router = random.random_range(0..fleet.routers.len());
             fleet.routers[router].kill();
             down = Some((Instant::now(), router));
         }
-        if let Some((at, router)) = down.filter(|(at, _)| at.elapsed() >= DOWN) {
+        if let Some((at, router)) = down.filter(|(at, _)| at.elapsed() >= ROUTER_DOWNTIME) {
             log::debug!("router {router} is back after {:?}", at.elapsed());
             fleet.routers[router].restart().expect("it starts again");
             down = None;
@@ -223,26 +234,26 @@
     }
     let gone = away.iter().map(|(_, place)| place);
     for place in places.iter().chain(gone) {
-        seen.note(&place.replica);
+        seen.record(&place.replica);
     }
     seen
 }
 
 #[derive(Debug, Default, Clone)]
-struct Tally {
+struct HarmlessCounts {
     sent: usize,
     served: usize,
     held: usize,
 }
 
-/// Sends harmless requests until told to stop. A router that is down is not counted: its
-/// callers would go elsewhere.
-async fn harmless(
+/// Sends harmless requests until `stop` is set. Requests to a router that is down are not
+/// counted, since their callers would use another router.
+async fn send_harmless(
     kind: EndingKind,
     router: SocketAddr,
     mut random: StdRng,
     stop: watch::Receiver<bool>,
-    tally: Arc<Mutex<Tally>>,
+    counts: Arc<Mutex<HarmlessCounts>>,
 ) {
     while !*stop.borrow() {
         let body = match kind {
@@ -252,20 +263,20 @@
         if let Ok(mut client) = Client::connect(router).await {
             let id = format!("{:016x}", random.random::<u64>());
             let request = ClientRequest::post("/read/", &id, &body);
-            let answer = timeout(GIVES_UP, client.call(&request)).await;
-            let mut tally = tally.lock().expect("tally lock");
-            tally.sent += 1;
+            let answer = timeout(ANSWER_TIMEOUT, client.call(&request)).await;
+            let mut counts = counts.lock().expect("tally lock");
+            counts.sent += 1;
             if let Ok(answer) = answer {
-                tally.served += usize::from(answer.status == 200);
-                tally.held += usize::from(answer.code() == Some(44));
+                counts.served += usize::from(answer.status == 200);
+                counts.held += usize::from(answer.code() == Some(44));
             }
         }
         sleep(Duration::from_millis(random.random_range(PAUSE_MS))).await;
     }
 }
 
-/// Sends the request that ends replicas again and again, each time under another id.
-async fn fatal_again(
+/// Sends the fatal request repeatedly, each time under a new id.
+async fn send_fatal(
     routers: Vec<SocketAddr>,
     mut random: StdRng,
     stop: watch::Receiver<bool>,
@@ -275,11 +286,11 @@
         let router = routers[random.random_range(0..routers.len())];
         let id = format!("{:016x}", random.random::<u64>());
         sent.spawn(async move {
-            let request = ClientRequest::post("/fatal/", &id, FATAL);
-            let answer = timeout(GIVES_UP, Client::ask(router, &request)).await;
+            let request = ClientRequest::post("/fatal/", &id, FATAL_PROMPT);
+            let answer = timeout(ANSWER_TIMEOUT, Client::ask(router, &request)).await;
             log::debug!("{id}: {:?}", answer.map(|answer| answer.status));
         });
-        sleep(FATAL_EVERY).await;
+        sleep(FATAL_INTERVAL).await;
     }
     sent.join_all().await;
 }
--- a/testbed/src/soak/fault.rs
+++ b/testbed/src/soak/fault.rs
@@ -1,69 +1,71 @@
 use crate::direct::StoreMode;
 
-/// Something that happens to the fleet from outside.
+/// A fault injected into the fleet, or a planned action on it.
+///
+/// The variants are printed by name in the list of faults of a run. Numbers are indexes of
+/// routers, replica slots or zones.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// A router's process ends at once, and starts again.
+    /// A router is killed and started again.
     KillRouter(usize),
-    /// All of them at the same moment.
+    /// All routers are killed at the same time.
     KillAllRouters,
-    /// So many of them at the same moment, from the first on.
+    /// `count` routers from `first` on are killed at the same time.
     KillRouters { first: usize, count: usize },
-    /// A planned stop, and a new start.
+    /// A router is stopped as planned and started again.
     StopRouter(usize),
-    /// A router is paused and wakes.
+    /// A router process is suspended and resumed.
     FreezeRouter(usize),
-    /// A router is told that its settings changed.
+    /// A router gets the signal that its settings changed.
     HangUpRouter(usize),
-    /// The store answers one router like this.
+    /// The store answers one router in this mode.
     StoreTrouble(usize, StoreMode),
-    /// The store answers everyone like this.
+    /// The store answers all routers in this mode.
     StoreDown(StoreMode),
-    /// The store forgets its history.
+    /// The store discards its history of changes.
     ForgetHistory,
     /// The operator publishes a configuration with one more route.
     Publish,
-    /// A replica says that it leaves, serves on, and is replaced.
+    /// A replica is listed as draining, keeps serving, and is replaced.
     DrainReplica(usize),
-    /// A replica's entry goes without a word before; it serves on, and is replaced.
+    /// The entry of a replica is removed without notice; it keeps serving, and is replaced.
     UnlistReplica(usize),
-    /// A replica is gone without a word, and another takes its place.
+    /// A replica becomes unreachable without notice, and is replaced.
     CrashReplica(usize),
-    /// A replica runs its next requests, and loses or spoils their answers.
+    /// A replica runs its next requests, but loses or spoils their answers.
     SpoilAnswers(usize),
-    /// What passes to and from a replica takes longer.
+    /// Traffic to and from a replica is delayed.
     SlowLink(usize),
-    /// Nothing passes to and from a replica.
+    /// Traffic to and from a replica is blocked.
     CutLink(usize),
     /// All connections to a replica are reset.
     ResetLink(usize),
-    /// The open connections of a router to the store fall silent for good.
+    /// The open connections of a router to the store carry nothing more, without a reset.
     SilenceStore(usize),
-    /// Those of all routers.
+    /// The same for the connections of all routers to the store.
     SilenceAllStores,
-    /// The open connections to a replica fall silent for good.
+    /// The open connections to a replica carry nothing more, without a reset.
     SilenceReplica(usize),
-    /// The open connections of a router's callers fall silent for good.
+    /// The open connections of a router's callers carry nothing more, without a reset.
     SilenceCallers(usize),
-    /// The operator empties a zone, and takes it back.
+    /// The operator evacuates a zone and readmits it.
     EmptyZone(usize),
-    /// The replicas of a zone are away, and come back slowly under their ids.
+    /// The replicas of a zone are unreachable, and return under their ids with a slow start.
     SlowReturn(usize),
-    /// A replica says in its answers that it leaves, and is replaced after a while.
+    /// A replica announces in its answers that it leaves, and is replaced after a while.
     SayLeaving(usize),
-    /// A replica turns all requests away, and asks for rest.
+    /// A replica refuses all requests and asks for a backoff.
     AskForRest(usize),
-    /// All replicas do.
+    /// All replicas refuse all requests and ask for a backoff.
     AllAskForRest,
-    /// Routers are stopped one after the other and start again as the other build, then
-    /// back.
+    /// Routers are stopped in turn and started with the other build, then back.
     ReplaceBuilds,
-    /// A router runs as the other build, from the stop before to the start after it.
+    /// A router runs the other build, from the stop before to the start after it.
     OtherBuild(usize),
 }
 
 impl Fault {
-    /// Whether it is planned work, which may cost no request.
+    /// Whether this is planned work, during which no request may be lost.
     pub fn is_planned(&self) -> bool {
         matches!(
             self,
@@ -79,31 +81,31 @@
         )
     }
 
-    /// Whether this router's process ends or stands still meanwhile.
+    /// Whether the fault ends, suspends or replaces the process of `router`.
     pub fn interrupts(
         &self,
         router: usize,
     ) -> bool {
         match self {
-            Self::KillRouter(hit)
-            | Self::StopRouter(hit)
-            | Self::FreezeRouter(hit)
-            | Self::OtherBuild(hit) => *hit == router,
+            Self::KillRouter(target)
+            | Self::StopRouter(target)
+            | Self::FreezeRouter(target)
+            | Self::OtherBuild(target) => *target == router,
             Self::KillRouters { first, count } => (*first..first + count).contains(&router),
             Self::KillAllRouters => true,
             _ => false,
         }
     }
 
-    /// Whether this router may learn late what the store says, since the fault is its
-    /// own. What befalls others only must not keep it from the news.
+    /// Whether the fault may delay changes in the store on their way to `router`. A fault of
+    /// other routers must not.
     pub fn hides_the_store_from(
         &self,
         router: usize,
     ) -> bool {
         self.interrupts(router)
             || match self {
-                Self::StoreTrouble(hit, _) | Self::SilenceStore(hit) => *hit == router,
+                Self::StoreTrouble(target, _) | Self::SilenceStore(target) => *target == router,
                 Self::StoreDown(_) | Self::SilenceAllStores => true,
                 _ => false,
             }
--- a/testbed/src/soak/inflict.rs
+++ b/testbed/src/soak/fault_injection.rs
@@ -1,13 +1,13 @@
-//! Doing the faults to the fleet, and undoing them.
+//! Injects faults into the fleet and undoes them.
 
 use {
     super::{
         fault::Fault,
         fault_span::FaultSpan,
+        fleet_under_test::{EXTRA_SERVING_TIME, FleetUnderTest, POLL_INTERVAL},
         record::DrainSeen,
         replica_slot::ReplicaSlot,
         schedule::PlannedFault,
-        world::{LOOK, SERVES_ON, World},
     },
     crate::direct::{Store, StoreMode},
     std::{
@@ -18,15 +18,15 @@
     tokio::time::sleep,
 };
 
-/// A process that was started less than this ago may not have come to its first line.
-const YOUNG: Duration = Duration::from_millis(100);
+/// A process younger than this may not have installed its signal handlers yet.
+const SIGNAL_SETUP_TIME: Duration = Duration::from_millis(100);
 
-/// What a slow link adds, one way.
-const SLOW: Duration = Duration::from_millis(40);
+/// Delay that a slow link adds in each direction.
+const LINK_DELAY: Duration = Duration::from_millis(40);
 
-impl World {
-    /// Does one fault and undoes it.
-    pub async fn inflict(
+impl FleetUnderTest {
+    /// Injects one fault, undoes it, and records its span.
+    pub async fn inject(
         self: Arc<Self>,
         planned: PlannedFault,
     ) {
@@ -41,9 +41,12 @@
             Fault::FreezeRouter(router) => self.freeze(router, lasts).await,
             Fault::HangUpRouter(router) => self.hang_up(router).await,
             Fault::StoreTrouble(router, mode) => {
-                self.trouble(router..router + 1, mode, lasts).await
+                self.disturb_stores(router..router + 1, mode, lasts).await
+            }
+            Fault::StoreDown(mode) => {
+                self.disturb_stores(0..self.routers.len(), mode, lasts)
+                    .await
             }
-            Fault::StoreDown(mode) => self.trouble(0..self.routers.len(), mode, lasts).await,
             Fault::ForgetHistory => {
                 self.store.forget_history();
                 Instant::now()
@@ -52,8 +55,8 @@
                 published = Some(self.publish());
                 Instant::now()
             }
-            Fault::DrainReplica(slot) => self.leave(slot, ReplicaSlot::drain).await,
-            Fault::UnlistReplica(slot) => self.leave(slot, ReplicaSlot::unlist).await,
+            Fault::DrainReplica(slot) => self.retire(slot, ReplicaSlot::drain).await,
+            Fault::UnlistReplica(slot) => self.retire(slot, ReplicaSlot::unlist).await,
             Fault::CrashReplica(slot) => self.crash(slot, lasts).await,
             Fault::SpoilAnswers(slot) => self.spoil(slot, lasts).await,
             Fault::SlowLink(slot) => self.slow(slot, lasts).await,
@@ -76,11 +79,11 @@
             }
             Fault::EmptyZone(zone) => self.empty_zone(zone, lasts).await,
             Fault::SlowReturn(zone) => self.return_slowly(zone, lasts).await,
-            Fault::SayLeaving(slot) => self.say_leaving(slot).await,
-            Fault::AskForRest(slot) => self.ask_for_rest(slot, lasts).await,
-            Fault::AllAskForRest => self.all_ask_for_rest(lasts).await,
+            Fault::SayLeaving(slot) => self.announce_leaving(slot).await,
+            Fault::AskForRest(slot) => self.request_backoff(slot, lasts).await,
+            Fault::AllAskForRest => self.request_backoff_of_all(lasts).await,
             Fault::ReplaceBuilds => self.replace_builds().await,
-            // Inflicted as a part of replacing them all.
+            // Injected as a part of `ReplaceBuilds`.
             Fault::OtherBuild(_) => Instant::now(),
         };
         let span = FaultSpan {
@@ -109,16 +112,16 @@
         routers: Range<usize>,
         lasts: Duration,
     ) -> Instant {
-        let mut held = Vec::new();
+        let mut processes = Vec::new();
         for router in routers {
-            held.push(self.routers[router].lock().await);
+            processes.push(self.routers[router].lock().await);
         }
         let began = Instant::now();
-        for process in &mut held {
+        for process in &mut processes {
             process.kill();
         }
         sleep(lasts).await;
-        for process in &mut held {
+        for process in &mut processes {
             process.restart().expect("the router starts again");
         }
         began
@@ -132,15 +135,15 @@
         let began = Instant::now();
         process.terminate();
         while process.ended().is_none() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         process.restart().expect("the router starts again");
         began
     }
 
-    /// Tells a router that its settings changed. No program can take a signal over before its
-    /// first line: one that has just been started ends by it, and the platform starts it
-    /// again. Any other that ends stays away.
+    /// Signals a router that its settings changed. The signal ends a process that has just been
+    /// started and has not installed its handler; only such a router is started again. Any
+    /// other that ends stays down.
     async fn hang_up(
         &self,
         router: usize,
@@ -148,9 +151,9 @@
         let mut process = self.routers[router].lock().await;
         let began = Instant::now();
         process.hang_up();
-        let is_young = began.duration_since(process.started()) < YOUNG;
-        sleep(LOOK).await;
-        if is_young && process.ended().is_some() {
+        let is_starting = began.duration_since(process.started()) < SIGNAL_SETUP_TIME;
+        sleep(POLL_INTERVAL).await;
+        if is_starting && process.ended().is_some() {
             process.restart().expect("the router starts again");
             let span = FaultSpan {
                 fault: Fault::KillRouter(router),
@@ -175,7 +178,7 @@
         began
     }
 
-    async fn trouble(
+    async fn disturb_stores(
         &self,
         routers: Range<usize>,
         mode: StoreMode,
@@ -192,17 +195,17 @@
         began
     }
 
-    /// A replica leaves, with or without a word before, and serves on for a while.
-    async fn leave(
+    /// A replica leaves, announced or not as `change_listing` does, and keeps serving for a while.
+    async fn retire(
         &self,
         slot: usize,
-        say: fn(&ReplicaSlot, &Store),
+        change_listing: fn(&ReplicaSlot, &Store),
     ) -> Instant {
         let mut slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        say(&slot, &self.store);
+        change_listing(&slot, &self.store);
         let confirmed = Instant::now();
-        sleep(self.fleet.drain + SERVES_ON).await;
+        sleep(self.fleet.drain + EXTRA_SERVING_TIME).await;
         let drain = DrainSeen {
             replica: slot.replica.id.clone(),
             confirmed,
@@ -249,7 +252,7 @@
     ) -> Instant {
         let slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.proxy.set(|faults| faults.delay = SLOW);
+        slot.proxy.set(|faults| faults.delay = LINK_DELAY);
         sleep(lasts).await;
         slot.proxy.set(|faults| faults.delay = Duration::ZERO);
         began
--- a/testbed/src/soak/fault_span.rs
+++ b/testbed/src/soak/fault_span.rs
@@ -3,10 +3,10 @@
     std::time::{Duration, Instant},
 };
 
-/// After its end a fault still excuses what follows from it for this long.
-const AFTERMATH: Duration = Duration::from_secs(3);
+/// Time after the end of a fault during which its consequences are still excused.
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// A fault, and when it was there.
+/// A fault, and when it was in effect.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultSpan {
     pub fault: Fault,
@@ -15,12 +15,12 @@
 }
 
 impl FaultSpan {
-    /// Whether it, or what follows from it, touches a span of time.
-    pub fn touches(
+    /// Whether the fault or its aftermath overlaps the time from `from` to `to`.
+    pub fn affects(
         &self,
         from: Instant,
         to: Instant,
     ) -> bool {
-        self.began <= to && self.ended + AFTERMATH >= from
+        self.began <= to && self.ended + RECOVERY_TIME >= from
     }
 }
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/fleet_under_test.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        attempt::Kind,
+        caller_request::RequestKind,
         checks::{broken, starved_refusals},
         drain_check::late_arrivals,
         record::{Arrival, ChangeSeen, Record, ReplicaSeen, StartSeen},
@@ -25,53 +25,54 @@
     tokio::{sync::Mutex as AsyncMutex, time::sleep},
 };
 
-/// When all is well again, everything must work within this time.
-const RECOVERY: Duration = Duration::from_secs(10);
+/// Time limit after the last fault until everything works again.
+const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
 
-/// Requests to each router that must then be served, all of them.
-const PROBES: usize = 20;
+/// Requests on each route to each router that must all be served after recovery.
+const PROBES_PER_ROUTE: usize = 20;
 
-/// How long a change is followed before it counts as never served: longer than all
-/// faults that may overlap.
-const FOLLOWED: Duration = Duration::from_secs(20);
+/// How long a new configuration is awaited before it counts as never in force: longer than
+/// all faults that may overlap.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The part of the time for leaving by which the harness may be late itself; a run in
-/// which it is later proves nothing.
-const LATENESS_PART: f64 = 0.1;
+/// Fraction of the time limit for leaving by which the harness may be late; a run in which it
+/// is later is not valid.
+const MAX_LATENESS_SHARE: f64 = 0.1;
 
-/// So much longer than it must get nothing new a leaving replica serves on.
-pub const SERVES_ON: Duration = Duration::from_millis(1500);
+/// How long a leaving replica keeps serving after the limit from which no new request may
+/// reach it.
+pub const EXTRA_SERVING_TIME: Duration = Duration::from_millis(1500);
 
-/// Between two looks at something that is waited for.
-pub const LOOK: Duration = Duration::from_millis(20);
+/// Time between two checks of an awaited condition.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// In the answer of a router that has no configuration yet.
+/// Part of the answer of a router that has no configuration yet.
 const NO_CONFIGURATION: &str = "\"code\":25";
 
-/// The fleet under test. Each router and each replica has one fault at a time.
-pub struct World {
+/// The fleet under test. Each router and each replica has at most one fault at a time.
+pub struct FleetUnderTest {
     pub(super) fleet: SoakFleet,
     pub(super) store: Store,
     pub(super) ports: Vec<StorePort>,
     pub(super) routers: Vec<AsyncMutex<Process>>,
-    callers: Vec<SocketAddr>, // of the routers themselves
+    callers: Vec<SocketAddr>, // where the routers themselves listen
     pub(super) slots: Vec<AsyncMutex<ReplicaSlot>>,
     pub record: Mutex<Record>,
     proxies: Vec<TcpProxy>,              // between callers and each router
-    pub(super) emptying: AsyncMutex<()>, // held while a zone is emptied
-    newest: Mutex<u64>,                  // version of the configuration
+    pub(super) emptying: AsyncMutex<()>, // held while a zone is evacuated
+    newest: Mutex<u64>,                  // version of the latest configuration
     retired: Mutex<Vec<RetiredReplica>>,
 }
 
-/// A replica that is gone, with what it saw.
+/// A replica that was replaced, with the requests that it received.
 struct RetiredReplica {
     service: &'static str,
     zone: String,
     replica: Replica,
 }
 
-impl World {
-    /// Starts the replicas, and takes the fleet's routers and stores over.
+impl FleetUnderTest {
+    /// Starts the replicas, and takes over the fleet's routers and stores.
     pub async fn start(
         plan: SoakFleet,
         fleet: &mut DirectFleet,
@@ -106,21 +107,21 @@
         }
     }
 
-    /// Where callers reach each router.
+    /// Addresses at which callers reach each router, through a proxy.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.proxies.iter().map(|proxy| proxy.address).collect()
     }
 
-    /// Publishes a configuration with one more route than the last, and gives its
+    /// Publishes a configuration with one more route than the previous one. Returns its
     /// version.
     pub fn publish(&self) -> u64 {
         let mut newest = self.newest.lock().expect("version lock");
         *newest += 1;
         let version = *newest;
         let mut routes = vec![
-            RouteText::new(Kind::Read.path(), "plain", "idempotent"),
-            RouteText::new(Kind::Charge.path(), "plain", "non_idempotent"),
-            RouteText::new(Kind::Events.path(), "events", "streaming"),
+            RouteText::new(RequestKind::Read.path(), "plain", "idempotent"),
+            RouteText::new(RequestKind::Charge.path(), "plain", "non_idempotent"),
+            RouteText::new(RequestKind::Events.path(), "events", "streaming"),
         ];
         for added in 1..=version {
             let prefix: &'static str = Box::leak(newest_path(added).into_boxed_str());
@@ -128,30 +129,30 @@
         }
         match self.fleet.slow_per_second {
             0 => self.store.publish(version, &routes),
-            bears => self
+            per_second => self
                 .store
-                .publish_slow_starts(version, &routes, bears as f64),
+                .publish_slow_starts(version, &routes, per_second as f64),
         }
         version
     }
 
-    /// Notes when each router has a version in force that was just confirmed.
+    /// Records when each router has a just confirmed configuration in force.
     pub async fn follow_change(
         &self,
         version: u64,
     ) {
         let confirmed = Instant::now();
         let path = newest_path(version);
-        let looks = self
+        let polls = self
             .callers
             .iter()
             .enumerate()
             .map(async |(router, address)| {
-                let until = confirmed + FOLLOWED;
+                let until = confirmed + CHANGE_TIMEOUT;
                 let mut served = None;
                 while served.is_none() && Instant::now() < until {
                     served = is_in_force(*address, &path).await.then(Instant::now);
-                    sleep(LOOK).await;
+                    sleep(POLL_INTERVAL).await;
                 }
                 ChangeSeen {
                     router,
@@ -160,7 +161,7 @@
                     served,
                 }
             });
-        let seen = join_all(looks).await;
+        let seen = join_all(polls).await;
         self.record
             .lock()
             .expect("record lock")
@@ -168,7 +169,7 @@
             .extend(seen);
     }
 
-    /// The open connections of a router's callers fall silent.
+    /// Makes the open connections of a router's callers carry nothing more.
     pub fn silence_callers(
         &self,
         router: usize,
@@ -176,7 +177,7 @@
         self.proxies[router].silence_connections();
     }
 
-    /// A replica is gone; another takes its place.
+    /// Replaces the replica of a slot, and retains the old one for the checks.
     pub async fn replace(
         &self,
         slot: &mut ReplicaSlot,
@@ -184,7 +185,7 @@
         let replica = match self.fleet.slow_per_second {
             0 => slot.replace(&self.store).await,
             _ => {
-                let gone = slot.start_another().await;
+                let gone = slot.start_successor().await;
                 self.start_slowly(slot);
                 gone
             }
@@ -197,7 +198,7 @@
         });
     }
 
-    /// Lists a replica as one that has just started.
+    /// Lists a replica as one that has just started, and ends its slow start in time.
     pub fn start_slowly(
         &self,
         slot: &ReplicaSlot,
@@ -218,40 +219,40 @@
         });
     }
 
-    /// When nothing is wrong any more: each router has the newest configuration
-    /// in force, and serves whatever comes.
-    pub async fn recover(&self) {
+    /// Waits after the last fault until each router has the latest configuration in force and
+    /// serves its routes; records what does not work in time.
+    pub async fn await_recovery(&self) {
         let newest = newest_path(*self.newest.lock().expect("version lock"));
         for (router, address) in self.callers.iter().enumerate() {
-            self.recovered(router, *address, &newest).await;
+            self.await_router_recovery(router, *address, &newest).await;
         }
     }
 
-    async fn recovered(
+    async fn await_router_recovery(
         &self,
         router: usize,
         address: SocketAddr,
         newest: &str,
     ) {
-        let until = Instant::now() + RECOVERY;
+        let until = Instant::now() + RECOVERY_LIMIT;
         while probe(address, newest).await != 200 {
             if Instant::now() > until {
-                self.note_unserved(format!("router {router} lacks the newest route {newest}"));
+                self.record_unserved(format!("router {router} lacks the newest route {newest}"));
                 break;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
-        for path in [Kind::Read.path(), Kind::Events.path()] {
-            for _ in 0..PROBES {
+        for path in [RequestKind::Read.path(), RequestKind::Events.path()] {
+            for _ in 0..PROBES_PER_ROUTE {
                 let status = probe(address, path).await;
                 if status != 200 {
-                    self.note_unserved(format!("router {router} answers {path} with {status}"));
+                    self.record_unserved(format!("router {router} answers {path} with {status}"));
                 }
             }
         }
     }
 
-    fn note_unserved(
+    fn record_unserved(
         &self,
         what: String,
     ) {
@@ -259,7 +260,7 @@
         record.unserved.push(what);
     }
 
-    /// What was seen, held against the promises.
+    /// Collects what was observed and checks it against the guarantees.
     pub async fn result(
         &self,
         seed: u64,
@@ -267,16 +268,16 @@
         let mut record = std::mem::take(&mut *self.record.lock().expect("record lock"));
         for slot in &self.slots {
             let slot = slot.lock().await;
-            note_runs(&mut record, slot.service, &slot.zone, &slot.replica);
+            record_replica(&mut record, slot.service, &slot.zone, &slot.replica);
         }
         for gone in self.retired.lock().expect("retired lock").iter() {
-            note_runs(&mut record, gone.service, &gone.zone, &gone.replica);
+            record_replica(&mut record, gone.service, &gone.zone, &gone.replica);
         }
         let mut statuses = BTreeMap::new();
-        for attempt in &record.attempts {
-            *statuses.entry(attempt.status().unwrap_or(0)).or_insert(0) += 1;
+        for request in &record.requests {
+            *statuses.entry(request.status().unwrap_or(0)).or_insert(0) += 1;
         }
-        let start = record.attempts.iter().map(|attempt| attempt.sent).min();
+        let start = record.requests.iter().map(|request| request.sent).min();
         let since = |at: Instant| start.map_or(0.0, |start| (at - start).as_secs_f64());
         let faults = record.spans.iter().map(|span| {
             let (began, ended) = (since(span.began), since(span.ended));
@@ -286,7 +287,7 @@
         let mut logs = Vec::new();
         for (router, process) in self.routers.iter().enumerate() {
             let text = process.lock().await.log_text();
-            record.read_sent(router, &text);
+            record.add_sent_from_log(router, &text);
             logs.push((format!("router-{router}.log"), text));
         }
         let arrivals = late_arrivals(&record);
@@ -299,15 +300,15 @@
             arrivals_in_time: arrivals.in_time,
             arrivals_excused: arrivals.excused,
             lateness: record.lateness,
-            starved: record.starvation.most(),
+            starved: record.starvation.max_wait(),
             starved_refusals: starved_refusals(&record),
-            valid: record.lateness <= record.fleet.drain.mul_f64(LATENESS_PART),
+            valid: record.lateness <= record.fleet.drain.mul_f64(MAX_LATENESS_SHARE),
             logs,
         }
     }
 }
 
-fn note_runs(
+fn record_replica(
     record: &mut Record,
     service: &'static str,
     zone: &str,
@@ -339,12 +340,12 @@
         .status
 }
 
-/// Whether a router knows a route, whatever becomes of the request.
+/// Whether a router knows the route, whatever status the request gets.
 async fn is_in_force(
     address: SocketAddr,
     path: &str,
 ) -> bool {
     let answer = Client::ask(address, &ClientRequest::post(path, "probe", "{}")).await;
-    let knows_nothing = answer.text().contains(NO_CONFIGURATION);
-    answer.status != 0 && answer.status != 404 && !knows_nothing
+    let has_no_configuration = answer.text().contains(NO_CONFIGURATION);
+    answer.status != 0 && answer.status != 404 && !has_no_configuration
 }
--- a/testbed/src/soak/lateness.rs
+++ b/testbed/src/soak/lateness.rs
@@ -9,35 +9,35 @@
     tokio::{task::JoinHandle, time::sleep},
 };
 
-/// How often the harness looks how late it is.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often the scheduling delay is measured.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Measures how late the harness's own tasks run: what it says of times is off by as
-/// much.
+/// Measures how late the tasks of the harness run. Times that the harness records may be off
+/// by as much.
 pub struct Lateness {
-    most_ms: Arc<AtomicU64>,
+    max_ms: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
 impl Lateness {
-    /// Measures from now on.
+    /// Starts to measure.
     pub fn start() -> Self {
-        let most_ms = Arc::new(AtomicU64::new(0));
-        let most = most_ms.clone();
+        let max_ms = Arc::new(AtomicU64::new(0));
+        let max = max_ms.clone();
         let task = tokio::spawn(async move {
             loop {
                 let began = Instant::now();
-                sleep(LOOK).await;
-                let late = began.elapsed().saturating_sub(LOOK);
-                most.fetch_max(late.as_millis() as u64, Ordering::Relaxed);
+                sleep(CHECK_INTERVAL).await;
+                let late = began.elapsed().saturating_sub(CHECK_INTERVAL);
+                max.fetch_max(late.as_millis() as u64, Ordering::Relaxed);
             }
         });
-        Self { most_ms, task }
+        Self { max_ms, task }
     }
 
-    /// The most that it was late.
+    /// Stops, and returns the longest delay.
     pub fn end(self) -> Duration {
         self.task.abort();
-        Duration::from_millis(self.most_ms.load(Ordering::Relaxed))
+        Duration::from_millis(self.max_ms.load(Ordering::Relaxed))
     }
 }
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -1,8 +1,8 @@
-//! A fault soak: routers as real processes, callers that keep their
-//! connections, and faults from outside at times that a seed draws. What callers
-//! and replicas saw is held against the promises of the users' pages.
+//! Fault soak: routers run as real processes, callers keep their connections, and faults are
+//! injected at times drawn from a seed. What callers and replicas observed is then checked
+//! against the guarantees that the product documents.
 
-mod attempt;
+mod caller_request;
 mod callers;
 mod checks;
 mod drain_check;
@@ -10,14 +10,15 @@
 mod ending_result;
 mod ending_run;
 mod fault;
+mod fault_injection;
 mod fault_span;
-mod inflict;
+mod fleet_under_test;
 mod lateness;
 mod movements;
 mod notice_check;
-mod notice_inflict;
+mod notice_injection;
 mod notices;
-mod operator_inflict;
+mod operator_injection;
 mod operator_work;
 mod record;
 mod replica_slot;
@@ -26,11 +27,10 @@
 mod soak_fleet;
 mod soak_result;
 mod starvation;
-mod world;
 mod zone_check;
 
 pub use {
-    attempt::{Attempt, Kind},
+    caller_request::{CallerRequest, RequestKind},
     checks::broken,
     drain_check::{LateArrivals, late_arrivals},
     ending_kind::EndingKind,
@@ -45,7 +45,7 @@
         Arrival, ChangeSeen, CordonSeen, DrainSeen, Notice, NoticeSeen, Record, ReplicaSeen,
         StartSeen,
     },
-    replica_slot::{EVENTS, PLAIN_BODY},
+    replica_slot::{EVENTS_PER_STREAM, PLAIN_BODY},
     schedule::{PlannedFault, schedule, silences},
     soak::soak,
     soak_fleet::SoakFleet,
--- a/testbed/src/soak/movements.rs
+++ b/testbed/src/soak/movements.rs
@@ -6,38 +6,39 @@
     std::time::Duration,
 };
 
-/// Between two series, in milliseconds.
-const GAP_MS: std::ops::Range<u64> = 200..1200;
+/// Time between two series, in milliseconds.
+const SERIES_GAP_MS: std::ops::Range<u64> = 200..1200;
 
 /// Replicas that leave in one series.
-const SERIES: std::ops::RangeInclusive<usize> = 1..=4;
+const SERIES_LENGTH: std::ops::RangeInclusive<usize> = 1..=4;
 
-/// Between two replicas of a series, and before the routers that are killed with it.
+/// Time before each fault of a series, in milliseconds.
 const STEP_MS: std::ops::Range<u64> = 0..250;
 
-/// How long killed routers are away: the platform starts them again at once.
-const AWAY_MS: std::ops::Range<u64> = 100..700;
+/// How long killed routers are down, in milliseconds. Short, since a platform restarts a
+/// crashed process at once.
+const ROUTER_DOWN_MS: std::ops::Range<u64> = 100..700;
 
-/// The part of the series that routers are killed with.
-const WITH_KILL: f64 = 0.7;
+/// Fraction of the series in which routers are killed.
+const KILL_PROBABILITY: f64 = 0.7;
 
-/// The part of the replicas that leave without a word before.
-const UNANNOUNCED: f64 = 0.7;
+/// Fraction of the replicas that leave without having been listed as leaving.
+const UNANNOUNCED_PROBABILITY: f64 = 0.7;
 
-/// Up to this part of the routers is killed at once.
-const KILLED_PART: usize = 3;
+/// At most one router in this many is killed at once.
+const MAX_KILLED_DIVISOR: usize = 3;
 
-/// Sets the draw of movements apart from that of other faults.
-const MOVEMENTS: u64 = 0x30_5e_7e;
+/// Combined with the seed, so that these draws are independent of the other faults.
+const MOVEMENT_SEED: u64 = 0x30_5e_7e;
 
-/// The movements of a run, the same for the same seed.
+/// Draws the replaced replicas and killed routers of a run; the same seed gives the same.
 pub fn movements(
     seed: u64,
     length: Duration,
     routers: usize,
     replicas: usize,
 ) -> Vec<PlannedFault> {
-    let mut random = StdRng::seed_from_u64(seed ^ MOVEMENTS);
+    let mut random = StdRng::seed_from_u64(seed ^ MOVEMENT_SEED);
     let mut planned: Vec<PlannedFault> = Vec::new();
     let mut at = Duration::ZERO;
     loop {
@@ -55,17 +56,17 @@
     routers: usize,
     replicas: usize,
 ) -> Vec<PlannedFault> {
-    let count = random.random_range(SERIES);
+    let count = random.random_range(SERIES_LENGTH);
     let killed_before = random
-        .random_bool(WITH_KILL)
+        .random_bool(KILL_PROBABILITY)
         .then(|| random.random_range(0..count));
     let mut faults = Vec::new();
     for number in 0..count {
         if killed_before == Some(number) {
-            faults.push((kill(random, routers), AWAY_MS));
+            faults.push((kill(random, routers), ROUTER_DOWN_MS));
         }
         let replica = random.random_range(0..replicas);
-        let fault = match random.random_bool(UNANNOUNCED) {
+        let fault = match random.random_bool(UNANNOUNCED_PROBABILITY) {
             true => Fault::UnlistReplica(replica),
             false => Fault::DrainReplica(replica),
         };
@@ -79,7 +80,7 @@
             fault,
         })
         .collect();
-    planned[0].after += Duration::from_millis(random.random_range(GAP_MS));
+    planned[0].after += Duration::from_millis(random.random_range(SERIES_GAP_MS));
     planned
 }
 
@@ -87,7 +88,7 @@
     random: &mut StdRng,
     routers: usize,
 ) -> Fault {
-    let count = random.random_range(1..=(routers / KILLED_PART).max(1));
+    let count = random.random_range(1..=(routers / MAX_KILLED_DIVISOR).max(1));
     let first = random.random_range(0..=routers - count);
     Fault::KillRouters { first, count }
 }
--- a/testbed/src/soak/notice_check.rs
+++ b/testbed/src/soak/notice_check.rs
@@ -1,4 +1,5 @@
-//! What reached replicas after they had said that they leave, or had asked for rest.
+//! Checks the requests that reached replicas after they had announced that they are leaving,
+//! or had asked for a backoff.
 
 use {
     super::record::{Arrival, Notice, NoticeSeen, Record},
@@ -8,31 +9,35 @@
     },
 };
 
-/// From the answer that asks for rest until it binds.
-const REST_BEGINS: Duration = Duration::from_millis(500);
+/// Time from the answer that asks for a backoff until the backoff must be respected.
+const BACKOFF_DELAY: Duration = Duration::from_millis(500);
 
-/// Requests that may reach a replica in a rest.
-const MOST_IN_REST: usize = 2;
+/// Requests of one router that may reach a replica during its backoff.
+const MAX_DURING_BACKOFF: usize = 2;
 
-/// Each router that sent to a replica too long after it had passed on an answer that says
-/// that it leaves, or too often in a rest, in words. A restart or standstill of the router
-/// since then excuses it, and nothing else does.
-pub fn unheeded(record: &Record) -> Vec<String> {
-    let mut unheeded = Vec::new();
+/// Returns one text for each router that sent to a replica too long after it had relayed an
+/// answer announcing that the replica leaves, or too often during a backoff. Only a restart
+/// or suspension of the router since then is an excuse.
+pub fn ignored_notices(record: &Record) -> Vec<String> {
+    let mut ignored_notices = Vec::new();
     for seen in &record.notices {
         for (router, arrivals) in by_router(record, seen) {
             match seen.notice {
-                Notice::Leaves => unheeded.extend(after_leaving(record, seen, router, &arrivals)),
-                Notice::Rests(rest) => {
-                    unheeded.extend(in_rest(record, seen, router, &arrivals, rest));
+                Notice::Leaving => {
+                    ignored_notices.extend(late_after_leaving(record, seen, router, &arrivals))
+                }
+                Notice::Backoff(backoff) => {
+                    ignored_notices.extend(excess_during_backoff(
+                        record, seen, router, &arrivals, backoff,
+                    ));
                 }
             }
         }
     }
-    unheeded
+    ignored_notices
 }
 
-/// What reached a replica from one router, and whether it ran.
+/// Requests that reached a replica from one router, and whether each ran.
 type Arrivals<'r> = Vec<&'r (Arrival, bool)>;
 
 fn by_router<'r>(
@@ -48,7 +53,7 @@
     by_router
 }
 
-fn after_leaving(
+fn late_after_leaving(
     record: &Record,
     seen: &NoticeSeen,
     router: usize,
@@ -57,48 +62,50 @@
     let ids = seen.arrivals.iter().map(|(arrival, _)| &*arrival.id);
     let ids: HashSet<&str> = ids.collect();
     let answered = record
-        .attempts
+        .requests
         .iter()
-        .filter(|attempt| ids.contains(&*attempt.id));
-    let passed_on = answered.filter(|attempt| {
-        let sender = record.sender(&attempt.id, &seen.replica);
-        let answer = attempt.answer.as_ref();
-        (attempt.router == router || sender == Some(router))
+        .filter(|request| ids.contains(&*request.id));
+    let passed_on = answered.filter(|request| {
+        let sender = record.sender(&request.id, &seen.replica);
+        let answer = request.answer.as_ref();
+        (request.router == router || sender == Some(router))
             && answer.is_some_and(|answer| answer.whole && answer.header("server-leaving") == "1")
     });
-    let told = passed_on.map(|attempt| attempt.ended).min()?;
+    let known_at = passed_on.map(|request| request.ended).min()?;
     let late = arrivals.iter().find(|(arrival, _)| {
-        let is_late = arrival.at > told + record.fleet.drain;
-        is_late && !record.starts_anew(router, told, arrival.at)
+        let is_late = arrival.at > known_at + record.fleet.drain;
+        is_late && !record.was_interrupted(router, known_at, arrival.at)
     })?;
     Some(format!(
         "leaving: {} got {} of router {router} {} ms after an answer had said that it leaves",
         seen.replica,
         late.0.id,
-        (late.0.at - told).as_millis()
+        (late.0.at - known_at).as_millis()
     ))
 }
 
-fn in_rest(
+fn excess_during_backoff(
     record: &Record,
     seen: &NoticeSeen,
     router: usize,
     arrivals: &Arrivals,
-    rest: Duration,
+    backoff: Duration,
 ) -> Option<String> {
     let turned_away = arrivals.iter().filter(|(_, ran)| !ran);
     turned_away
-        .filter_map(|(asked, _)| {
-            let binds = |at: Instant| at > asked.at + REST_BEGINS && at < asked.at + rest;
+        .filter_map(|(refusal, _)| {
+            let is_during_backoff =
+                |at: Instant| at > refusal.at + BACKOFF_DELAY && at < refusal.at + backoff;
             let within = arrivals.iter().filter(|(arrival, _)| {
-                binds(arrival.at) && !record.starts_anew(router, asked.at, arrival.at)
+                is_during_backoff(arrival.at)
+                    && !record.was_interrupted(router, refusal.at, arrival.at)
             });
             let count = within.count();
-            (count > MOST_IN_REST).then(|| {
+            (count > MAX_DURING_BACKOFF).then(|| {
                 format!(
                     "rest: {} got {count} requests of router {router} in a rest of {} ms",
                     seen.replica,
-                    rest.as_millis()
+                    backoff.as_millis()
                 )
             })
         })
--- a/testbed/src/soak/notice_inflict.rs
+++ b/testbed/src/soak/notice_injection.rs
@@ -1,74 +1,78 @@
-//! What replicas say of themselves, said by the fleet's stand-ins.
+//! Replica stand-ins that announce in their answers that they leave or ask for a backoff.
 
 use {
     super::{
+        fleet_under_test::{EXTRA_SERVING_TIME, FleetUnderTest},
         record::{Arrival, Notice, NoticeSeen},
         replica_slot::ReplicaSlot,
-        world::{SERVES_ON, World},
     },
     futures::future::join_all,
     std::time::{Duration, Instant},
     tokio::{sync::MutexGuard, time::sleep},
 };
 
-/// The rest that replicas ask for.
-const REST: Duration = Duration::from_secs(2);
+/// Backoff that replicas ask for.
+const BACKOFF: Duration = Duration::from_secs(2);
 
-impl World {
-    /// A replica says in all its answers that it leaves, and serves on. The store hears of
-    /// it when it has gone.
-    pub(super) async fn say_leaving(
+impl FleetUnderTest {
+    /// A replica announces in all its answers that it leaves, and keeps serving. Its entry in the
+    /// store is removed only when it is gone.
+    pub(super) async fn announce_leaving(
         &self,
         slot: usize,
     ) -> Instant {
         let mut slot = self.slots[slot].lock().await;
         let began = Instant::now();
         slot.replica.says(&[("Server-Leaving", "1")]);
-        sleep(self.fleet.drain + SERVES_ON).await;
-        self.note_notice(&slot, Notice::Leaves, began);
+        sleep(self.fleet.drain + EXTRA_SERVING_TIME).await;
+        self.record_notice(&slot, Notice::Leaving, began);
         slot.unlist(&self.store);
         self.replace(&mut slot).await;
         began
     }
 
-    /// A replica turns all requests away and asks for rest.
-    pub(super) async fn ask_for_rest(
+    /// A replica refuses all requests and asks for a backoff.
+    pub(super) async fn request_backoff(
         &self,
         slot: usize,
         lasts: Duration,
     ) -> Instant {
         let slot = self.slots[slot].lock().await;
-        self.turn_away(slot, lasts).await
+        self.refuse_requests(slot, lasts).await
     }
 
-    /// All replicas do, but for those that have another fault.
-    pub(super) async fn all_ask_for_rest(
+    /// All replicas that have no other fault refuse all requests and ask for a backoff.
+    pub(super) async fn request_backoff_of_all(
         &self,
         lasts: Duration,
     ) -> Instant {
         let began = Instant::now();
         let free = self.slots.iter().filter_map(|slot| slot.try_lock().ok());
         let free: Vec<MutexGuard<ReplicaSlot>> = free.collect();
-        join_all(free.into_iter().map(|slot| self.turn_away(slot, lasts))).await;
+        join_all(
+            free.into_iter()
+                .map(|slot| self.refuse_requests(slot, lasts)),
+        )
+        .await;
         began
     }
 
-    async fn turn_away(
+    async fn refuse_requests(
         &self,
         slot: MutexGuard<'_, ReplicaSlot>,
         lasts: Duration,
     ) -> Instant {
         let began = Instant::now();
-        slot.replica.turns_away(Some(REST.as_secs_f64()));
+        slot.replica.turns_away(Some(BACKOFF.as_secs_f64()));
         sleep(lasts).await;
         slot.replica.turns_away(None);
-        // Rests that were asked for last are watched to their end.
-        sleep(REST).await;
-        self.note_notice(&slot, Notice::Rests(REST), began);
+        // Backoffs that were requested last are observed to their end.
+        sleep(BACKOFF).await;
+        self.record_notice(&slot, Notice::Backoff(BACKOFF), began);
         began
     }
 
-    fn note_notice(
+    fn record_notice(
         &self,
         slot: &ReplicaSlot,
         notice: Notice,
--- a/testbed/src/soak/operator_inflict.rs
+++ b/testbed/src/soak/operator_injection.rs
@@ -1,11 +1,11 @@
-//! What the operator does to zones and builds, done to the fleet.
+//! Operator actions on the fleet: evacuating zones and replacing router builds.
 
 use {
     super::{
         fault::Fault,
         fault_span::FaultSpan,
+        fleet_under_test::{FleetUnderTest, POLL_INTERVAL},
         record::CordonSeen,
-        world::{LOOK, World},
     },
     crate::{direct::zone_name, fleet::program_path},
     std::{
@@ -15,18 +15,17 @@
     tokio::time::sleep,
 };
 
-/// A replica that comes back is listed this long before it serves.
-const LISTED_BEFORE: Duration = Duration::from_secs(1);
+/// A returning replica is listed this long before it accepts connections.
+const LISTED_BEFORE_SERVING: Duration = Duration::from_secs(1);
 
-impl World {
-    /// Empties a zone and takes it back. One zone is emptied at a time, and never the only
-    /// one.
+impl FleetUnderTest {
+    /// Evacuates a zone and readmits it. One zone is evacuated at a time, so that others serve.
     pub(super) async fn empty_zone(
         &self,
         zone: usize,
         lasts: Duration,
     ) -> Instant {
-        let _one = self.emptying.lock().await;
+        let _one_at_a_time = self.emptying.lock().await;
         let zone = zone_name(zone);
         let began = Instant::now();
         self.store.empty_zone(&zone);
@@ -47,7 +46,7 @@
         began
     }
 
-    /// The replicas of a zone are away, and come back slowly under their ids.
+    /// The replicas of a zone are unreachable, and return under their ids with a slow start.
     pub(super) async fn return_slowly(
         &self,
         zone: usize,
@@ -56,7 +55,7 @@
         let began = Instant::now();
         let mut away = Vec::new();
         for slot in &self.slots {
-            // One that is being replaced comes back in its own time.
+            // A replica that is being replaced is skipped.
             let Ok(slot) = slot.try_lock() else {
                 continue;
             };
@@ -70,28 +69,28 @@
         for slot in &away {
             self.start_slowly(slot);
         }
-        sleep(LISTED_BEFORE).await;
+        sleep(LISTED_BEFORE_SERVING).await;
         for slot in &away {
             slot.proxy.set(|faults| faults.cut = false);
         }
         began
     }
 
-    /// Each router is stopped as planned and starts again as the other build, one after the
-    /// other; then the same back.
+    /// Stops each router in turn and starts it again with the other build; then the same back
+    /// to its own build.
     pub(super) async fn replace_builds(&self) -> Instant {
         let began = Instant::now();
         let Some(other) = &self.fleet.other_build else {
             return began;
         };
-        let own = program_path("archmast-router");
-        let mut since = Vec::new();
+        let own_build = program_path("archmast-router");
+        let mut stopped_at = Vec::new();
         for router in 0..self.routers.len() {
-            since.push(Instant::now());
+            stopped_at.push(Instant::now());
             self.replace_build(router, other).await;
         }
-        for (router, began) in since.into_iter().enumerate() {
-            self.replace_build(router, &own).await;
+        for (router, began) in stopped_at.into_iter().enumerate() {
+            self.replace_build(router, &own_build).await;
             let span = FaultSpan {
                 fault: Fault::OtherBuild(router),
                 began,
@@ -110,7 +109,7 @@
         let mut process = self.routers[router].lock().await;
         process.terminate();
         while process.ended().is_none() {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         process.become_build(program);
         process.restart().expect("the router starts again");
--- a/testbed/src/soak/operator_work.rs
+++ b/testbed/src/soak/operator_work.rs
@@ -1,5 +1,5 @@
-//! Zones that the operator empties, replicas that come back slowly, and routers that are
-//! replaced by another build in series, beside the other faults.
+//! Zones that the operator evacuates, replicas that return with a slow start, and routers that
+//! are replaced in series by another build, in addition to the other faults.
 
 use {
     super::{fault::Fault, schedule::PlannedFault, soak_fleet::SoakFleet},
@@ -7,46 +7,47 @@
     std::{ops::Range, time::Duration},
 };
 
-/// Between two zones that are emptied, or two that come back slowly, in milliseconds.
+/// Time between two evacuated zones, or two zones with a slow return, in milliseconds.
 const GAP_MS: Range<u64> = 500..3000;
 
-/// How much longer than it must get nothing a zone stays emptied, in milliseconds.
-const EMPTIED_MS: Range<u64> = 500..3000;
+/// How much longer than the time limit for evacuation a zone stays evacuated, in milliseconds.
+const EXTRA_EMPTIED_MS: Range<u64> = 500..3000;
 
-/// How long replicas are away that come back slowly, in milliseconds.
+/// How long replicas are unreachable before a slow return, in milliseconds.
 const AWAY_MS: Range<u64> = 200..2500;
 
-/// Between two rounds of replaced routers, in milliseconds.
-const ROUND_MS: Range<u64> = 500..3000;
+/// Time between two rounds of replaced routers, in milliseconds.
+const ROUND_GAP_MS: Range<u64> = 500..3000;
 
-/// Set the draws apart from those of other faults.
-const CORDONS: u64 = 0xc0_4d_01;
-const STARTS: u64 = 0x51_0e_57;
-const BUILDS: u64 = 0xb0_11_d5;
+/// Combined with the seed, so that these draws are independent of the other faults.
+const CORDON_SEED: u64 = 0xc0_4d_01;
+const SLOW_RETURN_SEED: u64 = 0x51_0e_57;
+const BUILD_SEED: u64 = 0xb0_11_d5;
 
-/// Zones that are emptied and taken back, the same for the same seed.
+/// Draws zones that are evacuated and readmitted; the same seed gives the same zones.
 pub fn cordons(
     seed: u64,
     length: Duration,
     fleet: &SoakFleet,
 ) -> Vec<PlannedFault> {
-    let mut random = StdRng::seed_from_u64(seed ^ CORDONS);
+    let mut random = StdRng::seed_from_u64(seed ^ CORDON_SEED);
     let zones = fleet.zones;
-    let least = fleet.evacuate;
-    one_after_the_other(&mut random, GAP_MS, length, |random| {
-        let more = Duration::from_millis(random.random_range(EMPTIED_MS));
+    let min_length = fleet.evacuate;
+    series_without_overlap(&mut random, GAP_MS, length, |random| {
+        let extra = Duration::from_millis(random.random_range(EXTRA_EMPTIED_MS));
         let zone = random.random_range(0..zones);
-        (least + more, Fault::EmptyZone(zone))
+        (min_length + extra, Fault::EmptyZone(zone))
     })
 }
 
-/// Zones whose replicas are away for a while and come back slowly, all at once.
+/// Draws zones whose replicas become unreachable for a while and return with a slow start, all
+/// at once.
 pub fn slow_returns(
     seed: u64,
     length: Duration,
     fleet: &SoakFleet,
 ) -> Vec<PlannedFault> {
-    let mut random = StdRng::seed_from_u64(seed ^ STARTS);
+    let mut random = StdRng::seed_from_u64(seed ^ SLOW_RETURN_SEED);
     let zones = fleet.zones;
     series(&mut random, GAP_MS, length, |random| {
         let away = Duration::from_millis(random.random_range(AWAY_MS));
@@ -54,19 +55,19 @@
     })
 }
 
-/// All routers replaced by the other build one after the other, and back, again and again.
+/// Draws rounds in which all routers are replaced in turn by the other build, and back.
 pub fn replaced_builds(
     seed: u64,
     length: Duration,
 ) -> Vec<PlannedFault> {
-    let mut random = StdRng::seed_from_u64(seed ^ BUILDS);
-    series(&mut random, ROUND_MS, length, |_| {
+    let mut random = StdRng::seed_from_u64(seed ^ BUILD_SEED);
+    series(&mut random, ROUND_GAP_MS, length, |_| {
         (Duration::ZERO, Fault::ReplaceBuilds)
     })
 }
 
-/// The same as [`series`], where each begins when the one before is over.
-fn one_after_the_other(
+/// Like [`series`], but each fault begins after the previous one is over.
+fn series_without_overlap(
     random: &mut StdRng,
     gap_ms: Range<u64>,
     length: Duration,
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        attempt::Attempt, fault::Fault, fault_span::FaultSpan, soak_fleet::SoakFleet,
+        caller_request::CallerRequest, fault::Fault, fault_span::FaultSpan, soak_fleet::SoakFleet,
         starvation::Starvation,
     },
     crate::direct::SeenRequest,
@@ -11,15 +11,15 @@
     },
 };
 
-/// In the line of a router's log for a request that it sends to a replica.
-const SENT: &str = "\"message\":\"sent\"";
+/// Part of a router's log line for a request that it sends to a replica.
+const SENT_MESSAGE: &str = "\"message\":\"sent\"";
 
-/// A replica that leaves, and what it got afterwards.
+/// A replica that left, and the requests that reached it afterwards.
 #[derive(Debug, Clone)]
 pub struct DrainSeen {
     pub replica: String,
     pub confirmed: Instant,     // by the store
-    pub arrivals: Vec<Arrival>, // since then, until it was gone
+    pub arrivals: Vec<Arrival>, // from then until it was gone
 }
 
 /// A request that reached a replica.
@@ -30,7 +30,7 @@
 }
 
 impl Arrival {
-    /// A request as a stand-in saw it.
+    /// Takes over a request that a replica stand-in received.
     pub fn of(seen: &SeenRequest) -> Self {
         Self {
             id: seen.id().to_owned(),
@@ -39,16 +39,16 @@
     }
 }
 
-/// A configuration that the store confirmed, and when a router served it.
+/// A configuration that the store confirmed, and when a router had it in force.
 #[derive(Debug, Clone)]
 pub struct ChangeSeen {
     pub router: usize,
     pub version: u64,
     pub confirmed: Instant,
-    pub served: Option<Instant>, // none if it never did
+    pub served: Option<Instant>, // none if it never was
 }
 
-/// A zone that was emptied, and when it was taken back.
+/// A zone that was evacuated, and when it was readmitted.
 #[derive(Debug, Clone)]
 pub struct CordonSeen {
     pub zone: String,
@@ -56,22 +56,22 @@
     pub taken_back: Instant,
 }
 
-/// A replica's slow start.
+/// Slow start of a replica.
 #[derive(Debug, Clone)]
 pub struct StartSeen {
     pub replica: String,
-    pub from: Instant, // it was listed as slow
+    pub from: Instant, // when it was listed as slow
     pub until: Instant,
 }
 
-/// What a replica said of itself.
+/// What a replica announced in its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Notice {
-    Leaves,
-    Rests(Duration), // it turned requests away
+    Leaving,
+    Backoff(Duration), // it refused requests for this time
 }
 
-/// A replica that said something of itself, and what it got from then on.
+/// A replica that announced something, and the requests that reached it from then on.
 #[derive(Debug, Clone)]
 pub struct NoticeSeen {
     pub replica: String,
@@ -79,7 +79,7 @@
     pub arrivals: Vec<(Arrival, bool)>, // and whether each ran
 }
 
-/// All that reached one replica.
+/// All requests that reached one replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaSeen {
     pub id: String,
@@ -87,60 +87,60 @@
     pub arrivals: Vec<Arrival>,
 }
 
-/// What callers and replicas saw, and what was done to the fleet.
+/// What callers and replicas observed, and what was done to the fleet.
 #[derive(Debug, Default)]
 pub struct Record {
     pub fleet: SoakFleet,
-    pub attempts: Vec<Attempt>,
+    pub requests: Vec<CallerRequest>,
     pub spans: Vec<FaultSpan>,
     pub drains: Vec<DrainSeen>,
     pub changes: Vec<ChangeSeen>,
     pub cordons: Vec<CordonSeen>,
     pub starts: Vec<StartSeen>,
     pub notices: Vec<NoticeSeen>,
-    pub replicas: Vec<ReplicaSeen>, // all that there were
-    pub runs: HashMap<String, Vec<&'static str>>, // the services that ran a request, by its id
-    pub sent: HashMap<(String, String), usize>, // request and replica: the router that sent it
-    pub unserved: Vec<String>,      // what did not work when all was well again
-    pub lateness: Duration,         // of the harness itself, at most
-    pub starvation: Starvation,     // of the routers
+    pub replicas: Vec<ReplicaSeen>,               // all of the run
+    pub runs: HashMap<String, Vec<&'static str>>, // services that ran a request, by its id
+    pub sent: HashMap<(String, String), usize>,   // router that sent it, by request and replica
+    pub unserved: Vec<String>,                    // what did not work after all faults had ended
+    pub lateness: Duration,                       // longest scheduling delay of the harness
+    pub starvation: Starvation,                   // of the routers
 }
 
 impl Record {
-    /// The router that each request was sent to; probes are none of them.
+    /// Router that each caller's request was sent to, by request id. Probes are not included.
     pub fn senders(&self) -> HashMap<&str, usize> {
-        let attempts = self.attempts.iter();
-        attempts
-            .map(|attempt| (attempt.id.as_str(), attempt.router))
+        let requests = self.requests.iter();
+        requests
+            .map(|request| (request.id.as_str(), request.router))
             .collect()
     }
 
-    /// The router that sent a request to a replica, by its own log; where that has no line
-    /// of it, the one that the caller asked. A busy router hands connections on, and then its
-    /// neighbour sends.
+    /// Router that sent a request to a replica, according to its log; without a log line, the
+    /// router that the caller asked. These differ when a busy router hands the connection on
+    /// to a neighbour.
     pub fn sender(
         &self,
-        request: &str,
+        request_id: &str,
         replica: &str,
     ) -> Option<usize> {
-        let logged = self.sent.get(&(request.to_owned(), replica.to_owned()));
+        let logged = self.sent.get(&(request_id.to_owned(), replica.to_owned()));
         let asked = || {
-            let mut attempts = self.attempts.iter();
-            let attempt = attempts.find(|attempt| attempt.id == request)?;
-            Some(attempt.router)
+            let mut requests = self.requests.iter();
+            let request = requests.find(|request| request.id == request_id)?;
+            Some(request.router)
         };
         logged.copied().or_else(asked)
     }
 
-    /// Takes in which requests a router sent to which replicas, by its log.
-    pub fn read_sent(
+    /// Adds the requests that a router sent to replicas, from the router's log.
+    pub fn add_sent_from_log(
         &mut self,
         router: usize,
         log: &str,
     ) {
-        for line in log.lines().filter(|line| line.contains(SENT)) {
+        for line in log.lines().filter(|line| line.contains(SENT_MESSAGE)) {
             let Ok(line) = serde_json::from_str::<Value>(line) else {
-                continue; // cut by the router's end
+                continue; // truncated when the router ended
             };
             let text = |name: &str| line[name].as_str().unwrap_or("").to_owned();
             self.sent
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether a router ran as the other build at a moment.
+    /// Whether a router ran the other build at the given time.
     pub fn was_other_build(
         &self,
         sender: Option<usize>,
@@ -156,13 +156,14 @@
     ) -> bool {
         let mut spans = self.spans.iter();
         spans.any(|span| {
-            let is_its = matches!(span.fault, Fault::OtherBuild(router) if Some(router) == sender);
-            is_its && span.began <= at && at <= span.ended
+            let is_of_sender =
+                matches!(span.fault, Fault::OtherBuild(router) if Some(router) == sender);
+            is_of_sender && span.began <= at && at <= span.ended
         })
     }
 
-    /// Whether a router ended or stood still between two moments, or ran as the other build.
-    pub fn starts_anew(
+    /// Whether a router exited, was suspended or ran the other build between two moments.
+    pub fn was_interrupted(
         &self,
         router: usize,
         since: Instant,
@@ -170,14 +171,14 @@
     ) -> bool {
         let mut spans = self.spans.iter();
         spans.any(|span| {
-            let meets = span.began <= until && span.ended >= since;
-            meets && span.fault.interrupts(router)
+            let overlaps = span.began <= until && span.ended >= since;
+            overlaps && span.fault.interrupts(router)
         })
     }
 
-    /// Whether a router, or the store as it sees it, was in trouble within `contact`
-    /// before a moment.
-    pub fn excuses(
+    /// Whether a fault interrupted a router or hid the store from it within the setting
+    /// `contact` before `at`.
+    pub fn had_store_trouble(
         &self,
         router: usize,
         at: Instant,
@@ -185,8 +186,8 @@
         let since = at - self.fleet.contact;
         let mut spans = self.spans.iter();
         spans.any(|span| {
-            let meets = span.began <= at && span.ended >= since;
-            meets && span.fault.hides_the_store_from(router)
+            let overlaps = span.began <= at && span.ended >= since;
+            overlaps && span.fault.hides_the_store_from(router)
         })
     }
 }
--- a/testbed/src/soak/replica_slot.rs
+++ b/testbed/src/soak/replica_slot.rs
@@ -10,34 +10,34 @@
     },
 };
 
-/// Events of a whole stream.
-pub const EVENTS: u32 = 12;
+/// Events of a complete stream.
+pub const EVENTS_PER_STREAM: u32 = 12;
 
-/// What plain replicas answer.
+/// Body of the answers of plain replicas.
 pub const PLAIN_BODY: &str = "a plain answer";
 
-/// Answers that are spoilt in a row.
-const SPOILT: usize = 24;
+/// How many answers in a row are spoilt.
+const SPOILT_ANSWERS: usize = 24;
 
-/// How long a replica is slow after its start.
-const SLOW_FOR: Duration = Duration::from_secs(3);
+/// Duration of the slow start of a replica.
+const SLOW_START: Duration = Duration::from_secs(3);
 
-/// Between two events.
+/// Time between two events of a stream.
 const EVENT_PAUSE: Duration = Duration::from_millis(8);
 
-/// One place for a replica, behind a proxy; replicas come and go there.
+/// A replica behind a proxy, and its successors: each replacement gets a new id and proxy.
 pub struct ReplicaSlot {
     pub service: &'static str,
     pub replica: Replica,
     pub proxy: TcpProxy,
     pub zone: String,
     number: usize,
-    lives: usize,
+    generation: usize,
     ip: IpAddr,
 }
 
 impl ReplicaSlot {
-    /// Starts its first replica and lists it.
+    /// Starts the first replica and lists it in the store.
     pub async fn start(
         number: usize,
         service: &'static str,
@@ -52,7 +52,7 @@
             proxy,
             zone,
             number,
-            lives: 1,
+            generation: 1,
             ip,
         };
         slot.list(store, "ready");
@@ -68,19 +68,19 @@
         store.list_in(&self.zone, &self.replica.id, self.service, address, state);
     }
 
-    /// Lists the present replica as one that has just started. Gives the revision, and
-    /// until when it is slow.
+    /// Lists the current replica as one that has just started. Returns the store's revision and
+    /// the end of the slow start.
     pub fn list_slow(
         &self,
         store: &Store,
     ) -> (u64, Instant) {
         let (id, address) = (&self.replica.id, self.proxy.address);
-        let slow_ms = SLOW_FOR.as_millis() as u64;
+        let slow_ms = SLOW_START.as_millis() as u64;
         let revision = store.list_slow(&self.zone, id, self.service, address, slow_ms);
-        (revision, Instant::now() + SLOW_FOR)
+        (revision, Instant::now() + SLOW_START)
     }
 
-    /// What reached the present replica after a moment.
+    /// Requests that reached the current replica after `moment`.
     pub fn arrivals_after(
         &self,
         moment: Instant,
@@ -90,7 +90,7 @@
         after.map(|request| Arrival::of(&request)).collect()
     }
 
-    /// Lists the present replica as leaving.
+    /// Lists the current replica as draining.
     pub fn drain(
         &self,
         store: &Store,
@@ -98,7 +98,7 @@
         self.list(store, "draining");
     }
 
-    /// Takes the present replica off the list.
+    /// Removes the entry of the current replica from the store.
     pub fn unlist(
         &self,
         store: &Store,
@@ -106,7 +106,7 @@
         store.remove(&self.replica.id);
     }
 
-    /// Its next requests run, and their answers are lost or spoilt.
+    /// Lets the next requests run, but loses or spoils their answers.
     pub fn spoil_answers(&self) {
         let mut spoilt = vec![
             ReplicaAnswer::Close,
@@ -116,31 +116,32 @@
             ReplicaAnswer::Unsigned,
         ];
         if self.service == "plain" {
-            // A stream's replica would answer with what is no stream.
+            // A surplus answer with a plain body is no stream of events.
             spoilt.push(ReplicaAnswer::Surplus {
                 body: PLAIN_BODY.to_owned(),
             });
         }
-        for answer in spoilt.iter().cycle().take(SPOILT) {
+        for answer in spoilt.iter().cycle().take(SPOILT_ANSWERS) {
             self.replica.next(answer.clone());
         }
     }
 
-    /// Starts another replica and lists it. Gives the one that is gone, of which
-    /// no connection is left.
+    /// Starts another replica and lists it. Returns the previous one, whose connections are
+    /// closed.
     pub async fn replace(
         &mut self,
         store: &Store,
     ) -> Replica {
-        let gone = self.start_another().await;
+        let gone = self.start_successor().await;
         self.list(store, "ready");
         gone
     }
 
-    /// The same, without listing it.
-    pub async fn start_another(&mut self) -> Replica {
-        let (replica, proxy) = start_replica(self.number, self.lives, self.service, self.ip).await;
-        self.lives += 1;
+    /// Like [`Self::replace`], without listing the new replica.
+    pub async fn start_successor(&mut self) -> Replica {
+        let (replica, proxy) =
+            start_replica(self.number, self.generation, self.service, self.ip).await;
+        self.generation += 1;
         self.proxy = proxy;
         std::mem::replace(&mut self.replica, replica)
     }
@@ -148,18 +149,18 @@
 
 async fn start_replica(
     number: usize,
-    lives: usize,
+    generation: usize,
     service: &str,
     ip: IpAddr,
 ) -> (Replica, TcpProxy) {
     let usual = match service {
         "events" => ReplicaAnswer::Events {
-            last: EVENTS,
+            last: EVENTS_PER_STREAM,
             pause: EVENT_PAUSE,
         },
         _ => ReplicaAnswer::ok(PLAIN_BODY),
     };
-    let replica = Replica::start(ip, &format!("i-{number}-{lives}"), usual).await;
+    let replica = Replica::start(ip, &format!("i-{number}-{generation}"), usual).await;
     let proxy = TcpProxy::start(ip, replica.address)
         .await
         .expect("a free port");
--- a/testbed/src/soak/schedule.rs
+++ b/testbed/src/soak/schedule.rs
@@ -5,27 +5,27 @@
     std::{ops::Range, time::Duration},
 };
 
-/// Between the beginnings of two faults, in milliseconds.
-const GAP_MS: Range<u64> = 300..2500;
+/// Time between the starts of two faults, in milliseconds.
+const FAULT_GAP_MS: Range<u64> = 300..2500;
 
-/// How long a fault lasts, in milliseconds.
-const LENGTH_MS: Range<u64> = 100..2500;
+/// Duration of a fault, in milliseconds.
+const FAULT_LENGTH_MS: Range<u64> = 100..2500;
 
-/// Between two silences, in milliseconds.
+/// Time between two silences, in milliseconds.
 const SILENCE_GAP_MS: Range<u64> = 500..6000;
 
-/// Sets the draw of silences apart from that of the other faults.
-const SILENCES: u64 = 0x51_1e_ce;
+/// Combined with the seed, so that silences are drawn independently of the other faults.
+const SILENCE_SEED: u64 = 0x51_1e_ce;
 
-/// A fault that is to come.
+/// A fault to be injected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    pub after: Duration, // since the beginning of the one before
+    pub after: Duration, // since the start of the previous fault
     pub lasts: Duration,
     pub fault: Fault,
 }
 
-/// The faults of a run, the same for the same seed.
+/// Draws the faults of a run; the same seed gives the same faults.
 pub fn schedule(
     seed: u64,
     length: Duration,
@@ -33,22 +33,22 @@
     replicas: usize,
 ) -> Vec<PlannedFault> {
     let random = StdRng::seed_from_u64(seed);
-    planned(random, GAP_MS, length, |random| {
-        let lasts = Duration::from_millis(random.random_range(LENGTH_MS));
-        (lasts, draw(random, routers, replicas))
+    draw_faults(random, FAULT_GAP_MS, length, |random| {
+        let lasts = Duration::from_millis(random.random_range(FAULT_LENGTH_MS));
+        (lasts, draw_fault(random, routers, replicas))
     })
 }
 
-/// Silences that come beside the other faults, the same for the same seed. They are
-/// drawn apart, so that a seed's other faults stay what they were.
+/// Draws the connections that fall silent in a run, in addition to the other faults. They use
+/// random numbers of their own, so that they do not change the other faults of a seed.
 pub fn silences(
     seed: u64,
     length: Duration,
     routers: usize,
     replicas: usize,
 ) -> Vec<PlannedFault> {
-    let random = StdRng::seed_from_u64(seed ^ SILENCES);
-    planned(random, SILENCE_GAP_MS, length, |random| {
+    let random = StdRng::seed_from_u64(seed ^ SILENCE_SEED);
+    draw_faults(random, SILENCE_GAP_MS, length, |random| {
         let router = random.random_range(0..routers);
         let fault = match random.random_range(0..5) {
             0 => Fault::SilenceStore(router),
@@ -60,13 +60,13 @@
     })
 }
 
-/// Draws how long after the one before a fault begins, then the fault and how long it
-/// lasts, until `length` is over.
-pub(super) fn planned(
+/// Draws for each fault its delay after the previous one, then its duration and the fault,
+/// until `length` is reached.
+pub(super) fn draw_faults(
     mut random: StdRng,
     gap_ms: Range<u64>,
     length: Duration,
-    mut draw: impl FnMut(&mut StdRng) -> (Duration, Fault),
+    mut draw_fault: impl FnMut(&mut StdRng) -> (Duration, Fault),
 ) -> Vec<PlannedFault> {
     let mut faults = Vec::new();
     let mut at = Duration::ZERO;
@@ -76,7 +76,7 @@
         if at >= length {
             return faults;
         }
-        let (lasts, fault) = draw(&mut random);
+        let (lasts, fault) = draw_fault(&mut random);
         faults.push(PlannedFault {
             after,
             lasts,
@@ -85,7 +85,7 @@
     }
 }
 
-fn draw(
+fn draw_fault(
     random: &mut StdRng,
     routers: usize,
     replicas: usize,
--- a/testbed/src/soak/soak.rs
+++ b/testbed/src/soak/soak.rs
@@ -1,7 +1,8 @@
 use {
     super::{
-        attempt::Kind,
+        caller_request::RequestKind,
         callers::Callers,
+        fleet_under_test::FleetUnderTest,
         lateness::Lateness,
         movements::movements,
         notices::notices,
@@ -10,14 +11,13 @@
         soak_fleet::SoakFleet,
         soak_result::SoakResult,
         starvation::StarvationWatch,
-        world::World,
     },
     crate::direct::DirectFleet,
     std::{sync::Arc, time::Duration},
     tokio::{task::JoinSet, time::sleep},
 };
 
-/// Runs a fleet for `length` under what a seed draws.
+/// Runs a fleet for `length` under the faults drawn from `seed`, and checks what was observed.
 pub async fn soak(
     seed: u64,
     length: Duration,
@@ -25,17 +25,18 @@
 ) -> SoakResult {
     let (routers, replicas) = (plan.routers(), plan.services().len());
     let mut fleet = DirectFleet::start_in_zones(&vec![plan.per_zone; plan.zones], "").await;
-    let world = Arc::new(World::start(plan.clone(), &mut fleet).await);
-    world.publish();
+    let fleet_under_test = Arc::new(FleetUnderTest::start(plan.clone(), &mut fleet).await);
+    fleet_under_test.publish();
     fleet.all_ready().await;
     for router in 0..routers {
-        fleet.serves(router, Kind::Events.path(), 200).await;
+        fleet.serves(router, RequestKind::Events.path(), 200).await;
     }
-    let callers = Callers::start(seed, &world.caller_addresses(), plan.callers);
+    let callers = Callers::start(seed, &fleet_under_test.caller_addresses(), plan.callers);
     let lateness = Lateness::start();
-    let starvation = StarvationWatch::start(world.clone());
+    let starvation = StarvationWatch::start(fleet_under_test.clone());
     let mut work = JoinSet::new();
-    let mut begin = |planned: Vec<PlannedFault>| work.spawn(play(world.clone(), planned));
+    let mut begin =
+        |faults: Vec<PlannedFault>| work.spawn(inject_all(fleet_under_test.clone(), faults));
     if plan.faults {
         begin(schedule(seed, length, routers, replicas));
     }
@@ -58,26 +59,26 @@
         begin(replaced_builds(seed, length));
     }
     work.join_all().await;
-    world.recover().await;
-    let attempts = callers.end().await;
+    fleet_under_test.await_recovery().await;
+    let requests = callers.end().await;
     {
-        let mut record = world.record.lock().expect("record lock");
-        record.attempts = attempts;
+        let mut record = fleet_under_test.record.lock().expect("record lock");
+        record.requests = requests;
         record.lateness = lateness.end();
         record.starvation = starvation.end();
     }
-    world.result(seed).await
+    fleet_under_test.result(seed).await
 }
 
-/// Inflicts faults one after the other; they may overlap. Ends when all have ended.
-async fn play(
-    world: Arc<World>,
-    planned: Vec<PlannedFault>,
+/// Starts faults one after the other; they may overlap. Returns when all have ended.
+async fn inject_all(
+    fleet_under_test: Arc<FleetUnderTest>,
+    faults: Vec<PlannedFault>,
 ) {
     let mut tasks = JoinSet::new();
-    for fault in planned {
+    for fault in faults {
         sleep(fault.after).await;
-        tasks.spawn(world.clone().inflict(fault));
+        tasks.spawn(fleet_under_test.clone().inject(fault));
     }
     tasks.join_all().await;
 }
--- a/testbed/src/soak/soak_fleet.rs
+++ b/testbed/src/soak/soak_fleet.rs
@@ -3,7 +3,7 @@
     std::{path::PathBuf, time::Duration},
 };
 
-/// The fleet that a soak starts, and what happens to it.
+/// The fleet that a soak starts, and which faults are injected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SoakFleet {
     pub zones: usize,
@@ -11,40 +11,48 @@
     pub callers: usize,         // of each router
     pub plain: usize,           // replicas that answer whole
     pub events: usize,          // replicas that answer with a stream
-    pub drain: Duration,        // from the store's word until nothing reaches a leaving replica
-    pub contact: Duration,      // trouble within it excuses a router
-    pub evacuate: Duration,     // from the store's word until nothing reaches an emptied zone
-    pub slow_per_second: usize, // requests that a replica bears after a start; 0 is no bound
+    pub drain: Duration, // from the store's confirmation until nothing reaches a leaving replica
+    pub contact: Duration, // for how long after a fault its router is excused
+    pub evacuate: Duration, // from the store's confirmation until nothing reaches an evacuated zone
+    pub slow_per_second: usize, // requests to a replica in its slow start; 0 is no limit
     pub faults: bool,
     pub silences: bool,
     pub movements: bool,
     pub cordons: bool,
     pub slow_returns: bool,
     pub notices: bool,
-    pub other_build: Option<PathBuf>, // that routers are replaced by, and back
+    pub other_build: Option<PathBuf>, // program that replaces the routers for a time
 }
 
-/// The most routers that a file may ask for, against slips of the pen: a few hundred
-/// processes are the bound of this machine, and 30 are the most that were run.
-const MOST_ROUTERS: usize = 120;
+/// Most routers that a fleet file may ask for, against typing errors: a test machine runs a
+/// few hundred processes at most, and fleets have up to 30 routers.
+const MAX_ROUTERS: usize = 120;
 
-/// The most replicas of one service that a file may ask for; 54 in all were run.
-const MOST_REPLICAS: usize = 200;
+/// Most replicas of one service that a fleet file may ask for; fleets have up to 54 in all.
+const MAX_REPLICAS: usize = 200;
 
-/// Times that a bound may have.
-const TIMES: std::ops::RangeInclusive<Duration> =
+/// Range of the time limits in the section `[bounds]`.
+const BOUND_RANGE: std::ops::RangeInclusive<Duration> =
     Duration::from_millis(100)..=Duration::from_secs(60);
 
 impl SoakFleet {
-    /// The default, commented.
+    /// The default fleet file, with comments.
     pub const SHIPPED: &str = include_str!("../../fleets/small.ini");
 
-    /// Reads a file over the default: codes 10 to 18.
+    /// Reads a fleet file; missing keys come from the default.
+    ///
+    /// # Errors
+    ///
+    /// Result codes 10 to 18.
     pub fn read(path: &str) -> Result<Self, ConfError> {
         Self::from_file(SettingsFile::read(path, Self::SHIPPED)?)
     }
 
-    /// Reads a text over the default: codes 11 to 18.
+    /// Parses the text of a fleet file; missing keys come from the default.
+    ///
+    /// # Errors
+    ///
+    /// Result codes 11 to 18.
     pub fn parse(text: &str) -> Result<Self, ConfError> {
         let document = IniDocument::parse("a fleet", text)?;
         Self::from_file(SettingsFile::new(document, Self::SHIPPED)?)
@@ -58,13 +66,13 @@
         let zones = routers.number("zones", 1..=10)?;
         Ok(Self {
             zones,
-            per_zone: routers.number("per_zone", 1..=MOST_ROUTERS / zones)?,
+            per_zone: routers.number("per_zone", 1..=MAX_ROUTERS / zones)?,
             callers: routers.number("callers", 1..=100)?,
-            plain: replicas.number("plain", 1..=MOST_REPLICAS)?,
-            events: replicas.number("events", 1..=MOST_REPLICAS)?,
-            drain: bounds.duration("drain", TIMES)?,
-            contact: bounds.duration("contact", TIMES)?,
-            evacuate: bounds.duration("evacuate", TIMES)?,
+            plain: replicas.number("plain", 1..=MAX_REPLICAS)?,
+            events: replicas.number("events", 1..=MAX_REPLICAS)?,
+            drain: bounds.duration("drain", BOUND_RANGE)?,
+            contact: bounds.duration("contact", BOUND_RANGE)?,
+            evacuate: bounds.duration("evacuate", BOUND_RANGE)?,
             slow_per_second: bounds.number("slow_per_second", 0..=1000)?,
             faults: work.flag("faults")?,
             silences: work.flag("silences")?,
@@ -76,7 +84,7 @@
         })
     }
 
-    /// Routers in all zones.
+    /// Number of routers in all zones.
     pub fn routers(&self) -> usize {
         self.zones * self.per_zone
     }
--- a/testbed/src/soak/soak_result.rs
+++ b/testbed/src/soak/soak_result.rs
@@ -1,24 +1,24 @@
 use std::{collections::BTreeMap, time::Duration};
 
-/// What one run showed.
+/// Outcome of one run.
 #[derive(Debug)]
 pub struct SoakResult {
     pub seed: u64,
-    pub faults: Vec<String>,            // in words, with their times
-    pub statuses: BTreeMap<u16, usize>, // answers by status, 0 for none
-    pub broken: Vec<String>,
-    pub leaving: usize,              // replicas that left
-    pub arrivals_in_time: usize,     // requests that reached these since
-    pub arrivals_excused: usize,     // later than allowed, but in trouble
-    pub lateness: Duration,          // of the harness itself, at most
-    pub starved: Duration,           // of a router for want of a processor, at most
-    pub starved_refusals: usize,     // requests that routers refused since
-    pub valid: bool,                 // the harness was not too late to tell
-    pub logs: Vec<(String, String)>, // the routers' logs, by file name
+    pub faults: Vec<String>,            // with their times
+    pub statuses: BTreeMap<u16, usize>, // count by status; 0 for none
+    pub broken: Vec<String>,            // guarantees that did not hold, one text each
+    pub leaving: usize,                 // replicas that were drained or unlisted
+    pub arrivals_in_time: usize,        // requests that reached them within the limit
+    pub arrivals_excused: usize,        // later, but a fault kept their router from knowing
+    pub lateness: Duration,             // longest scheduling delay of the harness
+    pub starved: Duration,              // longest wait of a router for a processor
+    pub starved_refusals: usize,        // requests that routers refused for lack of processor
+    pub valid: bool, // the harness was late by little enough for its times to be trusted
+    pub logs: Vec<(String, String)>, // file name and text of each router's log
 }
 
 impl SoakResult {
-    /// One line for people.
+    /// One line for the terminal.
     pub fn summary(&self) -> String {
         let statuses: Vec<String> = self
             .statuses
--- a/testbed/src/soak/starvation.rs
+++ b/testbed/src/soak/starvation.rs
@@ -1,5 +1,5 @@
 use {
-    super::world::World,
+    super::fleet_under_test::FleetUnderTest,
     std::{
         collections::HashMap,
         fs,
@@ -9,27 +9,27 @@
     tokio::{task::JoinHandle, time::sleep},
 };
 
-/// How often the routers' waiting is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often the routers' waiting times are read.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// For so long a router refuses after it waited for a processor: its own measure of that
-/// falls by a third every 20 ms.
-const FELT: Duration = Duration::from_millis(500);
+/// How long a router refuses requests after it waited for a processor. Its own measure of
+/// lateness falls by a third every 20 ms.
+const REFUSES_FOR: Duration = Duration::from_millis(500);
 
-/// A router refuses when two of its timers in a row are 60 ms late: it waited this long at
-/// least if nothing but the machine kept it from its work.
-const REFUSES_AFTER: Duration = Duration::from_millis(120);
+/// Shortest wait for a processor that explains a refusal: a router refuses when two of its
+/// timers in a row are 60 ms late.
+const MIN_WAIT_TO_REFUSE: Duration = Duration::from_millis(120);
 
-/// How long threads of a router were ready to run and had no processor, by the kernel's
-/// count: work of the router itself is none of it.
+/// How long threads of each router were ready to run and had no processor, as counted by the
+/// kernel. Time in which the router itself ran does not count.
 #[derive(Debug, Clone, Default)]
 pub struct Starvation {
-    waits: HashMap<usize, Vec<(Instant, Duration)>>, // by router, as of when
+    waits: HashMap<usize, Vec<(Instant, Duration)>>, // time read and wait, by router
 }
 
 impl Starvation {
-    /// A router's slowest thread waited this long since it was last looked at.
-    pub fn note(
+    /// Records how long the longest waiting thread of a router waited since the previous reading.
+    pub fn record_wait(
         &mut self,
         router: usize,
         at: Instant,
@@ -38,63 +38,64 @@
         self.waits.entry(router).or_default().push((at, waited));
     }
 
-    /// Whether the machine kept a router from its work so long before a moment that it
-    /// had to refuse.
+    /// Whether a router waited for a processor long enough before `at` that it had to refuse
+    /// requests.
     pub fn explains_refusal(
         &self,
         router: usize,
         at: Instant,
     ) -> bool {
         let waits = self.waits.get(&router).into_iter().flatten();
-        let before = waits.filter(|(seen, _)| *seen <= at + LOOK && *seen + FELT >= at);
-        before.map(|(_, waited)| *waited).sum::<Duration>() >= REFUSES_AFTER
+        let before =
+            waits.filter(|(seen, _)| *seen <= at + CHECK_INTERVAL && *seen + REFUSES_FOR >= at);
+        before.map(|(_, waited)| *waited).sum::<Duration>() >= MIN_WAIT_TO_REFUSE
     }
 
-    /// The most that a router waited between two looks.
-    pub fn most(&self) -> Duration {
+    /// Longest wait of a router between two readings.
+    pub fn max_wait(&self) -> Duration {
         let waits = self.waits.values().flatten();
         waits.map(|(_, waited)| *waited).max().unwrap_or_default()
     }
 }
 
-/// Measures the starvation of a fleet's routers.
+/// Reads the waiting times of a fleet's routers periodically.
 pub struct StarvationWatch {
     seen: Arc<Mutex<Starvation>>,
     task: JoinHandle<()>,
 }
 
 impl StarvationWatch {
-    /// Measures from now on.
-    pub fn start(world: Arc<World>) -> Self {
+    /// Starts to measure.
+    pub fn start(fleet_under_test: Arc<FleetUnderTest>) -> Self {
         let seen = Arc::new(Mutex::new(Starvation::default()));
-        let noted = seen.clone();
+        let recorded = seen.clone();
         let task = tokio::spawn(async move {
             let mut before = HashMap::new();
             loop {
-                for (router, process) in world.routers.iter().enumerate() {
-                    // A router that is being restarted is held: its next look is soon.
+                for (router, process) in fleet_under_test.routers.iter().enumerate() {
+                    // The lock is taken while a router restarts; skip this reading.
                     let Ok(process) = process.try_lock() else {
                         continue;
                     };
                     let waited = waited_since(process.id(), &mut before);
-                    let mut seen = noted.lock().expect("starvation lock");
-                    seen.note(router, Instant::now(), waited);
+                    let mut seen = recorded.lock().expect("starvation lock");
+                    seen.record_wait(router, Instant::now(), waited);
                 }
-                sleep(LOOK).await;
+                sleep(CHECK_INTERVAL).await;
             }
         });
         Self { seen, task }
     }
 
-    /// What was seen.
+    /// Stops, and returns what was measured.
     pub fn end(self) -> Starvation {
         self.task.abort();
         self.seen.lock().expect("starvation lock").clone()
     }
 }
 
-/// How long the thread of a process that waited most did so since `before`. A kernel that
-/// does not count it tells nothing, and then nothing is explained.
+/// Longest wait of a thread of the process since the totals in `before`, which are updated.
+/// Zero where the kernel does not provide the count.
 fn waited_since(
     process: u32,
     before: &mut HashMap<String, Duration>,
@@ -102,7 +103,7 @@
     let Ok(threads) = fs::read_dir(format!("/proc/{process}/task")) else {
         return Duration::ZERO;
     };
-    let mut most = Duration::ZERO;
+    let mut max_wait = Duration::ZERO;
     for thread in threads.flatten() {
         let path = thread.path().join("schedstat");
         let Ok(text) = fs::read_to_string(&path) else {
@@ -114,7 +115,7 @@
         };
         let waited = Duration::from_nanos(nanos);
         let known = before.insert(path.to_string_lossy().into_owned(), waited);
-        most = most.max(waited.saturating_sub(known.unwrap_or(waited)));
+        max_wait = max_wait.max(waited.saturating_sub(known.unwrap_or(waited)));
     }
-    most
+    max_wait
 }
--- a/testbed/src/soak/zone_check.rs
+++ b/testbed/src/soak/zone_check.rs
@@ -1,31 +1,33 @@
-//! What reached replicas of emptied zones, and replicas that had just started.
+//! Checks the requests that reached replicas of evacuated zones, and replicas in their slow
+//! start.
 
 use {
     super::record::{Arrival, Record, ReplicaSeen},
     std::time::{Duration, Instant},
 };
 
-/// The span over which requests to a replica that has just started are counted.
-const SECOND: Duration = Duration::from_secs(1);
+/// Window in which requests to a replica in its slow start are counted.
+const COUNTING_SPAN: Duration = Duration::from_secs(1);
 
-/// Each request that reached an emptied zone later than allowed, in words. A router is not
-/// held to it while it, or the store, is in trouble, nor for `contact` after.
-pub fn emptied(record: &Record) -> Vec<String> {
+/// Returns one text for each request that reached an evacuated zone later than allowed. A
+/// router is excused while a fault interrupts it or hides the store from it, and for the
+/// setting `contact` afterwards.
+pub fn emptied_zone_arrivals(record: &Record) -> Vec<String> {
     let mut late = Vec::new();
     let senders = record.senders();
     for cordon in &record.cordons {
         let from = cordon.confirmed + record.fleet.evacuate;
-        let there = record
+        let in_zone = record
             .replicas
             .iter()
             .filter(|seen| seen.zone == cordon.zone);
-        for (replica, arrival) in arrivals(there) {
+        for (replica, arrival) in arrivals(in_zone) {
             let is_late = arrival.at > from && arrival.at < cordon.taken_back;
             if !is_late {
                 continue;
             }
             let sender = senders.get(&*arrival.id).copied();
-            let excused = sender.is_some_and(|router| record.excuses(router, arrival.at));
+            let excused = sender.is_some_and(|router| record.had_store_trouble(router, arrival.at));
             if !excused {
                 let after = (arrival.at - cordon.confirmed).as_millis();
                 late.push(format!(
@@ -38,12 +40,13 @@
     late
 }
 
-/// Each replica that got more than it bears in some second of its start, in words, but for
-/// what routers sent that ran as the other build. Nothing else excuses it. Requests that left in one second may be read in a shorter one by as much as
-/// the harness is late.
-pub fn overrun(record: &Record) -> Vec<String> {
-    let span = SECOND.saturating_sub(record.lateness);
-    let mut overrun = Vec::new();
+/// Returns one text for each replica that received more than its limit in some second of its
+/// slow start. Only requests of routers that ran the other build are excused. The window is
+/// shortened by the lateness of the harness, since requests that were sent within a second
+/// may be read within a shorter time.
+pub fn slow_start_excess(record: &Record) -> Vec<String> {
+    let span = COUNTING_SPAN.saturating_sub(record.lateness);
+    let mut slow_start_excess = Vec::new();
     let senders = record.senders();
     for start in &record.starts {
         let seen = record
@@ -59,19 +62,19 @@
             .map(|(_, arrival)| arrival.at)
             .collect();
         at.sort();
-        let most = (0..at.len()).map(|last| {
+        let peak = (0..at.len()).map(|last| {
             let within = |other: &&Instant| at[last] - **other < span;
             at[..=last].iter().filter(within).count()
         });
-        let most = most.max().unwrap_or(0);
-        if most > record.fleet.slow_per_second {
-            overrun.push(format!(
-                "start: {} got {most} requests in a second, and bears {}",
+        let peak = peak.max().unwrap_or(0);
+        if peak > record.fleet.slow_per_second {
+            slow_start_excess.push(format!(
+                "start: {} got {peak} requests in a second, and bears {}",
                 start.replica, record.fleet.slow_per_second
             ));
         }
     }
-    overrun
+    slow_start_excess
 }
 
 fn arrivals<'r>(
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -5,9 +5,10 @@
     archmast_testbed::{
         direct::{ClientAnswer, StoreMode, event},
         soak::{
-            Arrival, Attempt, ChangeSeen, CordonSeen, DrainSeen, EVENTS, Fault, FaultSpan, Kind,
-            Notice, NoticeSeen, PLAIN_BODY, PlannedFault, Record, ReplicaSeen, SoakFleet,
-            StartSeen, Starvation, broken, late_arrivals, movements, schedule, silences, soak,
+            Arrival, CallerRequest, ChangeSeen, CordonSeen, DrainSeen, EVENTS_PER_STREAM, Fault,
+            FaultSpan, Notice, NoticeSeen, PLAIN_BODY, PlannedFault, Record, ReplicaSeen,
+            RequestKind, SoakFleet, StartSeen, Starvation, broken, late_arrivals, movements,
+            schedule, silences, soak,
         },
     },
     std::{
@@ -37,12 +38,12 @@
 
 /// A record of one request that ran at these services.
 fn record(
-    kind: Kind,
+    kind: RequestKind,
     answer: ClientAnswer,
     runs: &[&'static str],
 ) -> Record {
     let now = Instant::now();
-    let attempt = Attempt {
+    let request = CallerRequest {
         id: "a".to_owned(),
         kind,
         router: 0,
@@ -56,7 +57,7 @@
         HashMap::from([("a".to_owned(), runs.to_vec())])
     };
     Record {
-        attempts: vec![attempt],
+        requests: vec![request],
         runs,
         ..Record::default()
     }
@@ -75,7 +76,7 @@
     record
 }
 
-fn assert_broken(
+fn assert_violation(
     record: &Record,
     rule: &str,
 ) {
@@ -87,18 +88,22 @@
 #[test]
 fn what_was_served_as_promised_is_not_broken() {
     let plain = || answer(200, "a", PLAIN_BODY);
-    let events: String = (1..=EVENTS).map(event).collect();
+    let events: String = (1..=EVENTS_PER_STREAM).map(event).collect();
     for (kind, answer, runs) in [
-        (Kind::Charge, plain(), vec!["plain"]),
-        (Kind::Events, answer(200, "a", &events), vec!["events"]),
+        (RequestKind::Charge, plain(), vec!["plain"]),
+        (
+            RequestKind::Events,
+            answer(200, "a", &events),
+            vec!["events"],
+        ),
     ] {
         assert_eq!(broken(&record(kind, answer, &runs)), Vec::<String>::new());
     }
     // Faults excuse failures, and repeats of what may be repeated.
-    let cut = record(Kind::Read, answer(0, "", ""), &["plain", "plain"]);
+    let cut = record(RequestKind::Read, answer(0, "", ""), &["plain", "plain"]);
     let cut = during(cut, Fault::KillRouter(0));
     assert_eq!(broken(&cut), Vec::<String>::new());
-    let refused = record(Kind::Read, answer(503, "a", ""), &[]);
+    let refused = record(RequestKind::Read, answer(503, "a", ""), &[]);
     let refused = during(refused, Fault::StopRouter(0));
     assert_eq!(broken(&refused), Vec::<String>::new());
 }
@@ -107,30 +112,33 @@
 fn each_promise_that_is_broken_is_found_also_under_faults() {
     let plain = || answer(200, "a", PLAIN_BODY);
     let killed = Fault::KillRouter(0);
-    let twice = record(Kind::Charge, plain(), &["plain", "plain"]);
-    assert_broken(&during(twice, killed), "twice");
-    let refused = record(Kind::Read, answer(503, "a", ""), &["plain"]);
-    assert_broken(&during(refused, killed), "refused");
-    let route = record(Kind::Read, plain(), &["events"]);
-    assert_broken(&during(route, killed), "route");
-    let other = record(Kind::Read, answer(200, "b", PLAIN_BODY), &["plain"]);
-    assert_broken(&during(other, killed), "mixed");
-    let short = record(Kind::Read, answer(200, "a", "a pl"), &["plain"]);
-    assert_broken(&during(short, killed), "mixed");
-    let gap: String = (1..=EVENTS).filter(|n| *n != 4).map(event).collect();
-    let order = record(Kind::Events, answer(200, "a", &gap), &["events"]);
-    assert_broken(&during(order, killed), "mixed");
-    let mut unasked = record(Kind::Read, plain(), &["plain"]);
+    let twice = record(RequestKind::Charge, plain(), &["plain", "plain"]);
+    assert_violation(&during(twice, killed), "twice");
+    let refused = record(RequestKind::Read, answer(503, "a", ""), &["plain"]);
+    assert_violation(&during(refused, killed), "refused");
+    let route = record(RequestKind::Read, plain(), &["events"]);
+    assert_violation(&during(route, killed), "route");
+    let other = record(RequestKind::Read, answer(200, "b", PLAIN_BODY), &["plain"]);
+    assert_violation(&during(other, killed), "mixed");
+    let short = record(RequestKind::Read, answer(200, "a", "a pl"), &["plain"]);
+    assert_violation(&during(short, killed), "mixed");
+    let gap: String = (1..=EVENTS_PER_STREAM)
+        .filter(|n| *n != 4)
+        .map(event)
+        .collect();
+    let order = record(RequestKind::Events, answer(200, "a", &gap), &["events"]);
+    assert_violation(&during(order, killed), "mixed");
+    let mut unasked = record(RequestKind::Read, plain(), &["plain"]);
     unasked.runs.insert("smuggled".to_owned(), vec!["plain"]);
-    assert_broken(&unasked, "unasked");
+    assert_violation(&unasked, "unasked");
 }
 
 #[test]
 fn a_planned_stop_excuses_a_refusal_but_no_loss() {
-    let lost = record(Kind::Charge, answer(0, "", ""), &["plain"]);
-    assert_broken(&during(lost, Fault::StopRouter(0)), "lost");
-    let refused_in_calm = record(Kind::Read, answer(503, "a", ""), &[]);
-    assert_broken(&refused_in_calm, "lost");
+    let lost = record(RequestKind::Charge, answer(0, "", ""), &["plain"]);
+    assert_violation(&during(lost, Fault::StopRouter(0)), "lost");
+    let refused_in_calm = record(RequestKind::Read, answer(503, "a", ""), &[]);
+    assert_violation(&refused_in_calm, "lost");
 }
 
 /// A router refused for want of processor in calm; the machine gave it none for so many
@@ -141,11 +149,11 @@
     before_ms: u64,
 ) -> Record {
     let body = format!("{{\"error\":{{\"code\":{code}}}}}");
-    let mut refused = record(Kind::Read, answer(503, "a", &body), &[]);
+    let mut refused = record(RequestKind::Read, answer(503, "a", &body), &[]);
     let mut starvation = Starvation::default();
-    let at = refused.attempts[0].ended - Duration::from_millis(before_ms);
-    starvation.note(0, at, Duration::from_millis(waited_ms / 2));
-    starvation.note(0, at, Duration::from_millis(waited_ms / 2));
+    let at = refused.requests[0].ended - Duration::from_millis(before_ms);
+    starvation.record_wait(0, at, Duration::from_millis(waited_ms / 2));
+    starvation.record_wait(0, at, Duration::from_millis(waited_ms / 2));
     refused.starvation = starvation;
     refused
 }
@@ -155,13 +163,13 @@
     let busy = ResultCode::RouterBusy.number();
     let starved = refused_for_want_of_processor(busy, 120, 300);
     assert_eq!(broken(&starved), Vec::<String>::new());
-    assert_broken(&refused_for_want_of_processor(busy, 100, 300), "lost");
-    assert_broken(&refused_for_want_of_processor(busy, 120, 600), "lost");
+    assert_violation(&refused_for_want_of_processor(busy, 100, 300), "lost");
+    assert_violation(&refused_for_want_of_processor(busy, 120, 600), "lost");
     let no_room = ResultCode::NoRoom.number();
-    assert_broken(&refused_for_want_of_processor(no_room, 120, 300), "lost");
+    assert_violation(&refused_for_want_of_processor(no_room, 120, 300), "lost");
     let mut ran = refused_for_want_of_processor(busy, 120, 300);
     ran.runs.insert("a".to_owned(), vec!["plain"]);
-    assert_broken(&ran, "refused");
+    assert_violation(&ran, "refused");
 }
 
 /// A request that reached a replica so long after the store's word, sent by the router
@@ -178,14 +186,14 @@
     };
     Record {
         drains: vec![drain],
-        ..record(Kind::Read, answer(200, "a", PLAIN_BODY), &["plain"])
+        ..record(RequestKind::Read, answer(200, "a", PLAIN_BODY), &["plain"])
     }
 }
 
 #[test]
 fn requests_to_a_replica_that_left_are_found_unless_their_router_was_in_trouble() {
     assert_eq!(broken(&arrival(2900)), Vec::<String>::new());
-    assert_broken(&arrival(3100), "drain");
+    assert_violation(&arrival(3100), "drain");
     // Until a second from the word: a router in trouble of its own, or without a store.
     for fault in [
         Fault::FreezeRouter(0),
@@ -196,7 +204,7 @@
         assert_eq!(broken(&hidden), Vec::<String>::new(), "{fault:?}");
         assert_eq!(late_arrivals(&hidden).excused, 1);
         // Longer ago than it takes to be in touch again.
-        assert_broken(&during(arrival(4100), fault), "drain");
+        assert_violation(&during(arrival(4100), fault), "drain");
     }
     // What befalls others only excuses nothing.
     for fault in [
@@ -204,7 +212,7 @@
         Fault::KillRouters { first: 1, count: 2 },
         Fault::ForgetHistory,
     ] {
-        assert_broken(&during(arrival(3100), fault), "drain");
+        assert_violation(&during(arrival(3100), fault), "drain");
     }
 }
 
@@ -212,7 +220,7 @@
 fn a_request_that_nobody_is_known_to_have_sent_is_not_excused() {
     let mut record = during(arrival(3100), Fault::KillAllRouters);
     record.drains[0].arrivals[0].id = "probe".to_owned();
-    assert_broken(&record, "drain");
+    assert_violation(&record, "drain");
 }
 
 #[test]
@@ -267,17 +275,17 @@
         ..Record::default()
     };
     assert_eq!(broken(&change(Some(3900))), Vec::<String>::new());
-    assert_broken(&change(Some(4100)), "config");
-    assert_broken(&change(None), "config");
+    assert_violation(&change(Some(4100)), "config");
+    assert_violation(&change(None), "config");
     // Until a second from now the store was hidden: it counts from there.
     let hidden = during(change(Some(4900)), Fault::SilenceAllStores);
     assert_eq!(broken(&hidden), Vec::<String>::new());
-    assert_broken(
+    assert_violation(
         &during(change(Some(5500)), Fault::SilenceAllStores),
         "config",
     );
     // A fault that does not hide the store excuses nothing.
-    assert_broken(
+    assert_violation(
         &during(change(Some(4900)), Fault::SilenceReplica(0)),
         "config",
     );
@@ -323,20 +331,20 @@
             taken_back: confirmed + Duration::from_secs(10),
         }],
         replicas: vec![seen],
-        ..record(Kind::Read, answer(200, "a", PLAIN_BODY), &["plain"])
+        ..record(RequestKind::Read, answer(200, "a", PLAIN_BODY), &["plain"])
     }
 }
 
 #[test]
 fn requests_to_an_emptied_zone_are_found_unless_their_router_was_in_trouble() {
     assert_eq!(broken(&to_emptied(1900)), Vec::<String>::new());
-    assert_broken(&to_emptied(2100), "cordon");
+    assert_violation(&to_emptied(2100), "cordon");
     assert_eq!(broken(&to_emptied(10_100)), Vec::<String>::new());
     let hidden = during(to_emptied(2100), Fault::FreezeRouter(0));
     assert_eq!(broken(&hidden), Vec::<String>::new());
-    assert_broken(&during(to_emptied(2100), Fault::FreezeRouter(1)), "cordon");
-    assert_broken(&during(to_emptied(2100), Fault::OtherBuild(1)), "cordon");
-    assert_broken(&during(to_emptied(8000), Fault::FreezeRouter(0)), "cordon");
+    assert_violation(&during(to_emptied(2100), Fault::FreezeRouter(1)), "cordon");
+    assert_violation(&during(to_emptied(2100), Fault::OtherBuild(1)), "cordon");
+    assert_violation(&during(to_emptied(8000), Fault::FreezeRouter(0)), "cordon");
 }
 
 /// A replica that has just started gets requests so many milliseconds apart.
@@ -361,15 +369,15 @@
             zone: "z".to_owned(),
             arrivals: arrivals.collect(),
         }],
-        ..record(Kind::Read, answer(200, "a", PLAIN_BODY), &["plain"])
+        ..record(RequestKind::Read, answer(200, "a", PLAIN_BODY), &["plain"])
     }
 }
 
 #[test]
 fn a_replica_that_gets_more_than_it_bears_is_found_whatever_went_on() {
     assert_eq!(broken(&to_starting(170)), Vec::<String>::new());
-    assert_broken(&to_starting(160), "start");
-    assert_broken(&during(to_starting(160), Fault::KillAllRouters), "start");
+    assert_violation(&to_starting(160), "start");
+    assert_violation(&during(to_starting(160), Fault::KillAllRouters), "start");
     // Of the other build nothing is promised here.
     let other = during(to_starting(20), Fault::OtherBuild(0));
     assert_eq!(broken(&other), Vec::<String>::new());
@@ -405,44 +413,44 @@
     first
         .headers
         .insert("server-leaving".to_owned(), "1".to_owned());
-    let mut told = record(Kind::Read, first, &["plain"]);
-    let ran = notice == Notice::Leaves;
+    let mut noticed = record(RequestKind::Read, first, &["plain"]);
+    let ran = notice == Notice::Leaving;
     let arrivals = arrived_ms.iter().map(|ms| {
         let at = begin + Duration::from_millis(*ms);
         let id = "a".to_owned();
         (Arrival { id, at }, ran)
     });
-    told.attempts[0].ended = begin;
-    told.notices.push(NoticeSeen {
+    noticed.requests[0].ended = begin;
+    noticed.notices.push(NoticeSeen {
         replica: "i-0-0".to_owned(),
         notice,
         arrivals: arrivals.collect(),
     });
-    told
+    noticed
 }
 
 #[test]
 fn requests_to_a_replica_that_said_that_it_leaves_are_found() {
     assert_eq!(
-        broken(&after_notice(Notice::Leaves, &[0, 2900])),
+        broken(&after_notice(Notice::Leaving, &[0, 2900])),
         Vec::<String>::new()
     );
-    assert_broken(&after_notice(Notice::Leaves, &[0, 3100]), "leaving");
+    assert_violation(&after_notice(Notice::Leaving, &[0, 3100]), "leaving");
     let restarted = during(
-        after_notice(Notice::Leaves, &[0, 3100]),
+        after_notice(Notice::Leaving, &[0, 3100]),
         Fault::KillRouter(0),
     );
     assert_eq!(broken(&restarted), Vec::<String>::new());
     let store_down = Fault::StoreDown(StoreMode::Silent);
-    assert_broken(
-        &during(after_notice(Notice::Leaves, &[0, 3100]), store_down),
+    assert_violation(
+        &during(after_notice(Notice::Leaving, &[0, 3100]), store_down),
         "leaving",
     );
 }
 
 #[test]
 fn requests_in_a_rest_are_found() {
-    let rests = Notice::Rests(Duration::from_secs(2));
+    let rests = Notice::Backoff(Duration::from_secs(2));
     assert_eq!(
         broken(&after_notice(rests, &[0, 100, 200, 300])),
         Vec::<String>::new()
@@ -451,7 +459,7 @@
         broken(&after_notice(rests, &[0, 600, 1900])),
         Vec::<String>::new()
     );
-    assert_broken(&after_notice(rests, &[0, 600, 700, 1900]), "rest");
+    assert_violation(&after_notice(rests, &[0, 600, 700, 1900]), "rest");
     assert_eq!(
         broken(&after_notice(rests, &[0, 2100, 2200, 2300])),
         Vec::<String>::new()
