--- a/testbed/src/command/ending.rs
+++ b/testbed/src/command/ending.rs
@@ -1,6 +1,6 @@
 use {
     super::main::number,
-    crate::soak::{EndingKind, MOST_LATE, ending_run},
+    crate::soak::{EndingKind, MAX_LATE_ARRIVALS, ending_run},
     getopts::Matches,
     std::{process::ExitCode, time::Duration},
 };
@@ -18,7 +18,7 @@
         for seed in first..first + seeds {
             let result = ending_run(kind, seed, length).await;
             println!("{}", result.summary());
-            if result.late > MOST_LATE {
+            if result.late > MAX_LATE_ARRIVALS {
                 exit = ExitCode::from(BROKEN);
             }
         }
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -45,7 +45,7 @@
 /// all do, and the arrivals at replicas that are tolerated after that.
 const CRASHES_UNTIL_KNOWN: usize = 3;
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-pub const MOST_LATE: usize = 3;
+pub const MAX_LATE_ARRIVALS: usize = 3;
 
 /// Time after which a caller gives up.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -35,7 +35,7 @@
     drain_check::{LateArrivals, late_arrivals},
     ending_kind::EndingKind,
     ending_result::EndingResult,
-    ending_run::{MOST_LATE, ending_run},
+    ending_run::{MAX_LATE_ARRIVALS, ending_run},
     fault::Fault,
     fault_span::FaultSpan,
     movements::movements,
--- a/testbed/tests/ending.rs
+++ b/testbed/tests/ending.rs
@@ -3,7 +3,7 @@
 //! should have known it, and .73 of the harmless requests beside it were served.
 
 use {
-    archmast_testbed::soak::{EndingKind, MOST_LATE, ending_run},
+    archmast_testbed::soak::{EndingKind, MAX_LATE_ARRIVALS, ending_run},
     std::time::Duration,
 };
 
@@ -15,7 +15,7 @@
 ) {
     let result = ending_run(kind, seed, LENGTH).await;
     assert!(result.ended > 0, "{}", result.summary());
-    assert!(result.late <= MOST_LATE, "{}", result.summary());
+    assert!(result.late <= MAX_LATE_ARRIVALS, "{}", result.summary());
     assert!(result.served > 0, "{}", result.summary());
 }
 
