--- a/testbed/src/command/ending.rs
+++ b/testbed/src/command/ending.rs
@@ -1,6 +1,6 @@
 use {
     super::main::number,
-    crate::soak::{EndingKind, MAX_LATE_ARRIVALS, ending_run},
+    crate::soak::{CrashScenario, MAX_LATE_ARRIVALS, ending_run},
     getopts::Matches,
     std::{process::ExitCode, time::Duration},
 };
@@ -14,9 +14,9 @@
     let seeds = number(matches, "seeds", 1).max(1);
     let length = Duration::from_secs(number(matches, "seconds", 24));
     let mut exit = ExitCode::SUCCESS;
-    for kind in EndingKind::ALL {
+    for scenario in CrashScenario::ALL {
         for seed in first..first + seeds {
-            let result = ending_run(kind, seed, length).await;
+            let result = ending_run(scenario, seed, length).await;
             println!("{}", result.summary());
             if result.late > MAX_LATE_ARRIVALS {
                 exit = ExitCode::from(BROKEN);
--- a/testbed/src/soak/ending_kind.rs
+++ b/testbed/src/soak/crash_scenario.rs
@@ -2,7 +2,7 @@
 ///
 /// The variants are printed by name in the result line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndingKind {
+pub enum CrashScenario {
     /// Crashed replicas restart under new ids.
     NewIds,
     /// Crashed replicas restart under the same ids, after one second.
@@ -15,7 +15,7 @@
     CutOff,
 }
 
-impl EndingKind {
+impl CrashScenario {
     /// All scenarios.
     pub const ALL: [Self; 5] = [
         Self::NewIds,
--- a/testbed/src/soak/ending_result.rs
+++ b/testbed/src/soak/ending_result.rs
@@ -1,9 +1,9 @@
-use super::EndingKind;
+use super::CrashScenario;
 
 /// Outcome of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndingResult {
-    pub kind: EndingKind,
+    pub scenario: CrashScenario,
     pub seed: u64,
     pub ended: usize,    // replicas that crashed
     pub late: usize,     // arrivals of the fatal request after every router had to know it
@@ -18,7 +18,7 @@
         let served = self.served as f64 / self.harmless.max(1) as f64;
         format!(
             "{:?} seed {}: {} ended, {} sent late; {} harmless, served {served:.3}, held back {}",
-            self.kind, self.seed, self.ended, self.late, self.harmless, self.held
+            self.scenario, self.seed, self.ended, self.late, self.harmless, self.held
         )
     }
 }
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EndingKind, EndingResult},
+    super::{CrashScenario, EndingResult},
     crate::direct::{
         Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, zone_name,
     },
@@ -60,14 +60,14 @@
 /// Runs six routers in three zones with 18 replicas for `length`, while callers repeatedly
 /// send a request that crashes each replica that begins to run it.
 pub async fn ending_run(
-    kind: EndingKind,
+    scenario: CrashScenario,
     seed: u64,
     length: Duration,
 ) -> EndingResult {
     let mut fleet = DirectFleet::start_in_zones(&ROUTERS_PER_ZONE, "").await;
     let mut places = Vec::new();
     for number in 0..REPLICAS {
-        places.push(PlacedReplica::start(&fleet, kind, number, 0).await);
+        places.push(PlacedReplica::start(&fleet, scenario, number, 0).await);
     }
     let read = RouteText {
         attempts: 3,
@@ -89,20 +89,21 @@
         for caller in 0..CALLERS_PER_ROUTER {
             let random =
                 StdRng::seed_from_u64(seed ^ ((number * CALLERS_PER_ROUTER + caller) as u64) << 32);
-            let harmless = send_harmless(kind, router, random, stop.subscribe(), counts.clone());
+            let harmless =
+                send_harmless(scenario, router, random, stop.subscribe(), counts.clone());
             work.spawn(harmless);
         }
     }
-    if kind != EndingKind::CutOff {
+    if scenario != CrashScenario::CutOff {
         let random = StdRng::seed_from_u64(seed);
         work.spawn(send_fatal(fleet.callers.clone(), random, stop.subscribe()));
     }
-    let seen = replace_crashed(&mut fleet, kind, seed, length, places).await;
+    let seen = replace_crashed(&mut fleet, scenario, seed, length, places).await;
     stop.send_replace(true);
     work.join_all().await;
     let counts = counts.lock().expect("tally lock").clone();
     EndingResult {
-        kind,
+        scenario,
         seed,
         ended: seen.crashes.len(),
         late: seen.late(),
@@ -149,7 +150,7 @@
 impl PlacedReplica {
     async fn start(
         fleet: &DirectFleet,
-        kind: EndingKind,
+        scenario: CrashScenario,
         number: usize,
         generation: usize,
     ) -> Self {
@@ -157,13 +158,13 @@
             body: "served".to_owned(),
             after: SERVICE_TIME,
         };
-        let id = match kind {
-            EndingKind::SameIds => format!("i-{number}"),
+        let id = match scenario {
+            CrashScenario::SameIds => format!("i-{number}"),
             _ => format!("i-{number}-{generation}"),
         };
         let replica = Replica::start(fleet.standins(), &id, usual).await;
         replica.ends_under(FATAL_PROMPT);
-        if kind == EndingKind::CutOff {
+        if scenario == CrashScenario::CutOff {
             replica.cuts_one_in(5);
         }
         let zone = zone_name(number % ROUTERS_PER_ZONE.len());
@@ -182,7 +183,7 @@
 /// Restarts crashed replicas, and kills routers where the scenario does so, for `length`.
 async fn replace_crashed(
     fleet: &mut DirectFleet,
-    kind: EndingKind,
+    scenario: CrashScenario,
     seed: u64,
     length: Duration,
     mut places: Vec<PlacedReplica>,
@@ -193,7 +194,7 @@
     let mut away: Vec<(Instant, PlacedReplica)> = Vec::new();
     let mut kill_at = began + KILL_INTERVAL;
     let mut down: Option<(Instant, usize)> = None;
-    let keeps_ids = kind == EndingKind::SameIds;
+    let keeps_ids = scenario == CrashScenario::SameIds;
     while began.elapsed() < length {
         for index in (0..places.len()).rev() {
             if places[index].replica.has_ended() {
@@ -215,11 +216,11 @@
                     fleet.store.remove(&place.replica.id);
                 }
                 let next =
-                    PlacedReplica::start(fleet, kind, place.number, place.generation + 1).await;
+                    PlacedReplica::start(fleet, scenario, place.number, place.generation + 1).await;
                 places.push(next);
             }
         }
-        if kind == EndingKind::RoutersKilled && Instant::now() >= kill_at {
+        if scenario == CrashScenario::RoutersKilled && Instant::now() >= kill_at {
             kill_at += KILL_INTERVAL;
             let router = random.random_range(0..fleet.routers.len());
             fleet.routers[router].kill();
@@ -249,15 +250,15 @@
 /// Sends harmless requests until `stop` is set. Requests to a router that is down are not
 /// counted, since their callers would use another router.
 async fn send_harmless(
-    kind: EndingKind,
+    scenario: CrashScenario,
     router: SocketAddr,
     mut random: StdRng,
     stop: watch::Receiver<bool>,
     counts: Arc<Mutex<HarmlessCounts>>,
 ) {
     while !*stop.borrow() {
-        let body = match kind {
-            EndingKind::OneRequest => "the same prompt".to_owned(),
+        let body = match scenario {
+            CrashScenario::OneRequest => "the same prompt".to_owned(),
             _ => format!("prompt {:016x}", random.random::<u64>()),
         };
         if let Ok(mut client) = Client::connect(router).await {
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -5,8 +5,8 @@
 mod caller_request;
 mod callers;
 mod checks;
+mod crash_scenario;
 mod drain_check;
-mod ending_kind;
 mod ending_result;
 mod ending_run;
 mod fault;
@@ -32,8 +32,8 @@
 pub use {
     caller_request::{CallerRequest, RequestKind},
     checks::broken,
+    crash_scenario::CrashScenario,
     drain_check::{LateArrivals, late_arrivals},
-    ending_kind::EndingKind,
     ending_result::EndingResult,
     ending_run::{MAX_LATE_ARRIVALS, ending_run},
     fault::Fault,
--- a/testbed/tests/ending.rs
+++ b/testbed/tests/ending.rs
@@ -3,17 +3,17 @@
 //! should have known it, and .73 of the harmless requests beside it were served.
 
 use {
-    archmast_testbed::soak::{EndingKind, MAX_LATE_ARRIVALS, ending_run},
+    archmast_testbed::soak::{CrashScenario, MAX_LATE_ARRIVALS, ending_run},
     std::time::Duration,
 };
 
 const LENGTH: Duration = Duration::from_secs(10);
 
 async fn little_is_sent_late(
-    kind: EndingKind,
+    scenario: CrashScenario,
     seed: u64,
 ) {
-    let result = ending_run(kind, seed, LENGTH).await;
+    let result = ending_run(scenario, seed, LENGTH).await;
     assert!(result.ended > 0, "{}", result.summary());
     assert!(result.late <= MAX_LATE_ARRIVALS, "{}", result.summary());
     assert!(result.served > 0, "{}", result.summary());
@@ -21,21 +21,21 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_come_back_under_new_ids_are_spared() {
-    little_is_sent_late(EndingKind::NewIds, 1).await;
+    little_is_sent_late(CrashScenario::NewIds, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_come_back_under_their_ids_are_spared() {
-    little_is_sent_late(EndingKind::SameIds, 1).await;
+    little_is_sent_late(CrashScenario::SameIds, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_are_spared_while_routers_are_killed() {
-    little_is_sent_late(EndingKind::RoutersKilled, 1).await;
+    little_is_sent_late(CrashScenario::RoutersKilled, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn living_replicas_that_break_off_connections_hold_nothing_back() {
-    let result = ending_run(EndingKind::CutOff, 1, LENGTH).await;
+    let result = ending_run(CrashScenario::CutOff, 1, LENGTH).await;
     assert_eq!(result.held, 0, "{}", result.summary());
 }
