--- a/testbed/src/soak/ending_result.rs
+++ b/testbed/src/soak/crash_run_result.rs
@@ -2,7 +2,7 @@
 
 /// Outcome of a run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EndingResult {
+pub struct CrashRunResult {
     pub scenario: CrashScenario,
     pub seed: u64,
     pub ended: usize,    // replicas that crashed
@@ -12,7 +12,7 @@
     pub held: usize, // harmless requests that a router held back
 }
 
-impl EndingResult {
+impl CrashRunResult {
     /// One line for the terminal.
     pub fn summary(&self) -> String {
         let served = self.served as f64 / self.harmless.max(1) as f64;
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CrashScenario, EndingResult},
+    super::{CrashRunResult, CrashScenario},
     crate::direct::{
         Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, zone_name,
     },
@@ -63,7 +63,7 @@
     scenario: CrashScenario,
     seed: u64,
     length: Duration,
-) -> EndingResult {
+) -> CrashRunResult {
     let mut fleet = DirectFleet::start_in_zones(&ROUTERS_PER_ZONE, "").await;
     let mut places = Vec::new();
     for number in 0..REPLICAS {
@@ -102,7 +102,7 @@
     stop.send_replace(true);
     work.join_all().await;
     let counts = counts.lock().expect("tally lock").clone();
-    EndingResult {
+    CrashRunResult {
         scenario,
         seed,
         ended: seen.crashes.len(),
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -5,9 +5,9 @@
 mod caller_request;
 mod callers;
 mod checks;
+mod crash_run_result;
 mod crash_scenario;
 mod drain_check;
-mod ending_result;
 mod ending_run;
 mod fault;
 mod fault_injection;
@@ -32,9 +32,9 @@
 pub use {
     caller_request::{CallerRequest, RequestKind},
     checks::broken,
+    crash_run_result::CrashRunResult,
     crash_scenario::CrashScenario,
     drain_check::{LateArrivals, late_arrivals},
-    ending_result::EndingResult,
     ending_run::{MAX_LATE_ARRIVALS, ending_run},
     fault::Fault,
     fault_span::FaultSpan,
