--- a/testbed/src/command/ending.rs
+++ b/testbed/src/command/ending.rs
@@ -1,6 +1,6 @@
 use {
     super::main::number,
-    crate::soak::{CrashScenario, MAX_LATE_ARRIVALS, ending_run},
+    crate::soak::{CrashScenario, MAX_LATE_ARRIVALS, crash_run},
     getopts::Matches,
     std::{process::ExitCode, time::Duration},
 };
@@ -16,7 +16,7 @@
     let mut exit = ExitCode::SUCCESS;
     for scenario in CrashScenario::ALL {
         for seed in first..first + seeds {
-            let result = ending_run(scenario, seed, length).await;
+            let result = crash_run(scenario, seed, length).await;
             println!("{}", result.summary());
             if result.late > MAX_LATE_ARRIVALS {
                 exit = ExitCode::from(BROKEN);
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/crash_run.rs
@@ -59,7 +59,7 @@
 
 /// Runs six routers in three zones with 18 replicas for `length`, while callers repeatedly
 /// send a request that crashes each replica that begins to run it.
-pub async fn ending_run(
+pub async fn crash_run(
     scenario: CrashScenario,
     seed: u64,
     length: Duration,
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -5,10 +5,10 @@
 mod caller_request;
 mod callers;
 mod checks;
+mod crash_run;
 mod crash_run_result;
 mod crash_scenario;
 mod drain_check;
-mod ending_run;
 mod fault;
 mod fault_injection;
 mod fault_span;
@@ -32,10 +32,10 @@
 pub use {
     caller_request::{CallerRequest, RequestKind},
     checks::broken,
+    crash_run::{MAX_LATE_ARRIVALS, crash_run},
     crash_run_result::CrashRunResult,
     crash_scenario::CrashScenario,
     drain_check::{LateArrivals, late_arrivals},
-    ending_run::{MAX_LATE_ARRIVALS, ending_run},
     fault::Fault,
     fault_span::FaultSpan,
     movements::movements,
--- a/testbed/tests/ending.rs
+++ b/testbed/tests/ending.rs
@@ -3,7 +3,7 @@
 //! should have known it, and .73 of the harmless requests beside it were served.
 
 use {
-    archmast_testbed::soak::{CrashScenario, MAX_LATE_ARRIVALS, ending_run},
+    archmast_testbed::soak::{CrashScenario, MAX_LATE_ARRIVALS, crash_run},
     std::time::Duration,
 };
 
@@ -13,7 +13,7 @@
     scenario: CrashScenario,
     seed: u64,
 ) {
-    let result = ending_run(scenario, seed, LENGTH).await;
+    let result = crash_run(scenario, seed, LENGTH).await;
     assert!(result.ended > 0, "{}", result.summary());
     assert!(result.late <= MAX_LATE_ARRIVALS, "{}", result.summary());
     assert!(result.served > 0, "{}", result.summary());
@@ -36,6 +36,6 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn living_replicas_that_break_off_connections_hold_nothing_back() {
-    let result = ending_run(CrashScenario::CutOff, 1, LENGTH).await;
+    let result = crash_run(CrashScenario::CutOff, 1, LENGTH).await;
     assert_eq!(result.held, 0, "{}", result.summary());
 }
