--- a/testbed/src/command/ending.rs
+++ b/testbed/src/command/ending.rs
@@ -18,7 +18,7 @@
         for seed in first..first + seeds {
             let result = crash_run(scenario, seed, length).await;
             println!("{}", result.summary());
-            if result.late > MAX_LATE_ARRIVALS {
+            if result.late_arrivals > MAX_LATE_ARRIVALS {
                 exit = ExitCode::from(BROKEN);
             }
         }
--- a/testbed/src/soak/crash_run.rs
+++ b/testbed/src/soak/crash_run.rs
@@ -105,11 +105,11 @@
     CrashRunResult {
         scenario,
         seed,
-        ended: seen.crashes.len(),
-        late: seen.late(),
+        crashed: seen.crashes.len(),
+        late_arrivals: seen.late_arrivals(),
         harmless: counts.sent,
         served: counts.served,
-        held: counts.held,
+        held_back: counts.held_back,
     }
 }
 
@@ -133,17 +133,17 @@
     }
 
     /// Arrivals after the time at which all routers had to know the request.
-    fn late(&self) -> usize {
+    fn late_arrivals(&self) -> usize {
         let mut crashes = self.crashes.clone();
         crashes.sort();
         let Some(third) = crashes.get(CRASHES_UNTIL_KNOWN - 1) else {
             return 0;
         };
-        let late = self
+        let late_arrivals = self
             .arrivals
             .iter()
             .filter(|at| **at > *third + PROPAGATION_TIME);
-        late.count()
+        late_arrivals.count()
     }
 }
 
@@ -244,7 +244,7 @@
 struct HarmlessCounts {
     sent: usize,
     served: usize,
-    held: usize,
+    held_back: usize,
 }
 
 /// Sends harmless requests until `stop` is set. Requests to a router that is down are not
@@ -269,7 +269,7 @@
             counts.sent += 1;
             if let Ok(answer) = answer {
                 counts.served += usize::from(answer.status == 200);
-                counts.held += usize::from(answer.code() == Some(44));
+                counts.held_back += usize::from(answer.code() == Some(44));
             }
         }
         sleep(Duration::from_millis(random.random_range(PAUSE_MS))).await;
--- a/testbed/src/soak/crash_run_result.rs
+++ b/testbed/src/soak/crash_run_result.rs
@@ -5,11 +5,11 @@
 pub struct CrashRunResult {
     pub scenario: CrashScenario,
     pub seed: u64,
-    pub ended: usize,    // replicas that crashed
-    pub late: usize,     // arrivals of the fatal request after every router had to know it
-    pub harmless: usize, // harmless requests sent
+    pub crashed: usize,       // replicas that crashed
+    pub late_arrivals: usize, // arrivals of the fatal request after every router had to know it
+    pub harmless: usize,      // harmless requests sent
     pub served: usize,
-    pub held: usize, // harmless requests that a router held back
+    pub held_back: usize, // harmless requests that a router held back
 }
 
 impl CrashRunResult {
@@ -18,7 +18,12 @@
         let served = self.served as f64 / self.harmless.max(1) as f64;
         format!(
             "{:?} seed {}: {} ended, {} sent late; {} harmless, served {served:.3}, held back {}",
-            self.scenario, self.seed, self.ended, self.late, self.harmless, self.held
+            self.scenario,
+            self.seed,
+            self.crashed,
+            self.late_arrivals,
+            self.harmless,
+            self.held_back
         )
     }
 }
--- a/testbed/tests/ending.rs
+++ b/testbed/tests/ending.rs
@@ -14,8 +14,12 @@
     seed: u64,
 ) {
     let result = crash_run(scenario, seed, LENGTH).await;
-    assert!(result.ended > 0, "{}", result.summary());
-    assert!(result.late <= MAX_LATE_ARRIVALS, "{}", result.summary());
+    assert!(result.crashed > 0, "{}", result.summary());
+    assert!(
+        result.late_arrivals <= MAX_LATE_ARRIVALS,
+        "{}",
+        result.summary()
+    );
     assert!(result.served > 0, "{}", result.summary());
 }
 
@@ -37,5 +41,5 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn living_replicas_that_break_off_connections_hold_nothing_back() {
     let result = crash_run(CrashScenario::CutOff, 1, LENGTH).await;
-    assert_eq!(result.held, 0, "{}", result.summary());
+    assert_eq!(result.held_back, 0, "{}", result.summary());
 }
