--- a/testbed/src/command/soak.rs
+++ b/testbed/src/command/soak.rs
@@ -35,7 +35,7 @@
     for seed in first..first + seeds {
         let result = soak(seed, length, &fleet).await;
         println!("{}", result.summary());
-        if !result.broken.is_empty() || !result.valid {
+        if !result.violations.is_empty() || !result.valid {
             exit = ExitCode::from(BROKEN);
             tell(&result, matches.opt_str("out").as_deref());
         }
@@ -48,7 +48,7 @@
     result: &SoakResult,
     folder: Option<&str>,
 ) {
-    for line in result.faults.iter().chain(&result.broken) {
+    for line in result.faults.iter().chain(&result.violations) {
         println!("  {line}");
     }
     let Some(folder) = folder else {
--- a/testbed/src/soak/checks.rs
+++ b/testbed/src/soak/checks.rs
@@ -27,24 +27,24 @@
 const NOT_RUN_STATUSES: &[u16] = &[408, 421, 429, 503];
 
 /// Returns one text for each guarantee that did not hold.
-pub fn broken(record: &Record) -> Vec<String> {
+pub fn violations(record: &Record) -> Vec<String> {
     let requests = record.requests.iter();
-    let mut broken: Vec<String> = requests
+    let mut violations: Vec<String> = requests
         .flat_map(|request| request_violations(record, request))
         .collect();
-    broken.extend(unsent_requests(record));
-    broken.extend(late_arrivals(record).late);
-    broken.extend(ignored_notices(record));
-    broken.extend(emptied_zone_arrivals(record));
-    broken.extend(slow_start_excess(record));
-    broken.extend(late_configurations(record));
-    broken.extend(
+    violations.extend(unsent_requests(record));
+    violations.extend(late_arrivals(record).late);
+    violations.extend(ignored_notices(record));
+    violations.extend(emptied_zone_arrivals(record));
+    violations.extend(slow_start_excess(record));
+    violations.extend(late_configurations(record));
+    violations.extend(
         record
             .unserved
             .iter()
             .map(|what| format!("recover: {what}")),
     );
-    broken
+    violations
 }
 
 fn request_violations(
@@ -54,29 +54,29 @@
     let id = &request.id;
     let none = Vec::new();
     let runs = record.runs.get(id).unwrap_or(&none);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     if request.kind == RequestKind::Charge && runs.len() > 1 {
-        broken.push(format!("twice: {id} ran {} times", runs.len()));
+        violations.push(format!("twice: {id} ran {} times", runs.len()));
     }
     if runs
         .iter()
         .any(|service| *service != request.kind.service())
     {
-        broken.push(format!("route: {id} ran at {runs:?}"));
+        violations.push(format!("route: {id} ran at {runs:?}"));
     }
     let refused = request
         .status()
         .is_some_and(|status| NOT_RUN_STATUSES.contains(&status));
     if refused && !runs.is_empty() {
-        broken.push(format!("refused: {id} got {:?} and ran", request.status()));
+        violations.push(format!("refused: {id} got {:?} and ran", request.status()));
     }
     if let Some(why) = wrong_answer(request) {
-        broken.push(format!("mixed: {id} {why}"));
+        violations.push(format!("mixed: {id} {why}"));
     }
     if let Some(why) = lost_request(record, request, !runs.is_empty()) {
-        broken.push(format!("lost: {id} at router {} {why}", request.router));
+        violations.push(format!("lost: {id} at router {} {why}", request.router));
     }
-    broken
+    violations
 }
 
 /// Returns what is wrong with a success: it must be the replica's complete answer to this
--- a/testbed/src/soak/fleet_under_test.rs
+++ b/testbed/src/soak/fleet_under_test.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         caller_request::RequestKind,
-        checks::{broken, starved_refusals},
+        checks::{starved_refusals, violations},
         drain_check::late_arrivals,
         record::{Arrival, ChangeSeen, Record, ReplicaSeen, StartSeen},
         replica_slot::ReplicaSlot,
@@ -295,7 +295,7 @@
             seed,
             faults,
             statuses,
-            broken: broken(&record),
+            violations: violations(&record),
             leaving: record.drains.len(),
             arrivals_in_time: arrivals.in_time,
             arrivals_excused: arrivals.excused,
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -31,7 +31,7 @@
 
 pub use {
     caller_request::{CallerRequest, RequestKind},
-    checks::broken,
+    checks::violations,
     crash_run::{MAX_LATE_ARRIVALS, crash_run},
     crash_run_result::CrashRunResult,
     crash_scenario::CrashScenario,
--- a/testbed/src/soak/soak_result.rs
+++ b/testbed/src/soak/soak_result.rs
@@ -6,7 +6,7 @@
     pub seed: u64,
     pub faults: Vec<String>,            // with their times
     pub statuses: BTreeMap<u16, usize>, // count by status; 0 for none
-    pub broken: Vec<String>,            // guarantees that did not hold, one text each
+    pub violations: Vec<String>,        // guarantees that did not hold, one text each
     pub leaving: usize,                 // replicas that were drained or unlisted
     pub arrivals_in_time: usize,        // requests that reached them within the limit
     pub arrivals_excused: usize,        // later, but a fault kept their router from knowing
@@ -39,7 +39,7 @@
             if self.valid { "" } else { " (not valid)" },
             self.starved.as_millis(),
             self.starved_refusals,
-            self.broken.len()
+            self.violations.len()
         )
     }
 }
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -7,8 +7,8 @@
         soak::{
             Arrival, CallerRequest, ChangeSeen, CordonSeen, DrainSeen, EVENTS_PER_STREAM, Fault,
             FaultSpan, Notice, NoticeSeen, PLAIN_BODY, PlannedFault, Record, ReplicaSeen,
-            RequestKind, SoakFleet, StartSeen, Starvation, broken, late_arrivals, movements,
-            schedule, silences, soak,
+            RequestKind, SoakFleet, StartSeen, Starvation, late_arrivals, movements, schedule,
+            silences, soak, violations,
         },
     },
     std::{
@@ -80,7 +80,7 @@
     record: &Record,
     rule: &str,
 ) {
-    let found = broken(record);
+    let found = violations(record);
     assert_eq!(found.len(), 1, "{found:?}");
     assert!(found[0].starts_with(rule), "{found:?}");
 }
@@ -97,15 +97,18 @@
             vec!["events"],
         ),
     ] {
-        assert_eq!(broken(&record(kind, answer, &runs)), Vec::<String>::new());
+        assert_eq!(
+            violations(&record(kind, answer, &runs)),
+            Vec::<String>::new()
+        );
     }
     // Faults excuse failures, and repeats of what may be repeated.
     let cut = record(RequestKind::Read, answer(0, "", ""), &["plain", "plain"]);
     let cut = during(cut, Fault::KillRouter(0));
-    assert_eq!(broken(&cut), Vec::<String>::new());
+    assert_eq!(violations(&cut), Vec::<String>::new());
     let refused = record(RequestKind::Read, answer(503, "a", ""), &[]);
     let refused = during(refused, Fault::StopRouter(0));
-    assert_eq!(broken(&refused), Vec::<String>::new());
+    assert_eq!(violations(&refused), Vec::<String>::new());
 }
 
 #[test]
@@ -162,7 +165,7 @@
 fn a_router_that_the_machine_gave_no_processor_may_refuse_and_no_other() {
     let busy = ResultCode::RouterBusy.number();
     let starved = refused_for_want_of_processor(busy, 120, 300);
-    assert_eq!(broken(&starved), Vec::<String>::new());
+    assert_eq!(violations(&starved), Vec::<String>::new());
     assert_violation(&refused_for_want_of_processor(busy, 100, 300), "lost");
     assert_violation(&refused_for_want_of_processor(busy, 120, 600), "lost");
     let no_room = ResultCode::NoRoom.number();
@@ -192,7 +195,7 @@
 
 #[test]
 fn requests_to_a_replica_that_left_are_found_unless_their_router_was_in_trouble() {
-    assert_eq!(broken(&arrival(2900)), Vec::<String>::new());
+    assert_eq!(violations(&arrival(2900)), Vec::<String>::new());
     assert_violation(&arrival(3100), "drain");
     // Until a second from the word: a router in trouble of its own, or without a store.
     for fault in [
@@ -201,7 +204,7 @@
         Fault::SilenceAllStores,
     ] {
         let hidden = during(arrival(3100), fault);
-        assert_eq!(broken(&hidden), Vec::<String>::new(), "{fault:?}");
+        assert_eq!(violations(&hidden), Vec::<String>::new(), "{fault:?}");
         assert_eq!(late_arrivals(&hidden).excused, 1);
         // Longer ago than it takes to be in touch again.
         assert_violation(&during(arrival(4100), fault), "drain");
@@ -274,12 +277,12 @@
         }],
         ..Record::default()
     };
-    assert_eq!(broken(&change(Some(3900))), Vec::<String>::new());
+    assert_eq!(violations(&change(Some(3900))), Vec::<String>::new());
     assert_violation(&change(Some(4100)), "config");
     assert_violation(&change(None), "config");
     // Until a second from now the store was hidden: it counts from there.
     let hidden = during(change(Some(4900)), Fault::SilenceAllStores);
-    assert_eq!(broken(&hidden), Vec::<String>::new());
+    assert_eq!(violations(&hidden), Vec::<String>::new());
     assert_violation(
         &during(change(Some(5500)), Fault::SilenceAllStores),
         "config",
@@ -337,11 +340,11 @@
 
 #[test]
 fn requests_to_an_emptied_zone_are_found_unless_their_router_was_in_trouble() {
-    assert_eq!(broken(&to_emptied(1900)), Vec::<String>::new());
+    assert_eq!(violations(&to_emptied(1900)), Vec::<String>::new());
     assert_violation(&to_emptied(2100), "cordon");
-    assert_eq!(broken(&to_emptied(10_100)), Vec::<String>::new());
+    assert_eq!(violations(&to_emptied(10_100)), Vec::<String>::new());
     let hidden = during(to_emptied(2100), Fault::FreezeRouter(0));
-    assert_eq!(broken(&hidden), Vec::<String>::new());
+    assert_eq!(violations(&hidden), Vec::<String>::new());
     assert_violation(&during(to_emptied(2100), Fault::FreezeRouter(1)), "cordon");
     assert_violation(&during(to_emptied(2100), Fault::OtherBuild(1)), "cordon");
     assert_violation(&during(to_emptied(8000), Fault::FreezeRouter(0)), "cordon");
@@ -375,12 +378,12 @@
 
 #[test]
 fn a_replica_that_gets_more_than_it_bears_is_found_whatever_went_on() {
-    assert_eq!(broken(&to_starting(170)), Vec::<String>::new());
+    assert_eq!(violations(&to_starting(170)), Vec::<String>::new());
     assert_violation(&to_starting(160), "start");
     assert_violation(&during(to_starting(160), Fault::KillAllRouters), "start");
     // Of the other build nothing is promised here.
     let other = during(to_starting(20), Fault::OtherBuild(0));
-    assert_eq!(broken(&other), Vec::<String>::new());
+    assert_eq!(violations(&other), Vec::<String>::new());
 }
 
 /// Zones are emptied, replicas come back slowly, leave in series and routers restart.
@@ -388,7 +391,12 @@
 async fn emptied_zones_and_slow_returns_break_nothing() {
     let fleet = SoakFleet::parse(include_str!("../fleets/operator.ini")).expect("a fleet");
     let result = soak(1, Duration::from_secs(12), &fleet).await;
-    assert_eq!(result.broken, Vec::<String>::new(), "{}", result.summary());
+    assert_eq!(
+        result.violations,
+        Vec::<String>::new(),
+        "{}",
+        result.summary()
+    );
     assert!(result.statuses.contains_key(&200), "{}", result.summary());
 }
 
@@ -399,7 +407,12 @@
 async fn replicas_that_come_back_slowly_while_the_store_is_silent_are_spared() {
     let fleet = SoakFleet::parse(include_str!("../fleets/operator.ini")).expect("a fleet");
     let result = soak(42, Duration::from_secs(10), &fleet).await;
-    assert_eq!(result.broken, Vec::<String>::new(), "{}", result.summary());
+    assert_eq!(
+        result.violations,
+        Vec::<String>::new(),
+        "{}",
+        result.summary()
+    );
 }
 
 /// A replica says something of itself at the beginning, and gets requests of router 0 that
@@ -432,7 +445,7 @@
 #[test]
 fn requests_to_a_replica_that_said_that_it_leaves_are_found() {
     assert_eq!(
-        broken(&after_notice(Notice::Leaving, &[0, 2900])),
+        violations(&after_notice(Notice::Leaving, &[0, 2900])),
         Vec::<String>::new()
     );
     assert_violation(&after_notice(Notice::Leaving, &[0, 3100]), "leaving");
@@ -440,7 +453,7 @@
         after_notice(Notice::Leaving, &[0, 3100]),
         Fault::KillRouter(0),
     );
-    assert_eq!(broken(&restarted), Vec::<String>::new());
+    assert_eq!(violations(&restarted), Vec::<String>::new());
     let store_down = Fault::StoreDown(StoreMode::Silent);
     assert_violation(
         &during(after_notice(Notice::Leaving, &[0, 3100]), store_down),
@@ -452,23 +465,23 @@
 fn requests_in_a_rest_are_found() {
     let rests = Notice::Backoff(Duration::from_secs(2));
     assert_eq!(
-        broken(&after_notice(rests, &[0, 100, 200, 300])),
+        violations(&after_notice(rests, &[0, 100, 200, 300])),
         Vec::<String>::new()
     );
     assert_eq!(
-        broken(&after_notice(rests, &[0, 600, 1900])),
+        violations(&after_notice(rests, &[0, 600, 1900])),
         Vec::<String>::new()
     );
     assert_violation(&after_notice(rests, &[0, 600, 700, 1900]), "rest");
     assert_eq!(
-        broken(&after_notice(rests, &[0, 2100, 2200, 2300])),
+        violations(&after_notice(rests, &[0, 2100, 2200, 2300])),
         Vec::<String>::new()
     );
     let frozen = during(
         after_notice(rests, &[0, 600, 700, 1900]),
         Fault::FreezeRouter(0),
     );
-    assert_eq!(broken(&frozen), Vec::<String>::new());
+    assert_eq!(violations(&frozen), Vec::<String>::new());
 }
 
 /// Replicas say that they leave, or ask for rest, while the store falls silent, routers
@@ -477,14 +490,24 @@
 async fn what_replicas_say_is_heeded_under_faults() {
     let fleet = SoakFleet::parse(include_str!("../fleets/notices.ini")).expect("a fleet");
     let result = soak(1, Duration::from_secs(12), &fleet).await;
-    assert_eq!(result.broken, Vec::<String>::new(), "{}", result.summary());
+    assert_eq!(
+        result.violations,
+        Vec::<String>::new(),
+        "{}",
+        result.summary()
+    );
     assert!(result.statuses.contains_key(&200), "{}", result.summary());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_run_breaks_nothing() {
     let result = soak(1, Duration::from_secs(6), &SoakFleet::default()).await;
-    assert_eq!(result.broken, Vec::<String>::new(), "{}", result.summary());
+    assert_eq!(
+        result.violations,
+        Vec::<String>::new(),
+        "{}",
+        result.summary()
+    );
     assert!(result.statuses.contains_key(&200), "{}", result.summary());
 }
 
@@ -494,6 +517,11 @@
 async fn replicas_that_leave_while_routers_restart_get_nothing_late() {
     let fleet = SoakFleet::parse(include_str!("../fleets/two-zones.ini")).expect("a fleet");
     let result = soak(2, Duration::from_secs(20), &fleet).await;
-    assert_eq!(result.broken, Vec::<String>::new(), "{}", result.summary());
+    assert_eq!(
+        result.violations,
+        Vec::<String>::new(),
+        "{}",
+        result.summary()
+    );
     assert!(result.leaving > 20, "{}", result.summary());
 }
