--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -29,8 +29,8 @@
         Replica::start(ip, "i-a", usual.clone()).await,
         Replica::start(ip, "i-b", usual).await,
     ];
-    let kept: Vec<(&str, u32)> = SHARED.iter().map(|id| (*id, 3000)).collect();
-    replicas[1].keeps(&kept);
+    let cached: Vec<(&str, u32)> = SHARED.iter().map(|id| (*id, 3000)).collect();
+    replicas[1].keeps(&cached);
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     for replica in &replicas {
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -143,11 +143,14 @@
         .store
         .publish(2, &[RouteText::new("/slow/", "s", "non_idempotent")]);
     fleet.serves(0, "/slow/", 200).await;
-    let mut kept = Client::connect(fleet.callers[0])
+    let mut persistent = Client::connect(fleet.callers[0])
         .await
         .expect("a connection");
     assert_eq!(
-        kept.call(&ClientRequest::get("/slow/", "k-1")).await.status,
+        persistent
+            .call(&ClientRequest::get("/slow/", "k-1"))
+            .await
+            .status,
         200
     );
     let mut busy = Client::connect(fleet.callers[0])
@@ -161,7 +164,7 @@
     until_async("it is not ready", async || !fleet.is_ready(0).await).await;
     replica.next(ReplicaAnswer::ok("a"));
     // A connection that was open before still serves, and its answer asks to close it.
-    let answer = kept.call(&ClientRequest::get("/slow/", "k-2")).await;
+    let answer = persistent.call(&ClientRequest::get("/slow/", "k-2")).await;
     assert_eq!((answer.status, answer.header("connection")), (200, "close"));
     // A request that is too late to finish is refused at once, as not run.
     let refused = async || {
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -151,7 +151,7 @@
     let request = ClientRequest::post("/chat/", "stream-2", "prompt");
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 2").await);
-    // All routers of the test share an IP address; the one that stops is the first, which forwards.
+    // All routers of the test share an IP address. The first one, which forwards, stops.
     fleet.routers[0].terminate();
     assert!(client.answer().await.whole);
     // Another request on this connection might not finish before the router in between is
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -277,7 +277,7 @@
         DirectFleet::with_two_replicas(ReplicaAnswer::ok("whole"), &[single]).await;
     refusing.turns_away(Some(3.0));
     let mut refused = None;
-    until_async("a request is turned away", async || {
+    until_async("a request is refused", async || {
         let answer = ask(&fleet, "/single/").await;
         refused = (answer.status == 503).then_some(answer);
         refused.is_some()
