--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -292,7 +292,7 @@
 }
 
 /// Guards against a `Retry-After` that is no time, such as `inf`, taking a replica out of use
-/// for the longest backoff.
+/// for ten minutes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_whose_retry_after_is_no_time_asks_for_no_rest() {
     for invalid_time in [f64::INFINITY, f64::NAN, -30.0] {
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -1,6 +1,6 @@
-//! Established connections that carry nothing more, without a reset, while new ones work, as
-//! after a change in the network. A silent connection is replaced by a new one, not by another
-//! old one from the pool; idempotent requests are still answered, and streams are resumed.
+//! Established connections that carry nothing more, without a reset, while new ones work. A
+//! silent connection is replaced by a new one, not by another old one from the pool; idempotent
+//! requests are still answered, and streams are resumed.
 
 use {
     archmast_testbed::{
