--- a/src/codes/error_answer.rs
+++ b/src/codes/error_answer.rs
@@ -4,13 +4,13 @@
     std::time::Duration,
 };
 
-/// Why a request was not answered whole, for its caller.
+/// Tells a caller why its request failed, or why its answer is incomplete.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ErrorAnswer {
     pub code: ResultCode,
     pub ran: Ran,
     pub retry_after: Option<Duration>,
-    pub detail: String, // in place of the code's meaning, if not empty
+    pub detail: String, // replaces the code's meaning in the body, if not empty
 }
 
 #[derive(Serialize)]
@@ -28,7 +28,7 @@
 }
 
 impl ErrorAnswer {
-    /// An error with what its code says.
+    /// Creates an error with the text of its code.
     pub fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds when the caller should come back.
+    /// Sets after what time the caller should retry.
     pub fn retry_after(
         mut self,
         wait: Duration,
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Says more than the code does.
+    /// Sets a text that replaces the code's.
     pub fn detail(
         mut self,
         detail: impl Into<String>,
@@ -56,7 +56,7 @@
         self
     }
 
-    /// The HTTP status; 500 for a code that was not meant for callers.
+    /// The HTTP status; 500 for a code that has none, since it is not meant for callers.
     pub fn status(&self) -> u16 {
         match self.code.http_status() {
             0 => 500,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The body, in the shape of the chat-completions interface.
+    /// The body, as JSON in the format of errors of the chat-completions API.
     pub fn to_json(
         &self,
         request_id: &str,
--- a/src/codes/fault.rs
+++ b/src/codes/fault.rs
@@ -3,8 +3,8 @@
     std::{error::Error, fmt, iter::successors},
 };
 
-/// A numbered error with what was found. Links, messages and the platform's
-/// service all fail with one.
+/// An error with a result code and a description. Calls to peers, replicas and the platform's
+/// service fail with it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     pub code: ResultCode,
@@ -12,7 +12,7 @@
 }
 
 impl Fault {
-    /// A fault with this code.
+    /// Creates a fault; `detail` describes what was found.
     pub fn new(
         code: ResultCode,
         detail: impl fmt::Display,
@@ -23,9 +23,9 @@
         }
     }
 
-    /// A fault with this code, of an error and of all that caused it: a library's
-    /// error says by itself only that a call failed, and its causes whether it was
-    /// refused, cut or not answered in time.
+    /// Creates a fault from an error and its sources. The text of a library's error often says
+    /// only that a call failed; its sources tell whether the connection was refused, was closed
+    /// or timed out.
     pub fn caused(
         code: ResultCode,
         error: &(dyn Error + 'static),
@@ -35,7 +35,7 @@
         Self::new(code, texts.join(": "))
     }
 
-    /// No connection to a peer, or it ended: code 74.
+    /// Creates a fault for a connection to a peer that failed or was closed: code 74.
     pub fn unreachable(detail: impl fmt::Display) -> Self {
         Self::new(ResultCode::PeerUnreachable, detail)
     }
--- a/src/codes/mod.rs
+++ b/src/codes/mod.rs
@@ -1,4 +1,5 @@
-//! Numbered result codes, the same in HTTP bodies, logs and exit codes.
+//! Numbered result codes, used alike in HTTP bodies, logs and exit codes, and the errors that
+//! carry them.
 
 mod error_answer;
 mod fault;
--- a/src/codes/ran.rs
+++ b/src/codes/ran.rs
@@ -5,8 +5,8 @@
 
 /// What is known about whether a request ran on its upstream.
 ///
-/// `No` is a proof: no sidecar was sent the request, or the one that was said
-/// that it has not started it and never will. Everything else is `Unknown`.
+/// `No` is certain: the request was not sent, or its receiver stated that it did not start it and
+/// never will. Without such a statement or an answer, it is `Unknown`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
--- a/src/codes/result_code.rs
+++ b/src/codes/result_code.rs
@@ -6,9 +6,9 @@
 
 macro_rules! result_codes {
     ($($name:ident = $number:literal, $ran:ident, $status:literal, $meaning:literal;)*) => {
-        /// A numbered result: an error, or why a request was refused.
+        /// A numbered result: an error, or the reason why a request was refused.
         ///
-        /// Numbers stay below 126 so that each can be a process's exit code.
+        /// Numbers are below 126, since shells use exit codes from 126 on for other purposes.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[derive(Serialize, Deserialize)]
         #[serde(into = "u8", try_from = "u8")]
@@ -18,7 +18,7 @@
         }
 
         impl ResultCode {
-            /// Every code, in order of number.
+            /// All codes, in ascending order.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
             /// The code with this number, if there is one.
@@ -29,7 +29,7 @@
                 }
             }
 
-            /// One line for people.
+            /// A short description for operators and callers.
             pub fn meaning(self) -> &'static str {
                 match self {
                     $(Self::$name => $meaning,)*
@@ -43,7 +43,7 @@
                 }
             }
 
-            /// The HTTP status, or 0 for a code that no caller sees.
+            /// The HTTP status, or 0 for a code that is never sent to callers.
             pub fn http_status(self) -> u16 {
                 match self {
                     $(Self::$name => $status,)*
--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -15,52 +15,53 @@
     },
 };
 
-/// Everything a router is told that carries requests to the replicas itself.
+/// Settings of a router of the direct form, which sends requests to the replicas itself.
 #[derive(Debug, Clone)]
 pub struct DirectSettings {
-    pub path: String, // of the file they were read from; empty if none
+    pub path: String, // of the settings file; empty if there is none
     pub process: ProcessSettings,
     pub operator: OperatorSettings,
     pub callers: SocketAddr,               // HTTP address for callers
-    pub max_connections: usize,            // of callers; beyond it those at rest are closed
+    pub max_connections: usize,            // of callers; beyond it idle ones are closed
     pub regions: BTreeMap<String, String>, // of zones, by zone
     pub answer_memory: MemoryBudget,       // for answers that callers are slow to read
     pub request_memory: MemoryBudget,      // for bodies of requests
-    pub most_busy: f64,                    // part of the time; busier, callers are sent elsewhere
-    pub hand_on: f64,                      // part of the time; busier, connections are handed on
-    pub ready: SocketAddr,                 // HTTP address for the balancer
-    pub ready_path: String,                // what the balancer asks for
-    pub peers: SocketAddr,                 // UDP address for reports of other routers
-    pub news: SocketAddr,                  // QUIC address for routers that ask for the catalog
-    pub seeds: Vec<SocketAddr>,            // some of them
-    pub peer_interval: Duration,           // between two reports to peers
-    pub peer_age: Duration,                // older reports count for nothing
-    pub peer_forget: Duration,             // silence after which a router is forgotten
-    pub catalog: SocketAddr,               // the store's address
-    pub catalog_pace: WatchPacing,         // how often the store is asked
+    pub most_busy: f64, // busy fraction of the CPU above which the router reports not ready
+    pub hand_on: f64,   // busy fraction of the CPU above which connections go to neighbours
+    pub ready: SocketAddr, // HTTP address for the balancer's readiness checks
+    pub ready_path: String, // path of these checks
+    pub peers: SocketAddr, // UDP address for reports of peers
+    pub news: SocketAddr, // QUIC address for peers that fetch the catalog
+    pub seeds: Vec<SocketAddr>, // UDP addresses of some peers
+    pub peer_interval: Duration, // between two reports to peers
+    pub peer_age: Duration, // age from which a peer's report is ignored
+    pub peer_forget: Duration, // silence after which a peer is removed
+    pub catalog: SocketAddr, // address of the store
+    pub catalog_pace: WatchPacing, // timing of calls to the store
     pub placement: PlacementSettings,
-    pub follow_kept: bool,             // what replicas say that they keep
-    pub start_bounds: SlowStartBounds, // of replicas that have just started
-    pub share_window: Duration,        // over which shares are counted
-    pub retry_ratio: f64,              // repeats per request
-    pub retry_extra: f64,              // and beyond that, for the whole fleet
-    pub retry_window: Duration,        // over which both are counted
+    pub follow_kept: bool, // whether cache events of replicas are followed
+    pub start_bounds: SlowStartBounds, // for replicas that have just started
+    pub share_window: Duration, // over which usage is compared with fair shares
+    pub retry_ratio: f64,  // retries per request
+    pub retry_extra: f64,  // additional retries of the whole fleet in a window
+    pub retry_window: Duration, // over which requests and retries are counted
     pub let_through: BTreeSet<RequestDigest>, // requests that are never held back
-    pub grace: Duration,               // from the stop signal to the kill
-    pub balancer_lag: Duration,        // from the stop signal to refusing connections
+    pub grace: Duration,   // from the stop signal until the process is killed
+    pub balancer_lag: Duration, // from the stop signal until requests are refused
 }
 
-/// Parts of the process's memory: for one answer and for all, and for the bodies of requests.
-/// The greater part is left to connections, replicas and the configuration.
-const ONE_ANSWER: u64 = 128;
-const ALL_ANSWERS: u64 = 8;
-const ALL_REQUESTS: u64 = 4;
+/// The process's memory limit divided by these is the budget for one answer, for all answers, and
+/// for all bodies of requests. Most of the memory is left to connections, replicas and the
+/// configuration.
+const ANSWER_DIVISOR: u64 = 128;
+const ALL_ANSWERS_DIVISOR: u64 = 8;
+const REQUESTS_DIVISOR: u64 = 4;
 
 impl DirectSettings {
-    /// The commented defaults that ship with the product.
+    /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/direct.ini");
 
-    /// Reads a settings file: codes 10 to 18.
+    /// Reads a settings file; fails with codes 10 to 19.
     pub fn read(path: &str) -> Result<Self, ConfError> {
         let settings = Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)?;
         Ok(Self {
@@ -69,12 +70,12 @@
         })
     }
 
-    /// Reads a parsed settings file: codes 12 to 17.
+    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
 
-    /// The addresses at which this process listens.
+    /// The addresses at which this process listens, UDP and TCP.
     pub fn own_addresses(&self) -> Vec<SocketAddr> {
         vec![
             self.callers,
@@ -105,12 +106,12 @@
             max_connections: callers.number("max_connections", 1..=1_000_000)?,
             regions: regions(file)?,
             answer_memory: MemoryBudget {
-                per_connection: memory / ONE_ANSWER,
-                total: memory / ALL_ANSWERS,
+                per_connection: memory / ANSWER_DIVISOR,
+                total: memory / ALL_ANSWERS_DIVISOR,
             },
             request_memory: MemoryBudget {
-                per_connection: memory / ALL_REQUESTS,
-                total: memory / ALL_REQUESTS,
+                per_connection: memory / REQUESTS_DIVISOR,
+                total: memory / REQUESTS_DIVISOR,
             },
             most_busy: callers.number("most_busy", 0.01..=1.0)?,
             hand_on: callers.number("hand_on", 0.0..=1.0)?,
--- a/src/conf/errors.rs
+++ b/src/conf/errors.rs
@@ -1,18 +1,18 @@
 use {crate::codes::ResultCode, std::fmt};
 
-/// A fault in a settings or configuration file, with the place it stands at.
+/// An error in a settings or configuration file, and where it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfError {
     pub code: ResultCode,
-    pub file: String,    // path, or the part's name for fetched configuration
-    pub section: String, // empty when the fault is not in a section
-    pub key: String,     // empty when the fault is not at a key
-    pub line: usize,     // counted from 1, 0 when there is none
+    pub file: String,    // path, or name of a part of a fetched configuration
+    pub section: String, // empty if the error is not in a section
+    pub key: String,     // empty if the error is not about a key
+    pub line: usize,     // counted from 1; 0 if unknown
     pub detail: String,  // what was found, and what is allowed
 }
 
 impl ConfError {
-    /// A fault of a whole file.
+    /// Creates an error about a whole file.
     pub fn of_file(
         code: ResultCode,
         file: &str,
--- a/src/conf/ini_document.rs
+++ b/src/conf/ini_document.rs
@@ -5,15 +5,15 @@
     std::{collections::HashSet, fs},
 };
 
-/// A parsed INI file that still knows each line's number.
+/// A parsed INI file, with the line numbers of its sections and entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IniDocument {
-    pub file: String, // named in errors
+    pub file: String, // name for error messages
     pub sections: Vec<IniSection>,
 }
 
 impl IniDocument {
-    /// Reads and parses a file: codes 10, 11 and 18.
+    /// Reads and parses a file; fails with codes 10, 11, 12 and 18.
     pub fn read(file: &str) -> Result<Self, ConfError> {
         let text = fs::read_to_string(file).map_err(|error| {
             ConfError::of_file(ResultCode::SettingsFileMissing, file, error.to_string())
@@ -21,7 +21,7 @@
         Self::parse(file, &text)
     }
 
-    /// Parses a text: codes 11 and 18.
+    /// Parses a text; fails with codes 11, 12 and 18.
     pub fn parse(
         file: &str,
         text: &str,
@@ -130,10 +130,10 @@
     }
 }
 
-/// Finds line numbers, which the INI library does not keep.
+/// Finds the line numbers of sections and keys in order, since the INI library does not keep them.
 struct LineFinder<'t> {
     lines: Vec<&'t str>,
-    next: usize, // index of the first line not yet passed
+    next: usize, // index of the line to search from
 }
 
 impl<'t> LineFinder<'t> {
--- a/src/conf/link_settings.rs
+++ b/src/conf/link_settings.rs
@@ -3,20 +3,20 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// `[link]`: the address and identity towards the fleet's own processes.
+/// `[link]`: connections between routers and sidecars of the granted form.
 #[derive(Debug, Clone)]
 pub struct LinkSettings {
     pub listen: SocketAddr,     // QUIC over UDP
-    pub authority: String,      // path of the fleet's certificate
-    pub certificate: String,    // path
-    pub private_key: String,    // path
-    pub idle_timeout: Duration, // silence that ends a connection
-    pub keep_alive: Duration,   // pause between pings
-    pub max_exchanges: u32,     // streams at once on one connection
+    pub authority: String,      // path of the certificate of the fleet's authority, PEM
+    pub certificate: String,    // path of this process's certificate, PEM
+    pub private_key: String,    // path of its private key, PEM
+    pub idle_timeout: Duration, // silence after which a connection is closed
+    pub keep_alive: Duration,   // interval between pings
+    pub max_exchanges: u32,     // concurrent streams on one connection
 }
 
 impl LinkSettings {
-    /// Reads the section: codes 14 to 17.
+    /// Reads the section; fails with codes 14 to 17.
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("link")?;
         let second = Duration::from_secs(1);
--- a/src/conf/mod.rs
+++ b/src/conf/mod.rs
@@ -1,4 +1,4 @@
-//! INI documents and the checked settings of each process.
+//! INI files, and the validated settings of each kind of process.
 
 mod direct_settings;
 mod errors;
--- a/src/conf/operator_settings.rs
+++ b/src/conf/operator_settings.rs
@@ -3,15 +3,15 @@
     std::net::SocketAddr,
 };
 
-/// `[operator]`: the port that callers cannot reach.
+/// `[operator]`: the HTTP port for operators, which callers cannot reach.
 #[derive(Debug, Clone)]
 pub struct OperatorSettings {
     pub listen: SocketAddr,
-    pub audit_entries: usize, // kept in memory
+    pub audit_entries: usize, // of the audit trail in memory
 }
 
 impl OperatorSettings {
-    /// Reads the section: codes 14 to 17.
+    /// Reads the section; fails with codes 14 to 17.
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("operator")?;
         Ok(Self {
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -4,17 +4,17 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// `[platform]`: where configuration and the host list are read.
+/// `[platform]`: the service that publishes the configuration and the host list.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
     pub address: SocketAddr,
-    pub pace: WatchPacing,        // how often it is asked
-    pub bootstrap_wait: Duration, // how long peers are asked at start
-    pub seeds: Vec<DialTarget>,   // peers known without the platform
+    pub pace: WatchPacing,        // timing of calls to the service
+    pub bootstrap_wait: Duration, // limit of the time to ask peers for a newer configuration at start
+    pub seeds: Vec<DialTarget>,   // peers to dial before a host list is known
 }
 
 impl PlatformSettings {
-    /// Reads the section: codes 14 to 17.
+    /// Reads the section; fails with codes 14 to 17 and 19.
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("platform")?;
         let second = Duration::from_secs(1);
--- a/src/conf/process_settings.rs
+++ b/src/conf/process_settings.rs
@@ -3,18 +3,18 @@
     std::time::Duration,
 };
 
-/// `[process]`: who this process is.
+/// `[process]`: identity and resources of this process.
 #[derive(Debug, Clone)]
 pub struct ProcessSettings {
-    pub host: String,          // name in the platform's host list
-    pub zone: String,          // availability zone
-    pub workers: usize,        // threads of the pool
-    pub cores: f64,            // processor cores that it may use, parts too
-    pub pause_limit: Duration, // longer gaps count as a pause
+    pub host: String, // name of this host, in the granted form that in the platform's host list
+    pub zone: String, // availability zone
+    pub workers: usize, // worker threads
+    pub cores: f64,   // CPU cores that the process may use; may be a fraction
+    pub pause_limit: Duration, // a longer gap in the process's execution counts as a suspension
 }
 
 impl ProcessSettings {
-    /// Reads the section: codes 14 to 17.
+    /// Reads the section; fails with codes 14 to 17.
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("process")?;
         Ok(Self {
--- a/src/conf/router_settings.rs
+++ b/src/conf/router_settings.rs
@@ -6,7 +6,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Everything a router is told on its host.
+/// Settings of a router of the granted form.
 #[derive(Debug, Clone)]
 pub struct RouterSettings {
     pub process: ProcessSettings,
@@ -14,33 +14,33 @@
     pub platform: PlatformSettings,
     pub operator: OperatorSettings,
     pub callers: SocketAddr,       // HTTP address for callers
-    pub max_body: u64,             // bytes
-    pub max_requests: usize,       // waiting in all
-    pub max_bytes: u64,            // waiting in all
-    pub max_per_account: usize,    // waiting for one account
-    pub refuse_early: bool,        // refuse at once when patience cannot be met
-    pub demand_interval: Duration, // pace of announcements
-    pub demand_budget: u64,        // bytes a second, over all sidecars
-    pub demand_cap: u32,           // largest count announced
-    pub reach: usize,              // sidecars connected to begin with, 0 is all
-    pub retry_fraction: f64,       // retries per request
-    pub prefix_slack: Duration,    // age difference bound of prefix affinity
-    pub prefix_bytes: usize,       // of the prompt
-    pub idle_grace: Duration,      // idle time that ends stored credit
-    pub debt_ceiling: f64,         // service units per share
-    pub balancer_lag: Duration,    // between unready and refusing
+    pub max_body: u64,             // of one request, in bytes
+    pub max_requests: usize,       // queued, of all accounts
+    pub max_bytes: u64,            // of all queued requests
+    pub max_per_account: usize,    // queued requests of one account
+    pub refuse_early: bool, // refuse a request at once if its estimated wait exceeds its patience
+    pub demand_interval: Duration, // between two announcements of queued requests to sidecars
+    pub demand_budget: u64, // bytes of announcements a second, to all sidecars
+    pub demand_cap: u32,    // largest count of requests in one announcement
+    pub reach: usize,       // sidecars to connect to at first; 0 for all
+    pub retry_fraction: f64, // retries per request
+    pub prefix_slack: Duration, // a request with a cached prefix may overtake one that waits at most this much longer
+    pub prefix_bytes: usize,    // of the prompt that count as its prefix
+    pub idle_grace: Duration,   // idle time after which an account has no credit any more
+    pub debt_ceiling: f64, // largest lead of an account that counts, in service units per share
+    pub balancer_lag: Duration, // from the stop signal until requests are refused
 }
 
 impl RouterSettings {
-    /// The commented defaults that ship with the product.
+    /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/router.ini");
 
-    /// Reads a settings file: codes 10 to 18.
+    /// Reads a settings file; fails with codes 10 to 19.
     pub fn read(path: &str) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)
     }
 
-    /// Reads a parsed settings file: codes 12 to 17.
+    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
--- a/src/conf/section_reader.rs
+++ b/src/conf/section_reader.rs
@@ -7,16 +7,16 @@
     std::{cell::RefCell, collections::HashSet, ops::RangeInclusive, str::FromStr, time::Duration},
 };
 
-/// Reads typed values from one section and remembers which keys were asked for.
+/// Reads typed values from one section and records which keys were read, to find unknown ones.
 pub struct SectionReader<'d> {
     file: &'d str,
     section: &'d IniSection,
-    fallback: Option<&'d IniSection>, // shipped defaults of the same section
-    asked: RefCell<HashSet<String>>,
+    fallback: Option<&'d IniSection>, // the same section of the default settings
+    read_keys: RefCell<HashSet<String>>,
 }
 
 impl<'d> SectionReader<'d> {
-    /// A reader that takes what `section` lacks from `fallback`.
+    /// Creates a reader. Keys that `section` lacks are read from `fallback`.
     pub fn new(
         file: &'d str,
         section: &'d IniSection,
@@ -26,11 +26,11 @@
             file,
             section,
             fallback,
-            asked: RefCell::default(),
+            read_keys: RefCell::default(),
         }
     }
 
-    /// The text of a key that may be absent or empty.
+    /// The value of a key; `None` if it is absent or empty.
     pub fn optional(
         &self,
         key: &str,
@@ -40,7 +40,7 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// The text of a key that must be there: code 14.
+    /// The value of a required key; fails with code 14.
     pub fn text(
         &self,
         key: &str,
@@ -49,7 +49,8 @@
             .ok_or_else(|| self.fault(ResultCode::MissingKey, key, "is required"))
     }
 
-    /// Any value that parses from text: codes 14 and 15.
+    /// A value parsed from its text; fails with codes 14 and 15. `expected` says in the error what
+    /// the key takes.
     pub fn parsed<T: FromStr>(
         &self,
         key: &str,
@@ -65,7 +66,7 @@
         })
     }
 
-    /// A number within a range: codes 14, 15 and 17.
+    /// A number within a range; fails with codes 14, 15 and 17.
     pub fn number<T>(
         &self,
         key: &str,
@@ -79,7 +80,7 @@
         Ok(number)
     }
 
-    /// `yes` or `no`: codes 14 and 15.
+    /// A flag, `yes` or `no`; fails with codes 14 and 15.
     pub fn flag(
         &self,
         key: &str,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// A duration with its unit: codes 14 to 17.
+    /// A duration with a unit, within a range; fails with codes 14 to 17.
     pub fn duration(
         &self,
         key: &str,
@@ -110,7 +111,7 @@
         Err(self.fault(ResultCode::OutOfRange, key, &detail))
     }
 
-    /// A size in bytes with its unit: codes 14 to 17.
+    /// A size with a unit, in bytes, within a range; fails with codes 14 to 17.
     pub fn size(
         &self,
         key: &str,
@@ -122,7 +123,7 @@
         Ok(value)
     }
 
-    /// Comma-separated words; an absent key is an empty list.
+    /// Comma-separated words; empty if the key is absent.
     pub fn list(
         &self,
         key: &str,
@@ -135,21 +136,22 @@
             .collect()
     }
 
-    /// Refuses a key that was never asked for: code 13.
+    /// Fails with code 13 if the section has a key that was never read.
     pub fn finish(&self) -> Result<(), ConfError> {
-        let asked = self.asked.borrow();
+        let read_keys = self.read_keys.borrow();
         match self
             .section
             .entries
             .iter()
-            .find(|entry| !asked.contains(&entry.key))
+            .find(|entry| !read_keys.contains(&entry.key))
         {
             None => Ok(()),
             Some(entry) => Err(self.fault(ResultCode::UnknownKey, &entry.key, "is not known here")),
         }
     }
 
-    /// An error at this key, with file, section and line filled in.
+    /// Creates an error about a key, with file, section and line; an empty `key` stands for the
+    /// section.
     pub fn fault(
         &self,
         code: ResultCode,
@@ -174,7 +176,7 @@
         &self,
         key: &str,
     ) -> Option<&'d IniEntry> {
-        self.asked.borrow_mut().insert(key.to_owned());
+        self.read_keys.borrow_mut().insert(key.to_owned());
         self.section
             .entry(key)
             .or_else(|| self.fallback.and_then(|section| section.entry(key)))
--- a/src/conf/settings_file.rs
+++ b/src/conf/settings_file.rs
@@ -3,17 +3,17 @@
     crate::codes::ResultCode,
 };
 
-/// A settings file over the defaults that ship with the product.
+/// A settings file, on top of the default settings.
 ///
-/// The shipped file is the schema too: a section or key that it does not have,
-/// commented default and all, is unknown.
+/// The file of default settings also serves as the schema: sections and keys that it lacks are
+/// unknown, and rejected.
 pub struct SettingsFile {
     user: IniDocument,
     defaults: IniDocument,
 }
 
 impl SettingsFile {
-    /// Reads `path` over `shipped`: codes 10 to 13 and 18.
+    /// Reads `path` on top of the text `shipped`; fails with codes 10 to 13 and 18.
     pub fn read(
         path: &str,
         shipped: &str,
@@ -21,7 +21,7 @@
         Self::new(IniDocument::read(path)?, shipped)
     }
 
-    /// Lays a parsed file over `shipped`: codes 12 and 13.
+    /// Takes a parsed file on top of the text `shipped`; fails with codes 12 and 13.
     pub fn new(
         mut user: IniDocument,
         shipped: &str,
@@ -40,7 +40,7 @@
         Ok(Self { user, defaults })
     }
 
-    /// The reader of a section that the shipped file has.
+    /// Returns a reader of a section that the default settings have.
     pub fn section(
         &self,
         name: &str,
--- a/src/conf/sidecar_settings.rs
+++ b/src/conf/sidecar_settings.rs
@@ -10,7 +10,7 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Everything a sidecar is told on its host.
+/// Settings of a sidecar.
 #[derive(Debug, Clone)]
 pub struct SidecarSettings {
     pub process: ProcessSettings,
@@ -18,31 +18,31 @@
     pub platform: PlatformSettings,
     pub operator: OperatorSettings,
     pub upstream: SocketAddr,      // the upstream beside this process
-    pub slots: u32,                // requests the upstream runs at once
-    pub ahead: u32,                // granted requests held ready
-    pub silence_limit: Duration,   // longest silence of the upstream
-    pub order: OrderMode,          // fair, or a baseline
-    pub totals: TotalsMode,        // fleet, or a baseline
-    pub slack: f64,                // service units per share
-    pub debt_ceiling: f64,         // service units per share
-    pub grant_ttl: Duration,       // life of an unused grant
-    pub report_interval: Duration, // pace of reports to keepers
-    pub idle_grace: Duration,      // idle time that ends stored credit
-    pub key_memory: Duration,      // how long a key is remembered
-    pub max_keys: usize,           // how many keys are remembered
-    pub key_quarantine: Duration,  // after a start, no keyed requests
+    pub slots: u32,                // requests that the upstream runs at once
+    pub ahead: u32,                // most granted requests held ready for a free slot
+    pub silence_limit: Duration,   // longest wait for the next byte of the upstream
+    pub order: OrderMode, // order of service: fair, or by arrival as a baseline for measurements
+    pub totals: TotalsMode, // whether service in the whole fleet counts, or here only as a baseline
+    pub slack: f64,       // difference between accounts that is ignored, in service units per share
+    pub debt_ceiling: f64, // largest lead of an account that counts, in service units per share
+    pub grant_ttl: Duration, // lifetime of an unused grant
+    pub report_interval: Duration, // between two reports of service to the routers that sum it
+    pub idle_grace: Duration, // idle time after which an account has no credit any more
+    pub key_memory: Duration, // how long an idempotency key is remembered
+    pub max_keys: usize,  // most idempotency keys remembered
+    pub key_quarantine: Duration, // time after a start in which requests with an idempotency key are refused
 }
 
 impl SidecarSettings {
-    /// The commented defaults that ship with the product.
+    /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/sidecar.ini");
 
-    /// Reads a settings file: codes 10 to 18.
+    /// Reads a settings file; fails with codes 10 to 19.
     pub fn read(path: &str) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)
     }
 
-    /// Reads a parsed settings file: codes 12 to 17.
+    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
--- a/src/conf/units.rs
+++ b/src/conf/units.rs
@@ -1,7 +1,8 @@
-//! Values with units. A bare number is refused, so that no reader has to guess.
+//! Durations and sizes with units. A number without a unit is rejected, as it is ambiguous.
 
 use std::time::Duration;
 
+/// Names of units, with their length in microseconds.
 const DURATION_UNITS: &[(&str, u64)] = &[
     ("us", 1),
     ("ms", 1_000),
@@ -10,6 +11,7 @@
     ("h", 3_600_000_000),
 ];
 
+/// Names of units, with their size in bytes.
 const SIZE_UNITS: &[(&str, u64)] = &[
     ("B", 1),
     ("KB", 1_000),
@@ -18,24 +20,24 @@
     ("MiB", 1 << 20),
 ];
 
-/// Why a value with a unit was refused.
+/// What is wrong with a value that needs a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnitFault {
-    Number,
-    Unit,
+    Number, // missing, or too large
+    Unit,   // missing or unknown
 }
 
-/// Parses `250 ms`, `2 s`, `10 min`.
+/// Parses a duration, as `250 ms`, `2 s` or `10 min`.
 pub fn parse_duration(text: &str) -> Result<Duration, UnitFault> {
-    with_unit(text, DURATION_UNITS).map(Duration::from_micros)
+    parse_with_unit(text, DURATION_UNITS).map(Duration::from_micros)
 }
 
-/// Parses `64 KiB`, `1 MB`.
+/// Parses a size in bytes, as `64 KiB` or `1 MB`.
 pub fn parse_size(text: &str) -> Result<u64, UnitFault> {
-    with_unit(text, SIZE_UNITS)
+    parse_with_unit(text, SIZE_UNITS)
 }
 
-fn with_unit(
+fn parse_with_unit(
     text: &str,
     units: &[(&str, u64)],
 ) -> Result<u64, UnitFault> {
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's service, which can only be read and watched.
+//! Client of the platform's service, which publishes the configuration and the host list of the
+//! granted form.
 //!
 //! `docs/PLATFORM-PROTOCOL.md` states the protocol.
 
@@ -7,11 +8,11 @@
 
 pub use {platform_client::PlatformClient, watched::Watched};
 
-/// The key of the configuration.
+/// The key of the configuration's value.
 pub const FLEET_KEY: &str = "fleet";
 
-/// The key of the host list.
+/// The key of the host list's value.
 pub const HOSTS_KEY: &str = "hosts";
 
-/// The header that carries a value's revision.
+/// The header with the revision of a value.
 pub const REVISION_HEADER: &str = "x-revision";
--- a/src/directory/platform_client.rs
+++ b/src/directory/platform_client.rs
@@ -10,11 +10,11 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How long a part of the configuration, or a connection, may take.
-const CALL_TIME: Duration = Duration::from_secs(5);
+/// Time-out of a connection, and of a call that does not wait for a change.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads and watches values of the platform's service, each call on a connection of
-/// its own: a kept one may have fallen silent.
+/// Reads and watches values of the platform's service. Each call uses a new connection, since a
+/// pooled one may have been dropped on the way without notice.
 #[derive(Clone)]
 pub struct PlatformClient {
     http: Client,
@@ -22,12 +22,12 @@
 }
 
 impl PlatformClient {
-    /// A client of the service at this address: code 93.
+    /// Creates a client of the service at this address; fails with code 93.
     pub fn new(address: SocketAddr) -> Result<Self, Fault> {
         let http = Client::builder()
             .retry(retry::never())
             .no_proxy()
-            .connect_timeout(CALL_TIME)
+            .connect_timeout(CALL_TIMEOUT)
             .pool_max_idle_per_host(0)
             .build()
             .map_err(|error| Fault::new(ResultCode::StartFailed, error))?;
@@ -37,20 +37,20 @@
         })
     }
 
-    /// Waits until a value is newer than `after`: none when the wait passes
-    /// first or the key has no value. Codes 80 to 82.
+    /// Waits until a value is newer than `after`. Returns `None` if the wait ends first or the key
+    /// has no value. Fails with codes 80 to 82.
     pub async fn watch(
         &self,
         key: &str,
         after: Revision,
-        time: WatchTiming,
+        timing: WatchTiming,
     ) -> Result<Option<Watched>, Fault> {
         let url = format!(
             "{}/watch/{key}?after={after}&wait_ms={}",
             self.base,
-            time.wait.as_millis()
+            timing.wait.as_millis()
         );
-        let Some(response) = self.get(&url, time.limit).await? else {
+        let Some(response) = self.get(&url, timing.limit).await? else {
             return Ok(None);
         };
         let revision = response
@@ -58,30 +58,36 @@
             .get(REVISION_HEADER)
             .and_then(|value| value.to_str().ok()?.parse().ok())
             .map(Revision)
-            .ok_or_else(|| Fault::new(ResultCode::PlatformReply, "no revision"))?;
+            .ok_or_else(|| {
+                Fault::new(
+                    ResultCode::PlatformReply,
+                    "the answer has no x-revision header",
+                )
+            })?;
         let text = text(response).await?;
         Ok(Some(Watched { revision, text }))
     }
 
-    /// Reads a value; none when the key has none. Codes 80 to 82.
+    /// Reads a value; `None` if the key has none. Fails with codes 80 to 82.
     pub async fn read(
         &self,
         key: &str,
     ) -> Result<Option<Watched>, Fault> {
-        let at_once = WatchTiming {
+        let no_wait = WatchTiming {
             wait: Duration::ZERO,
-            limit: CALL_TIME,
+            limit: CALL_TIMEOUT,
         };
-        self.watch(key, Revision(0), at_once).await
+        self.watch(key, Revision(0), no_wait).await
     }
 
-    /// Reads a part of the configuration by its digest: codes 80 to 82.
+    /// Reads a part of the configuration by its digest; `None` if the service does not have it.
+    /// Fails with codes 80 to 82.
     pub async fn part(
         &self,
         digest: &str,
     ) -> Result<Option<String>, Fault> {
         let url = format!("{}/parts/{digest}", self.base);
-        match self.get(&url, CALL_TIME).await? {
+        match self.get(&url, CALL_TIMEOUT).await? {
             Some(response) => text(response).await.map(Some),
             None => Ok(None),
         }
--- a/src/directory/watched.rs
+++ b/src/directory/watched.rs
@@ -1,6 +1,6 @@
 use crate::fleet::Revision;
 
-/// A value of the platform's service.
+/// A value of the platform's service, with its revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Watched {
     pub revision: Revision,
--- a/src/node/background.rs
+++ b/src/node/background.rs
@@ -11,10 +11,11 @@
     tokio::signal::unix::{SignalKind, signal},
 };
 
-/// How often a starting process looks whether it may serve.
-const READINESS_TICK: Duration = Duration::from_millis(20);
+/// Interval between two readiness checks of a starting process.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts to follow the platform's service, and dials the seeds.
+/// Starts the watches of the platform's configuration and host list, and dials the seeds. Fails
+/// with code 93 if the HTTP client cannot be built.
 pub fn start_watches<H: LinkHandler>(
     node: &Arc<Node>,
     settings: &PlatformSettings,
@@ -29,8 +30,8 @@
     Ok(())
 }
 
-/// Decides when a starting process has asked enough peers for a newer
-/// configuration. `peers` is the role it hears from.
+/// Waits until a starting process may serve: enough peers with the role `peers` have confirmed its
+/// configuration, or `bound` has passed since the first configuration came into force.
 pub async fn follow_readiness(
     node: Arc<Node>,
     peers: HostRole,
@@ -38,7 +39,7 @@
 ) {
     let mut first_config = None;
     loop {
-        tokio::time::sleep(READINESS_TICK).await;
+        tokio::time::sleep(READINESS_CHECK_INTERVAL).await;
         if node.config.current().is_none() {
             continue;
         }
@@ -58,13 +59,13 @@
     }
 }
 
-/// Waits for a signal to stop.
+/// Waits for SIGTERM or SIGINT. Never returns if the handlers cannot be installed.
 pub async fn stop_signal() {
     let (Ok(mut term), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
     ) else {
-        log::error!("signals cannot be had");
+        log::error!("cannot install signal handlers; the process stops only when it is killed");
         return std::future::pending().await;
     };
     tokio::select! {
--- a/src/node/config_store.rs
+++ b/src/node/config_store.rs
@@ -12,8 +12,8 @@
     tokio::sync::watch,
 };
 
-/// The configuration in force. It never goes back to an older revision, and an
-/// invalid one is refused whole.
+/// Holds the configuration in force. It is never replaced by an older revision, and an invalid
+/// configuration is rejected as a whole.
 pub struct ConfigStore {
     gate: Mutex<ConfigGate>, // a leaf lock
     current: watch::Sender<Option<Arc<VersionedConfig>>>,
@@ -21,7 +21,7 @@
 }
 
 impl ConfigStore {
-    /// Nothing in force yet.
+    /// Creates a store without a configuration.
     pub fn new(audit: Arc<AuditTrail>) -> Self {
         Self {
             gate: Mutex::default(),
@@ -30,20 +30,20 @@
         }
     }
 
-    /// The configuration in force.
+    /// The configuration in force; `None` before the first.
     pub fn current(&self) -> Option<Arc<VersionedConfig>> {
         self.current.borrow().clone()
     }
 
-    /// A receiver that sees each configuration that comes into force, and
-    /// first the one that is in force already.
+    /// A receiver of each configuration that comes into force. The one already in force counts
+    /// as its first change.
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<VersionedConfig>>> {
         let mut receiver = self.current.subscribe();
         receiver.mark_changed();
         receiver
     }
 
-    /// What to do with a revision that somebody has.
+    /// Whether a revision that the platform or a peer has should be fetched, and why not.
     pub fn judge(
         &self,
         revision: Revision,
@@ -53,14 +53,14 @@
         gate.judge(revision, digest)
     }
 
-    /// The parts already held, by digest.
+    /// The parts of the configuration in force, by digest.
     pub fn held_parts(&self) -> BTreeMap<String, Arc<str>> {
         self.current()
             .map_or_else(BTreeMap::new, |config| config.parts.clone())
     }
 
-    /// Validates a revision and brings it into force, or refuses it whole.
-    /// `source` says where it came from. True when it came into force.
+    /// Validates a configuration and brings it into force, or rejects it as a whole. `source` is
+    /// where it came from: a peer's host, or `platform`. Returns whether it came into force.
     pub async fn offer(
         &self,
         revision: Revision,
@@ -72,7 +72,7 @@
         match self.judge(revision, &digest) {
             Verdict::Fetch => {}
             verdict => {
-                self.note_refusal(revision, verdict, source);
+                self.audit_refusal(revision, verdict, source);
                 return false;
             }
         }
@@ -119,7 +119,7 @@
         accepted
     }
 
-    fn note_refusal(
+    fn audit_refusal(
         &self,
         revision: Revision,
         verdict: Verdict,
--- a/src/node/host_store.rs
+++ b/src/node/host_store.rs
@@ -4,7 +4,7 @@
     tokio::sync::watch,
 };
 
-/// The newest host list seen.
+/// The newest host list that was received.
 pub struct HostStore {
     current: watch::Sender<(Revision, Arc<HostList>)>,
 }
@@ -18,7 +18,7 @@
 }
 
 impl HostStore {
-    /// Takes over a list unless it is older than the one known.
+    /// Replaces the list if this one is newer. Returns whether it was.
     pub fn offer(
         &self,
         revision: Revision,
@@ -34,17 +34,17 @@
         })
     }
 
-    /// The list.
+    /// The newest list; empty before the first.
     pub fn current(&self) -> Arc<HostList> {
         self.current.borrow().1.clone()
     }
 
-    /// The list's revision, 0 before the first.
+    /// The revision of the list; 0 before the first.
     pub fn revision(&self) -> Revision {
         self.current.borrow().0
     }
 
-    /// A receiver that sees each new list, and first the one that is known.
+    /// A receiver of each new list. The current one counts as its first change.
     pub fn subscribe(&self) -> watch::Receiver<(Revision, Arc<HostList>)> {
         let mut receiver = self.current.subscribe();
         receiver.mark_changed();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! What routers and sidecars have in common: identity, configuration in force,
-//! host list, watches, membership.
+//! What routers and sidecars of the granted form have in common: identity, configuration in force,
+//! host list, watches, membership; and the command line of all daemons.
 
 mod background;
 mod config_store;
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -17,14 +17,14 @@
     },
 };
 
-/// Hexadecimal digits of a configuration's digest that messages carry.
+/// Hexadecimal digits of the configuration's digest in each message.
 const DIGEST_DIGITS: usize = 8;
 
-/// One process of the fleet: who it is and what it knows.
+/// State that routers and sidecars share: identity, configuration, host list and membership.
 ///
-/// Lock order, here and in its users: `membership`, then a role's own table,
-/// then leaf locks (audit, counters, peers, gate). No lock is held across an
-/// await.
+/// Lock order, here and in routers and sidecars: `membership`, then the tables of the router or
+/// sidecar, then leaf locks, under which no other lock is taken (audit, counters, peers, gate).
+/// No lock is held across an await.
 pub struct Node {
     pub host: String,
     pub zone: String,
@@ -37,11 +37,11 @@
     pub membership: Mutex<Membership>,
     pub readiness: Readiness,
     leaving: AtomicBool,
-    fetching: AtomicBool, // a configuration from a peer
+    fetching: AtomicBool, // a configuration is being fetched from a peer
 }
 
 impl Node {
-    /// A process that has just started and knows nothing.
+    /// Creates a node without a configuration, host list or peers.
     pub fn new(
         role: HostRole,
         process: &ProcessSettings,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Time since the start.
+    /// Time since the process started.
     pub fn now(&self) -> Moment {
         self.uptime.now()
     }
@@ -74,7 +74,7 @@
         self.leaving.load(Ordering::SeqCst)
     }
 
-    /// Begins to stop. False if it had begun before.
+    /// Stops taking new work. Returns false if it had stopped before.
     pub fn begin_leaving(&self) -> bool {
         let first = !self.leaving.swap(true, Ordering::SeqCst);
         if first {
@@ -84,7 +84,7 @@
         first
     }
 
-    /// No longer leaves.
+    /// Takes new work again.
     pub fn end_leaving(&self) {
         if self.leaving.swap(false, Ordering::SeqCst) {
             self.audit
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Stamps a message with the configuration in force.
+    /// Wraps a message with the revision and digest of the configuration in force.
     pub fn envelope(
         &self,
         message: ControlMessage,
@@ -115,44 +115,45 @@
         }
     }
 
-    /// Takes in who a new connection is from.
+    /// Records the peer of a new connection in the membership.
     pub fn sight(
         &self,
         peer: &Peer,
     ) -> PeerObservation {
-        let sighting = {
+        let observation = {
             let mut membership = self.membership.lock().expect("membership lock");
-            let sighting = membership.observe(&peer.host, peer.incarnation);
-            if peer.leaving && sighting != PeerObservation::Stale {
+            let observation = membership.observe(&peer.host, peer.incarnation);
+            if peer.leaving && observation != PeerObservation::Stale {
                 membership.leave(&peer.host);
             }
-            sighting
+            observation
         };
-        let what = match sighting {
+        let what = match observation {
             PeerObservation::New => "peer_new",
             PeerObservation::Restarted => "peer_restarted",
             PeerObservation::Stale => "peer_stale_refused",
-            PeerObservation::Same => return sighting,
+            PeerObservation::Same => return observation,
         };
         let detail = format!("{} incarnation {}", peer.name, peer.incarnation);
         self.audit.record(what, None, None, detail);
-        sighting
+        observation
     }
 
-    /// Fetches a peer's configuration, or its host list, if it is ahead.
+    /// Fetches the configuration and host list of a peer, in a task, if its configuration is newer
+    /// or this process has no host list yet.
     pub fn notice_revision(
         self: Arc<Self>,
         peer: &Arc<Peer>,
         revision: Revision,
         digest: &str,
     ) {
-        let wants_hosts = self.hosts.revision() == Revision(0);
-        let behind =
+        let needs_hosts = self.hosts.revision() == Revision(0);
+        let is_newer =
             revision > Revision(0) && self.config.judge(revision, digest) == Verdict::Fetch;
-        if !behind && peer.config_confirmed {
+        if !is_newer && peer.config_confirmed {
             self.readiness.heard_peer(&peer.host);
         }
-        if !(behind || wants_hosts) || self.fetching.swap(true, Ordering::SeqCst) {
+        if !(is_newer || needs_hosts) || self.fetching.swap(true, Ordering::SeqCst) {
             return;
         }
         let peer = peer.clone();
@@ -166,7 +167,7 @@
         });
     }
 
-    /// Whether a peer said, in its newest life, that it is leaving.
+    /// Whether a peer's newest incarnation announced that it is leaving.
     pub fn is_peer_leaving(
         &self,
         host: &str,
@@ -180,7 +181,7 @@
         !self.is_leaving() && self.readiness.has_asked() && self.config.current().is_some()
     }
 
-    /// An account's name in the configuration in force, or its identifier.
+    /// An account's name in the configuration in force, or its identifier if it is not there.
     pub fn account_name(
         &self,
         id: AccountId,
@@ -190,7 +191,7 @@
         account.map_or_else(|| id.to_string(), |account| account.name.clone())
     }
 
-    /// What every role says of itself; the role fills in the rest.
+    /// The part of the status that routers and sidecars share; each adds its load and peers.
     pub fn status(&self) -> ProcessStatus {
         let current = self.config.current();
         let cordoned = current.as_ref().map(|c| &c.config.cordoned);
--- a/src/node/peer_config.rs
+++ b/src/node/peer_config.rs
@@ -10,7 +10,7 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// Fetches the configuration and host list that a peer has, when newer.
+/// Fetches the configuration and host list of a peer, and puts them into force if they are newer.
 pub async fn fetch_from_peer(
     node: &Node,
     peer: &Peer,
@@ -22,7 +22,7 @@
     let (_send, mut recv) = peer.open(&open).await?;
     let mut root: Option<(Revision, String)> = None;
     loop {
-        match next_bundle(&mut recv).await? {
+        match read_config_frame(&mut recv).await? {
             ConfigFrame::Root { revision, text } => root = Some((revision, text)),
             ConfigFrame::Part { digest, text } => {
                 parts.insert(digest, text.into());
@@ -43,7 +43,8 @@
     Ok(())
 }
 
-/// Answers a peer that fetches, leaving out the parts it has.
+/// Sends a peer the configuration in force and the host list. `have` are the digests of the parts
+/// that the peer has already; these are left out.
 pub async fn serve_config(
     node: &Node,
     have: &[String],
@@ -54,15 +55,15 @@
             revision: config.revision,
             text: config.root.to_string(),
         };
-        write_bundle(&mut send, &root).await?;
+        write_config_frame(&mut send, &root).await?;
         write_parts(&mut send, &config.parts, have).await?;
     }
     let hosts = ConfigFrame::Hosts {
         revision: node.hosts.revision(),
         hosts: HostList::clone(&node.hosts.current()),
     };
-    write_bundle(&mut send, &hosts).await?;
-    write_bundle(&mut send, &ConfigFrame::End).await?;
+    write_config_frame(&mut send, &hosts).await?;
+    write_config_frame(&mut send, &ConfigFrame::End).await?;
     send.finish().map_err(Fault::unreachable)
 }
 
@@ -79,21 +80,24 @@
             digest: digest.clone(),
             text: text.to_string(),
         };
-        write_bundle(send, &part).await?;
+        write_config_frame(send, &part).await?;
     }
     Ok(())
 }
 
-async fn write_bundle(
+async fn write_config_frame(
     send: &mut SendStream,
-    bundle: &ConfigFrame,
+    frame: &ConfigFrame,
 ) -> Result<(), Fault> {
-    let frame = encode_frame(bundle)?;
+    let frame = encode_frame(frame)?;
     send.write_all(&frame).await.map_err(Fault::unreachable)
 }
 
-async fn next_bundle(recv: &mut RecvStream) -> Result<ConfigFrame, Fault> {
-    read_frame(recv)
-        .await?
-        .ok_or_else(|| Fault::new(ResultCode::PeerUnreachable, "cut configuration"))
+async fn read_config_frame(recv: &mut RecvStream) -> Result<ConfigFrame, Fault> {
+    read_frame(recv).await?.ok_or_else(|| {
+        Fault::new(
+            ResultCode::PeerUnreachable,
+            "the peer closed the stream before the configuration was complete",
+        )
+    })
 }
--- a/src/node/readiness.rs
+++ b/src/node/readiness.rs
@@ -7,46 +7,47 @@
     time::Duration,
 };
 
-/// How many peers a starting process hears before it trusts its revision.
+/// Number of peers that confirm the configuration of a starting process, if so many are listed.
 pub const PEERS_ASKED: usize = 3;
 
-/// Whether a process may serve: it has a configuration, and has asked its
-/// peers for a newer one.
+/// Whether the configuration of a starting process is confirmed: enough peers have none that is
+/// newer, or the time to ask them has passed.
 #[derive(Default)]
 pub struct Readiness {
-    heard: Mutex<HashSet<Arc<str>>>, // hosts that we are not behind; a leaf lock
-    asked: AtomicBool,
+    confirmed_by: Mutex<HashSet<Arc<str>>>, // hosts without a newer configuration; a leaf lock
+    confirmed: AtomicBool,
 }
 
 impl Readiness {
-    /// Notes that a peer that knows the newest has nothing newer, or has given it.
+    /// Records that a peer whose own configuration is confirmed has none that is newer than this
+    /// process's, or has sent it.
     pub fn heard_peer(
         &self,
         host: &Arc<str>,
     ) {
         if !self.has_asked() {
-            let mut heard = self.heard.lock().expect("heard lock");
-            heard.insert(host.clone());
+            let mut confirmed_by = self.confirmed_by.lock().expect("confirmed_by lock");
+            confirmed_by.insert(host.clone());
         }
     }
 
-    /// Whether peers were asked for long enough.
+    /// Whether the configuration is confirmed.
     pub fn has_asked(&self) -> bool {
-        self.asked.load(Ordering::SeqCst)
+        self.confirmed.load(Ordering::SeqCst)
     }
 
-    /// Decides, given how many peers the host list has and how long the
-    /// process has had it. Once true it stays true.
+    /// Decides whether the configuration is confirmed: by `PEERS_ASKED` peers, or by all if fewer
+    /// are listed, or without them once `waited` reaches `bound`. Once true it stays true.
     pub fn decide(
         &self,
         listed_peers: usize,
         waited: Duration,
         bound: Duration,
     ) -> bool {
-        let wanted = listed_peers.min(PEERS_ASKED);
-        let heard = self.heard.lock().expect("heard lock").len();
-        if heard >= wanted || waited >= bound {
-            self.asked.store(true, Ordering::SeqCst);
+        let needed = listed_peers.min(PEERS_ASKED);
+        let confirmations = self.confirmed_by.lock().expect("confirmed_by lock").len();
+        if confirmations >= needed || waited >= bound {
+            self.confirmed.store(true, Ordering::SeqCst);
         }
         self.has_asked()
     }
--- a/src/node/start.rs
+++ b/src/node/start.rs
@@ -10,14 +10,14 @@
     std::{fmt, process::ExitCode},
 };
 
-/// Threads for validating configurations. Each keeps what it once allocated,
-/// so there are few.
+/// Threads of the runtime's blocking pool, which validates configurations. The allocator keeps
+/// the memory that each thread has used, so there are few.
 pub const BLOCKING_THREADS: usize = 1;
 
-/// The first word of a router's command line that carries requests itself.
+/// The first argument of a router that sends requests to the replicas itself.
 pub const DIRECT_FLAG: &str = "--direct";
 
-/// Why a process did not start. Its code is the exit code.
+/// A process could not start, or failed while it ran. The number of the code is the exit code.
 #[derive(Debug)]
 pub struct StartError(pub ResultCode);
 
@@ -33,7 +33,8 @@
 impl std::error::Error for StartError {}
 
 /// Handles a daemon's command line: `--settings FILE`, `--check-settings`,
-/// `--print-defaults`, `--version`. `serve` runs until the process has stopped.
+/// `--print-defaults`, `--version`. `shipped` is the text of the default settings, `read` reads
+/// the settings file, `host` names the host in logs, and `serve` runs until the process stops.
 pub fn run_process<S>(
     program: &str,
     shipped: &str,
@@ -48,10 +49,12 @@
         .optflag("", "print-defaults", "print the commented defaults")
         .optflag("V", "version", "print the version")
         .optflag("h", "help", "print this text");
-    let words = std::env::args().skip(1).filter(|word| word != DIRECT_FLAG);
-    let matches = match options.parse(words) {
+    let arguments = std::env::args()
+        .skip(1)
+        .filter(|argument| argument != DIRECT_FLAG);
+    let matches = match options.parse(arguments) {
         Ok(matches) if matches.free.is_empty() => matches,
-        Ok(_) => return usage(program, &options, "takes no other words"),
+        Ok(_) => return usage(program, &options, "takes options only"),
         Err(error) => return usage(program, &options, &error.to_string()),
     };
     if matches.opt_present("help") {
--- a/src/node/watches.rs
+++ b/src/node/watches.rs
@@ -12,7 +12,7 @@
     tokio::time::{Instant, sleep},
 };
 
-/// Follows the platform's configuration for as long as the process lives.
+/// Watches the platform's configuration and brings each new one into force. Never returns.
 pub async fn watch_config(
     node: Arc<Node>,
     client: PlatformClient,
@@ -21,11 +21,11 @@
     let mut seen = Revision(0);
     let mut failed = false;
     loop {
-        let begun = Instant::now();
-        let time = settings.pace.next_watch(failed);
-        let outcome = match client.watch(FLEET_KEY, seen, time).await {
+        let started_at = Instant::now();
+        let timing = settings.pace.next_watch(failed);
+        let outcome = match client.watch(FLEET_KEY, seen, timing).await {
             Ok(Some(watched)) => {
-                let outcome = take_config(&node, &client, &watched).await;
+                let outcome = apply_config(&node, &client, &watched).await;
                 if outcome.is_ok() {
                     seen = watched.revision;
                 }
@@ -34,11 +34,11 @@
             Ok(None) => Ok(()),
             Err(error) => Err(error),
         };
-        failed = pause(outcome, FLEET_KEY, &settings.pace, begun).await;
+        failed = pause_if_failed(outcome, FLEET_KEY, &settings.pace, started_at).await;
     }
 }
 
-/// Follows the platform's host list for as long as the process lives.
+/// Watches the platform's host list. Never returns.
 pub async fn watch_hosts(
     node: Arc<Node>,
     client: PlatformClient,
@@ -47,21 +47,21 @@
     let mut seen = Revision(0);
     let mut failed = false;
     loop {
-        let begun = Instant::now();
-        let time = settings.pace.next_watch(failed);
-        let outcome = match client.watch(HOSTS_KEY, seen, time).await {
+        let started_at = Instant::now();
+        let timing = settings.pace.next_watch(failed);
+        let outcome = match client.watch(HOSTS_KEY, seen, timing).await {
             Ok(Some(watched)) => {
                 seen = watched.revision;
-                take_hosts(&node, &watched)
+                apply_hosts(&node, &watched)
             }
             Ok(None) => Ok(()),
             Err(error) => Err(error),
         };
-        failed = pause(outcome, HOSTS_KEY, &settings.pace, begun).await;
+        failed = pause_if_failed(outcome, HOSTS_KEY, &settings.pace, started_at).await;
     }
 }
 
-async fn take_config(
+async fn apply_config(
     node: &Node,
     client: &PlatformClient,
     watched: &Watched,
@@ -97,7 +97,7 @@
     Ok(parts)
 }
 
-fn take_hosts(
+fn apply_hosts(
     node: &Node,
     watched: &Watched,
 ) -> Result<(), Fault> {
@@ -111,21 +111,21 @@
     Ok(())
 }
 
-/// Pauses after a call that failed. Whether it did.
-async fn pause(
+/// Logs a failed call and waits before the next one. Returns whether the call failed.
+async fn pause_if_failed(
     outcome: Result<(), Fault>,
     key: &str,
     pace: &WatchPacing,
-    begun: Instant,
+    started_at: Instant,
 ) -> bool {
     let Err(error) = outcome else {
         return false;
     };
-    let took = begun.elapsed();
+    let call_time = started_at.elapsed();
     log::warn!(
-        code = error.code.number(), key = key, call_ms = took.as_millis() as u64;
+        code = error.code.number(), key = key, call_ms = call_time.as_millis() as u64;
         "watch failed: {error}"
     );
-    sleep(pace.pause_after_failure(took, rand::random())).await;
+    sleep(pace.pause_after_failure(call_time, rand::random())).await;
     true
 }
--- a/src/ops/audit_trail.rs
+++ b/src/ops/audit_trail.rs
@@ -4,15 +4,15 @@
     std::{collections::VecDeque, sync::Mutex},
 };
 
-/// The newest changes of a process, bounded in memory. Each is a log line too.
+/// The latest changes of a process, up to a number of entries. Each is logged too.
 pub struct AuditTrail {
     host: String,
     bound: usize,
-    entries: Mutex<VecDeque<AuditEntry>>, // a leaf lock: nothing is locked under it
+    entries: Mutex<VecDeque<AuditEntry>>, // a leaf lock: no other lock is taken under it
 }
 
 impl AuditTrail {
-    /// A trail of at most `bound` entries.
+    /// Creates a trail of at most `bound` entries.
     pub fn new(
         host: &str,
         bound: usize,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Records a change.
+    /// Records and logs a change; drops the oldest one if the trail is full.
     pub fn record(
         &self,
         what: &str,
@@ -54,7 +54,7 @@
         entries.push_back(entry);
     }
 
-    /// The entries in memory, oldest first.
+    /// The entries, oldest first.
     pub fn entries(&self) -> Vec<AuditEntry> {
         let entries = self.entries.lock().expect("audit lock");
         entries.iter().cloned().collect()
--- a/src/ops/json_log.rs
+++ b/src/ops/json_log.rs
@@ -12,32 +12,31 @@
     },
 };
 
-/// Loggers of libraries that speak too much at the default level.
-const QUIET: &str = "info,rocket=error,quinn=warn,rustls=warn,hyper=warn";
+/// Default log filter: `info`, but less from libraries that log too much at that level.
+const DEFAULT_FILTER: &str = "info,rocket=error,quinn=warn,rustls=warn,hyper=warn";
 
-/// Lines a second that a process writes at most; half of them are kept for
-/// failures.
-const LINES_PER_SECOND: f64 = 1000.0;
+/// Limit of log lines a second; half of them are reserved for failures.
+const MAX_LINES_PER_SECOND: f64 = 1000.0;
 
-/// The key that marks a line as a failure, beside its level.
+/// A line with this key counts as a failure, whatever its level.
 const CODE_KEY: &str = "code";
 
-/// Sends logs as JSON lines to standard output, at a bounded rate and without
-/// ever waiting for it. `RUST_LOG` sets the level.
+/// Starts logging JSON lines to standard output, at a limited rate and without blocking on it.
+/// `RUST_LOG` sets the filter.
 pub fn start_logging(host: &str) {
     let pipe = match LogPipe::start(std::io::stdout()) {
         Ok(pipe) => pipe,
         Err(error) => {
-            eprintln!("no logs: {error}");
+            eprintln!("cannot start the log thread, nothing is logged: {error}");
             return;
         }
     };
     let host = host.to_owned();
     pipe.is_the_process_log();
-    let lost = pipe.lost();
+    let dropped = pipe.lost();
     let uptime = Uptime::start();
-    let rate = Mutex::new(LogRate::new(LINES_PER_SECOND, uptime.now()));
-    let started = Builder::from_env(Env::default().default_filter_or(QUIET))
+    let rate = Mutex::new(LogRate::new(MAX_LINES_PER_SECOND, uptime.now()));
+    let started = Builder::from_env(Env::default().default_filter_or(DEFAULT_FILTER))
         .target(Target::Pipe(Box::new(pipe)))
         .format(move |out, record| {
             let admitted = {
@@ -46,15 +45,15 @@
             };
             match admitted {
                 Some(left_out) => {
-                    let lost = lost.swap(0, Ordering::Relaxed);
-                    writeln!(out, "{}", line(&host, record, left_out + lost))
+                    let dropped = dropped.swap(0, Ordering::Relaxed);
+                    writeln!(out, "{}", line(&host, record, left_out + dropped))
                 }
                 None => Ok(()),
             }
         })
         .try_init();
     if started.is_err() {
-        log::debug!("logging was started before");
+        log::debug!("logging is already started");
     }
 }
 
--- a/src/ops/log_pipe.rs
+++ b/src/ops/log_pipe.rs
@@ -8,27 +8,27 @@
     time::Duration,
 };
 
-/// Bytes of lines that may wait for their writer.
-const WAITING_BYTES: usize = 256 << 10;
+/// Limit of buffered bytes; lines beyond it are dropped.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// Lines are gathered this long, so that many cost one call.
-const GATHER: Duration = Duration::from_millis(50);
+/// Delay before buffered lines are written, so that one call writes many.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a process that ends waits for its last lines.
-const LAST_LINES: Duration = Duration::from_millis(200);
+/// Limit of the time for which an ending process waits for its last lines.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The lines of this process's logger, once it is started.
-static STARTED: OnceLock<Arc<Waiting>> = OnceLock::new();
+/// The buffer of the process's logger, once it is started.
+static PROCESS_LOG: OnceLock<Arc<Buffer>> = OnceLock::new();
 
-/// Hands log lines to a thread that writes them, so that a reader that stands
-/// still costs lines and never holds a request up.
+/// Buffers log lines for a thread that writes them. If the reader of the log stops reading, lines
+/// are dropped and requests are not delayed.
 pub struct LogPipe {
-    waiting: Arc<Waiting>,
-    lost: Arc<AtomicU64>, // lines that found no room
+    buffer: Arc<Buffer>,
+    dropped: Arc<AtomicU64>, // lines, since the buffer was full
 }
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     lines: Mutex<Lines>,
     changed: Condvar,
 }
@@ -36,73 +36,75 @@
 #[derive(Default)]
 struct Lines {
     bytes: Vec<u8>,
-    writing: bool, // some are on their way out
+    writing: bool, // the thread is writing lines that it took from `bytes`
 }
 
 impl LogPipe {
-    /// Starts the thread that writes to `out`.
+    /// Starts a thread that writes the lines to `out`, until a write fails.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
-        let waiting = Arc::new(Waiting::default());
-        let gathered = waiting.clone();
+        let buffer = Arc::new(Buffer::default());
+        let shared = buffer.clone();
         thread::Builder::new()
             .name("log".to_owned())
             .stack_size(64 << 10)
-            .spawn(move || write_gathered(&gathered, out))?;
+            .spawn(move || write_batches(&shared, out))?;
         Ok(Self {
-            waiting,
-            lost: Arc::default(),
+            buffer,
+            dropped: Arc::default(),
         })
     }
 
-    /// The count of lines that found no room.
+    /// The number of lines that were dropped, since the buffer was full.
     pub fn lost(&self) -> Arc<AtomicU64> {
-        self.lost.clone()
+        self.dropped.clone()
     }
 
-    /// Lets [`flush_logs`] wait for this pipe's lines.
+    /// Makes [`flush_logs`] wait for this pipe's lines. Only the first call has an effect.
     pub fn is_the_process_log(&self) {
-        if STARTED.set(self.waiting.clone()).is_err() {
-            log::debug!("logging was started before");
+        if PROCESS_LOG.set(self.buffer.clone()).is_err() {
+            log::debug!("logging is already started");
         }
     }
 }
 
-/// Waits, within a bound, until the lines logged so far are written.
+/// Waits until the lines logged so far are written, but not longer than `FLUSH_TIMEOUT`.
 pub fn flush_logs() {
-    let Some(waiting) = STARTED.get() else { return };
-    let lines = waiting.lines.lock().expect("log lock");
-    let outcome = waiting
+    let Some(buffer) = PROCESS_LOG.get() else {
+        return;
+    };
+    let lines = buffer.lines.lock().expect("log lock");
+    let outcome = buffer
         .changed
-        .wait_timeout_while(lines, LAST_LINES, |lines| {
+        .wait_timeout_while(lines, FLUSH_TIMEOUT, |lines| {
             lines.writing || !lines.bytes.is_empty()
         });
     drop(outcome.expect("log lock"));
 }
 
-fn write_gathered(
-    waiting: &Waiting,
+fn write_batches(
+    buffer: &Buffer,
     mut out: impl Write,
 ) {
     loop {
-        let lines = waiting.lines.lock().expect("log lock");
-        let none_yet = |lines: &mut Lines| lines.bytes.is_empty();
+        let lines = buffer.lines.lock().expect("log lock");
+        let is_empty = |lines: &mut Lines| lines.bytes.is_empty();
         drop(
-            waiting
+            buffer
                 .changed
-                .wait_while(lines, none_yet)
+                .wait_while(lines, is_empty)
                 .expect("log lock"),
         );
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_DELAY);
         let bytes = {
-            let mut lines = waiting.lines.lock().expect("log lock");
+            let mut lines = buffer.lines.lock().expect("log lock");
             lines.writing = true;
             std::mem::take(&mut lines.bytes)
         };
         if out.write_all(&bytes).and_then(|()| out.flush()).is_err() {
             return;
         }
-        waiting.lines.lock().expect("log lock").writing = false;
-        waiting.changed.notify_all();
+        buffer.lines.lock().expect("log lock").writing = false;
+        buffer.changed.notify_all();
     }
 }
 
@@ -111,16 +113,16 @@
         &mut self,
         line: &[u8],
     ) -> io::Result<usize> {
-        let mut lines = self.waiting.lines.lock().expect("log lock");
-        if lines.bytes.len() + line.len() > WAITING_BYTES {
-            self.lost.fetch_add(1, Ordering::Relaxed);
+        let mut lines = self.buffer.lines.lock().expect("log lock");
+        if lines.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
         }
         let is_first = lines.bytes.is_empty();
         lines.bytes.extend_from_slice(line);
         drop(lines);
         if is_first && !line.is_empty() {
-            self.waiting.changed.notify_all();
+            self.buffer.changed.notify_all();
         }
         Ok(line.len())
     }
--- a/src/ops/metric_names.rs
+++ b/src/ops/metric_names.rs
@@ -1,77 +1,79 @@
-//! Names of the metrics, in one place so that the docs can list them.
+//! Names of all metrics of routers and sidecars, and what their labels mean.
 
 /// Requests from callers, by `code` and `ran`.
 pub const REQUESTS: &str = "archmast_requests_total";
-/// Requests that wait at a router.
+/// Requests that are queued at a router.
 pub const WAITING: &str = "archmast_waiting_requests";
-/// Requests in slots of a sidecar.
+/// Requests that a sidecar's upstream or, in the direct form, the replicas run for this process.
 pub const RUNNING: &str = "archmast_running_requests";
-/// Grants issued, by `outcome`.
+/// Grants, by `outcome`: `issued`, `declined`, `expired`.
 pub const GRANTS: &str = "archmast_grants_total";
-/// Control messages sent, in bytes, by `kind`.
+/// Bytes of control messages sent, by `kind` of message.
 pub const CONTROL_BYTES: &str = "archmast_control_bytes_total";
-/// Connections of callers that were handed on to another router.
+/// Connections of callers that were passed on to another router, which had CPU to spare.
 pub const HANDED_ON: &str = "archmast_connections_handed_on_total";
-/// Retries made, by `why`.
+/// Requests sent again, by `why` the attempt before failed.
 pub const RETRIES: &str = "archmast_retries_total";
 /// Revision of the configuration in force.
 pub const REVISION: &str = "archmast_revision";
 /// Calls to the platform's service, by `outcome`.
 pub const PLATFORM_CALLS: &str = "archmast_platform_calls_total";
-/// Time since the platform's store last answered this process, in seconds; -1 if it
-/// never did.
+/// Seconds since the store with the configuration and the upstreams last answered; -1 if it never
+/// did.
 pub const STORE_AGE: &str = "archmast_store_answer_age_seconds";
-/// Pauses of the process that made it drop its views.
+/// Suspensions of the process, after which it no longer relies on its state until it is confirmed.
 pub const PAUSES: &str = "archmast_pauses_total";
-/// Time to an answer's head or first event, in seconds, by `route`.
+/// Histogram of the seconds until an answer's head or first event, by `route`.
 pub const ANSWER_SECONDS: &str = "archmast_answer_seconds";
-/// Routers that were heard of lately.
+/// Routers that recently sent a report.
 pub const PEERS: &str = "archmast_peers";
-/// Prompt tokens of requests that were placed, by `kind`: `read`, `kept`,
-/// `fetched`.
+/// Prompt tokens of requests sent to replicas, by `kind`: `read` are computed there, `kept` are
+/// in the replica's prompt cache, `fetched` it fetches from another replica.
 pub const PROMPT_TOKENS: &str = "archmast_prompt_tokens_total";
-/// Accounts that asked of late, by `standing` to their share: `over`, `within`, `behind`.
+/// Accounts that recently sent requests, by `standing`, their usage against their fair share:
+/// `over`, `within`, or `behind` for far below.
 pub const ACCOUNTS: &str = "archmast_accounts";
-/// Tokens that are divided among accounts in a window of shares.
+/// Tokens that are divided among the accounts in one window of the fair shares.
 pub const SHARE_DIVIDED: &str = "archmast_share_divided_tokens";
-/// Tokens that each account may have of these; -1 where all get what they ask.
+/// Tokens of these that an account may use in a window; -1 if the capacity suffices for all.
 pub const SHARE_LEVEL: &str = "archmast_share_level_tokens";
-/// Replicas that are left alone for a time, by evidence.
+/// Replicas that get no requests for now, since requests failed there.
 pub const RESTING: &str = "archmast_resting_replicas";
-/// Replicas that are believed to take half as long again as their service's engines, or more.
+/// Replicas that are estimated to take at least 1.5 times as long as the other engines of their
+/// service.
 pub const SLOW_REPLICAS: &str = "archmast_slow_replicas";
-/// What replicas said of themselves in answers and was news, by what one `says`: `leaves`,
-/// `rests`.
+/// Notices of replicas about themselves, in answers, that were not known yet, by what one `says`:
+/// `leaves` for a replica that shuts down, `rests` for one that asks for a backoff.
 pub const NOTICES: &str = "archmast_replica_notices_total";
-/// Bytes that are held for callers: `what` is `answers` that they are slow to read, or
-/// `requests`.
+/// Bytes in memory, by `what`: `answers` that callers are slow to read, or bodies of `requests`.
 pub const HELD_BYTES: &str = "archmast_held_bytes";
-/// Answers that ended since their callers took nothing of them (code 48).
+/// Answers that were cut off since their callers did not read them (code 48).
 pub const UNREAD_ANSWERS: &str = "archmast_unread_answers_total";
-/// Replicas that this router follows to hear what they keep of prompts.
+/// Replicas whose prompt caches this router follows.
 pub const KEPT_FOLLOWED: &str = "archmast_kept_followed_replicas";
-/// Calls for that, by `outcome`: `answered`, `failed`.
+/// Calls for the cache events of these replicas, by `outcome`: `answered`, `failed`.
 pub const KEPT_CALLS: &str = "archmast_kept_calls_total";
-/// Events of parts of prompts, by `kind`: `heard`; of these `taken`, not believed to be
-/// kept before, and `given_up`, believed to be.
+/// Cache events of these replicas, by `kind`: `heard` are new ones; of these, `taken` add a cached
+/// part that was not known, and `given_up` evict one that was.
 pub const KEPT_EVENTS: &str = "archmast_kept_events_total";
-/// Streams that ended, by `how`: `whole`, `cut`, `left` by their caller.
+/// Event streams that ended, by `how`: `whole` for complete ones, `cut` for incomplete ones,
+/// `left` if the caller disconnected.
 pub const STREAMS: &str = "archmast_streams_total";
-/// Streams one of whose pauses came over the aim of their route, by `service`; each stream
-/// once at each replica.
+/// Event streams with a pause between two events above the target pause of their route, by
+/// `service`. A stream counts once for each replica that serves it.
 pub const BROKEN_PAUSES: &str = "archmast_broken_pauses_total";
-/// Requests that are held back, since replicas ended under them.
+/// Requests that are held back, since replicas crashed while they ran them.
 pub const HELD: &str = "archmast_held_requests";
-/// Messages of other routers that could not be read and were dropped, by `code`: those of
-/// a build that knows more than this one among them.
+/// Messages of other routers that could not be decoded and were dropped, by `code`. A newer build
+/// may send messages that this one does not know.
 pub const MESSAGES_REFUSED: &str = "archmast_messages_refused_total";
-/// Zones that get no new work, as the operator asked.
+/// Cordoned zones, whose replicas get no new requests, as the operator configured.
 pub const CORDONED: &str = "archmast_cordoned_zones";
-/// Of these, zones that have no replicas here.
+/// Cordoned zones in which this router knows no replicas; the name may be wrong.
 pub const CORDONS_UNKNOWN: &str = "archmast_cordoned_unknown_zones";
-/// What was read of the store and cannot be used, by `what`: `item`, `value`, `cordon`.
+/// Invalid items of the store that were ignored, by `what` is invalid: `item`, `value`, `cordon`.
 pub const UNREADABLE: &str = "archmast_unreadable_total";
-/// Entries of the store's list that name no upstream: known, not usable.
+/// Entries in the store's list of upstreams that are invalid and therefore not used.
 pub const UNUSABLE_ENTRIES: &str = "archmast_unusable_entries";
-/// 1 while the newest configuration that was heard of cannot be read.
+/// 1 if the last configuration received was invalid, else 0.
 pub const CONFIG_REFUSED: &str = "archmast_configuration_refused";
--- a/src/ops/mod.rs
+++ b/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: logs, metrics, audit trail, health and status.
+//! What operators see of a process: logs, metrics, audit trail, health and status.
 
 mod audit_entry;
 mod audit_trail;
--- a/src/ops/operator_port.rs
+++ b/src/ops/operator_port.rs
@@ -12,17 +12,17 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// What the operator port asks of its process.
+/// The process that an operator port serves.
 pub trait StatusSource: Send + Sync + 'static {
-    /// The process as it is now.
+    /// The current status.
     fn status(&self) -> ProcessStatus;
-    /// Whether it takes new work.
+    /// Whether the process takes new work.
     fn is_ready(&self) -> bool;
-    /// Its audit trail.
+    /// The audit trail.
     fn audit(&self) -> &AuditTrail;
 }
 
-/// The HTTP port for operators. It only reads.
+/// The HTTP port for operators. It is read-only.
 pub struct OperatorPort;
 
 type Source = Arc<dyn StatusSource>;
@@ -34,13 +34,13 @@
         source: Source,
     ) -> Result<(), rocket::Error> {
         let recorder = PrometheusBuilder::new()
-            .set_buckets(BUCKETS)
-            .expect("there are buckets")
+            .set_buckets(BUCKETS_SECONDS)
+            .expect("the list of buckets is not empty")
             .build_recorder();
         let handle = recorder.handle();
-        tokio::spawn(keep_up(handle.clone()));
+        tokio::spawn(run_upkeep(handle.clone()));
         if metrics::set_global_recorder(recorder).is_err() {
-            log::debug!("metrics were started before");
+            log::debug!("a metrics recorder is already installed");
         }
         rocket::custom(quiet_config(listen))
             .manage(source)
@@ -52,23 +52,24 @@
     }
 }
 
-/// Bounds of the buckets of histograms, in seconds.
-const BUCKETS: &[f64] = &[
+/// Upper bounds of histogram buckets.
+const BUCKETS_SECONDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0,
 ];
 
-/// How often samples of histograms are put into their buckets.
-const KEEP_UP_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which histogram samples are put into their buckets.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps samples from piling up where nobody reads the metrics.
-async fn keep_up(handle: PrometheusHandle) {
+/// Puts histogram samples into their buckets, so that memory stays bounded if nothing reads the
+/// metrics.
+async fn run_upkeep(handle: PrometheusHandle) {
     loop {
-        tokio::time::sleep(KEEP_UP_EVERY).await;
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
         handle.run_upkeep();
     }
 }
 
-/// Rocket's settings, with its own signal handling off.
+/// Rocket's settings for one worker thread, with its logs and its signal handling off.
 pub fn quiet_config(listen: SocketAddr) -> Config {
     Config {
         address: listen.ip(),
--- a/src/ops/process_status.rs
+++ b/src/ops/process_status.rs
@@ -8,7 +8,7 @@
     std::collections::BTreeMap,
 };
 
-/// What a process says of itself on its operator port.
+/// The status that a process reports on its operator port.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ProcessStatus {
     pub host: String,
@@ -22,15 +22,15 @@
     pub revision: Option<Revision>, // of the configuration in force
     pub digest: String,
     pub peers: Vec<PeerStatus>,
-    pub waiting: u64, // requests: here at a router, announced at a sidecar
+    pub waiting: u64, // requests: queued at a router, announced to a sidecar
     pub running: u64,
     pub slots: u32,                           // 0 at a router
-    pub busy_slot_ms: u64,                    // sum over slots, since the start
-    pub contended_ms: u64,                    // time while work waited
-    pub contended_busy_slot_ms: u64,          // busy slot time while work waited
-    pub kept_accounts: u64,                   // whose fleet totals are summed here
+    pub busy_slot_ms: u64,                    // sum over all slots, since the start
+    pub contended_ms: u64,                    // time during which requests waited
+    pub contended_busy_slot_ms: u64,          // busy slot time during that time
+    pub kept_accounts: u64, // accounts for which this router sums the service of the fleet
     pub control_bytes: BTreeMap<String, u64>, // sent, by kind of message
-    pub link_bytes: u64,                      // sent on all connections, with requests
+    pub link_bytes: u64,    // sent on all connections, including requests
     pub accounts: Vec<AccountStatus>,
     #[serde(default)]
     pub held: Vec<HeldStatus>, // requests that are held back
@@ -48,7 +48,7 @@
 }
 
 impl PeerStatus {
-    /// Every connected peer of a process.
+    /// The connected peers of a process, sorted by host.
     pub fn of_link<H: LinkHandler>(link: &Link<H>) -> Vec<Self> {
         let mut peers: Vec<Self> = [HostRole::Router, HostRole::Sidecar]
             .into_iter()
@@ -70,17 +70,17 @@
 pub struct AccountStatus {
     pub account: String,
     pub share: f64,
-    pub own: f64,     // service units given here; 0 at a router
-    pub total: f64,   // service units given by the fleet, as known here
+    pub own: f64,     // service units given by this sidecar; 0 at a router
+    pub total: f64,   // service units given by the fleet, as far as known here
     pub waiting: u64, // requests
 }
 
-/// A request that is held back, as a router sees it.
+/// A request that a router holds back, since replicas crashed while they ran it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldStatus {
-    pub request: String, // its digest
-    pub account: String, // name, or short name where this router's configuration has none
-    pub ends: usize,     // replicas that ended under it, one after the other
-    pub since_ms: u64,   // the last of these, ago
-    pub left_ms: u64,
+    pub request: String, // digest
+    pub account: String, // name, or its hash if the router's configuration does not have the account
+    pub ends: usize,     // replicas that crashed while they ran it, one after another
+    pub since_ms: u64,   // since the last crash
+    pub left_ms: u64,    // until it is no longer held back
 }
--- a/src/ops/uptime.rs
+++ b/src/ops/uptime.rs
@@ -4,42 +4,42 @@
     std::time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// The process's clock: the source of every [`Moment`]. It counts the time for which the
-/// machine is suspended, so that what is known is as old as it is; timers, which only
-/// wait, do not.
+/// The monotonic clock of a process and the source of each [`Moment`]. It includes the time for
+/// which the machine is suspended, so that the age of data is right after a suspension. Timers
+/// run by another clock, which does not include that time.
 #[derive(Debug, Clone, Copy)]
 pub struct Uptime {
-    started: Duration, // since the machine's start
+    started: Duration, // time since boot
 }
 
 impl Uptime {
-    /// Starts at zero.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self {
             started: since_boot(),
         }
     }
 
-    /// Time since the start, by a clock that goes on while the process is stopped or its
-    /// machine suspended, and never goes back.
+    /// Time since the start. Also advances while the process is stopped or its machine is
+    /// suspended, and never goes back.
     pub fn now(&self) -> Moment {
         since_boot().saturating_sub(self.started)
     }
 
-    /// Milliseconds of the wall clock.
+    /// Unix time in milliseconds, by the wall clock.
     pub fn unix_millis() -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |time| time.as_millis() as u64)
     }
 
-    /// A new life of a process.
+    /// Creates the incarnation of a process that has just started.
     pub fn new_incarnation() -> Incarnation {
         Incarnation::new(Self::unix_millis(), rand::random())
     }
 }
 
-/// Time since the machine's start, with that for which it was suspended.
+/// Time since the machine's boot, including the time for which it was suspended.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
