--- a/src/bin/archmast-keys/main.rs
+++ b/src/bin/archmast-keys/main.rs
@@ -1,4 +1,4 @@
-//! Makes the fleet's authority and its processes' keys.
+//! Creates the fleet's certificate authority, and keys for processes and client accounts.
 
 use std::process::ExitCode;
 
--- a/src/bin/archmast-router/main.rs
+++ b/src/bin/archmast-router/main.rs
@@ -1,5 +1,5 @@
-//! The router process. With `--direct` it carries requests to the replicas
-//! itself; without, to the sidecars beside them.
+//! The router process. With `--direct` it sends requests to the replicas itself; without it, to the
+//! sidecars beside the upstreams.
 
 use {archmast::node::DIRECT_FLAG, std::process::ExitCode};
 
--- a/src/bin/archmastctl/main.rs
+++ b/src/bin/archmastctl/main.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! The operators' command for status, configuration checks and collected logs.
 
 use std::process::ExitCode;
 
--- a/src/ctl/audit.rs
+++ b/src/ctl/audit.rs
@@ -8,7 +8,8 @@
     getopts::Matches,
 };
 
-/// Every process's changes, by time, or by revision when one is asked for.
+/// The audit trails of all processes, merged by time, with `--revision` only the entries about that
+/// revision.
 pub async fn audit(
     reader: &FleetReader,
     matches: &Matches,
--- a/src/ctl/check.rs
+++ b/src/ctl/check.rs
@@ -17,8 +17,8 @@
     bytes: usize,
 }
 
-/// Validates a configuration as the processes do. `files` are the value to
-/// publish and, if that is a manifest, its parts.
+/// Validates a configuration as routers and sidecars do. `files` are the value to publish and, if
+/// that is a manifest, its parts.
 pub fn check(
     files: &[String],
     as_json: bool,
@@ -40,7 +40,7 @@
     ))
 }
 
-/// Reads and validates a configuration: codes 10 to 24.
+/// Reads and validates a configuration; fails with codes 10 to 24.
 pub fn read_config(files: &[String]) -> Result<VersionedConfig, CtlError> {
     let (root, parts) = files
         .split_first()
@@ -55,11 +55,11 @@
         error.file = error.file.replace("revision 0", &files[0]);
         CtlError::from(error)
     })?;
-    refuse_empty(&config.config)?;
+    reject_unusable(&config.config)?;
     Ok(config)
 }
 
-fn refuse_empty(config: &FleetConfig) -> Result<(), CtlError> {
+fn reject_unusable(config: &FleetConfig) -> Result<(), CtlError> {
     if config.groups.is_empty() || config.accounts.is_empty() {
         return Err(CtlError::new(
             ResultCode::MissingKey,
--- a/src/ctl/command.rs
+++ b/src/ctl/command.rs
@@ -8,7 +8,7 @@
     std::process::ExitCode,
 };
 
-const BRIEF: &str = "\
+const USAGE: &str = "\
 archmastctl COMMAND [OPTIONS]
 
 Commands, which only read:
@@ -22,11 +22,11 @@
   timeline FILE...       what they say of a moment (--at, --around, --only), by time
   codes                  the result codes";
 
-/// The command line: 0 when all went well, else the result code's number.
+/// The command `archmastctl`. The exit code is 0 on success, else the number of a result code.
 pub fn main() -> ExitCode {
     install_crypto();
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match run(&words) {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match run(&arguments) {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
@@ -39,27 +39,28 @@
     }
 }
 
-/// Output, and with an error what could be said all the same.
+/// The output, or an error with the partial output.
 type Outcome = Result<String, (String, CtlError)>;
 
-fn run(words: &[String]) -> Outcome {
+fn run(arguments: &[String]) -> Outcome {
     let options = options();
     let matches = options
-        .parse(words)
+        .parse(arguments)
         .map_err(|error| (String::new(), CtlError::usage(error)))?;
     if matches.opt_present("help") {
-        return Ok(options.usage(BRIEF) + "\n");
+        return Ok(options.usage(USAGE) + "\n");
     }
     if matches.opt_present("version") {
         return Ok(format!("archmastctl {}\n", env!("CARGO_PKG_VERSION")));
     }
     let json = matches.opt_present("json");
-    let plain = |outcome: Result<String, CtlError>| outcome.map_err(|e| (String::new(), e));
+    let without_output =
+        |outcome: Result<String, CtlError>| outcome.map_err(|e| (String::new(), e));
     match matches.free.first().map(String::as_str) {
-        Some("check") => plain(check(&matches.free[1..], json)),
-        Some("explain") => plain(explain(&matches, json)),
-        Some("trace") => plain(trace(&matches.free[1..], json)),
-        Some("timeline") => plain(timeline(&matches, json)),
+        Some("check") => without_output(check(&matches.free[1..], json)),
+        Some("explain") => without_output(explain(&matches, json)),
+        Some("trace") => without_output(trace(&matches.free[1..], json)),
+        Some("timeline") => without_output(timeline(&matches, json)),
         Some("codes") => Ok(codes()),
         Some("status") => with_fleet(&matches, async |reader: &FleetReader| {
             status(reader, json).await
@@ -73,8 +74,8 @@
         Some("audit") => with_fleet(&matches, async |reader: &FleetReader| {
             audit(reader, &matches, json).await
         }),
-        Some(other) => plain(Err(CtlError::usage(format!("no command {other}")))),
-        None => plain(Err(CtlError::usage("a command is required; see --help"))),
+        Some(other) => without_output(Err(CtlError::usage(format!("no command {other}")))),
+        None => without_output(Err(CtlError::usage("a command is required; see --help"))),
     }
 }
 
--- a/src/ctl/errors.rs
+++ b/src/ctl/errors.rs
@@ -6,7 +6,7 @@
     std::fmt,
 };
 
-/// Why a command failed. Its code is the exit code.
+/// A command failed. The number of the code is the exit code.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CtlError {
     pub code: ResultCode,
@@ -14,7 +14,7 @@
 }
 
 impl CtlError {
-    /// An error with this code.
+    /// Creates an error with a description.
     pub fn new(
         code: ResultCode,
         detail: impl fmt::Display,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A wrong command line.
+    /// Creates an error about the command line: code 90.
     pub fn usage(detail: impl fmt::Display) -> Self {
         Self::new(ResultCode::Usage, detail)
     }
--- a/src/ctl/explain.rs
+++ b/src/ctl/explain.rs
@@ -25,13 +25,13 @@
     class: String,
     patience_ms: u64,
     share: f64,
-    labels: BTreeMap<String, String>, // that rules select by
-    rules: Vec<String>,               // that select the request
-    upstreams: Vec<String>,           // that may serve it
-    excluded: Vec<(String, String)>,  // host and what leaves it out
+    labels: BTreeMap<String, String>, // of the request, by which rules select it
+    rules: Vec<String>,               // names of those that select the request
+    upstreams: Vec<String>,           // hosts that may serve it
+    excluded: Vec<(String, String)>,  // other hosts, with the reason
 }
 
-/// Says where a request may run, by which rules, and its account's share.
+/// Shows on which hosts a request may run, by which rules, and its account's share.
 pub fn explain(
     matches: &Matches,
     as_json: bool,
@@ -154,17 +154,17 @@
         labels.join(", "),
         or_none(&explanation.rules),
     );
-    let may = explanation
+    let serving = explanation
         .upstreams
         .iter()
         .map(|host| vec![host.clone(), "yes".to_owned(), String::new()]);
-    let may_not = explanation
+    let excluded = explanation
         .excluded
         .iter()
         .map(|(host, rule)| vec![host.clone(), "no".to_owned(), rule.clone()]);
     text.push_str(&table(
         &["upstream", "may serve", "excluded by"],
-        may.chain(may_not),
+        serving.chain(excluded),
     ));
     text
 }
--- a/src/ctl/fleet_reader.rs
+++ b/src/ctl/fleet_reader.rs
@@ -13,53 +13,54 @@
     std::{cell::RefCell, fs, time::Duration},
 };
 
-/// How long a process may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(3);
+/// Time-out of a call to an operator port.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks every process of a fleet, and notes which did not answer.
+/// Calls the operator ports of all processes of a fleet, and collects the hosts that did not answer.
 pub struct FleetReader {
     hosts: HostList,
     http: Client,
-    silent: RefCell<Vec<String>>,
+    unreachable_hosts: RefCell<Vec<String>>,
 }
 
 impl FleetReader {
-    /// Reads the host list, from the platform or a file: codes 10, 80 and 90.
+    /// Reads the host list from the platform or a file; fails with codes 10, 80 to 82, 90, 93 and
+    /// 94.
     pub async fn connect(matches: &Matches) -> Result<Self, CtlError> {
         Ok(Self {
             hosts: read_hosts(matches).await?,
             http: Client::builder()
                 .no_proxy()
-                .timeout(TIMEOUT)
+                .timeout(CALL_TIMEOUT)
                 .build()
                 .map_err(|error| CtlError::new(ResultCode::StartFailed, error))?,
-            silent: RefCell::default(),
+            unreachable_hosts: RefCell::default(),
         })
     }
 
-    /// What each process that answers says of itself.
+    /// The statuses of the processes that answer.
     pub async fn statuses(&self) -> Vec<ProcessStatus> {
         self.ask_all("status").await
     }
 
-    /// The audit trails of the processes that answer, one list.
+    /// The entries of the audit trails of the processes that answer.
     pub async fn audits(&self) -> Vec<AuditEntry> {
         let trails: Vec<Vec<AuditEntry>> = self.ask_all("audit").await;
         trails.into_iter().flatten().collect()
     }
 
-    /// The hosts that did not answer, if any.
+    /// A text that names the hosts that did not answer; `None` if all did.
     pub fn unreachable(&self) -> Option<String> {
-        let silent = self.silent.borrow();
-        (!silent.is_empty()).then(|| format!("no answer from {}", silent.join(", ")))
+        let hosts = self.unreachable_hosts.borrow();
+        (!hosts.is_empty()).then(|| format!("no answer from {}", hosts.join(", ")))
     }
 
     async fn ask_all<T: DeserializeOwned>(
         &self,
         page: &str,
     ) -> Vec<T> {
-        let asked = self.hosts.hosts.iter().map(|host| self.ask(host, page));
-        join_all(asked).await.into_iter().flatten().collect()
+        let calls = self.hosts.hosts.iter().map(|host| self.ask(host, page));
+        join_all(calls).await.into_iter().flatten().collect()
     }
 
     async fn ask<T: DeserializeOwned>(
@@ -73,26 +74,26 @@
             Ok(answer) => Some(answer),
             Err(error) => {
                 log::debug!("{}: {error}", host.name);
-                self.silent.borrow_mut().push(host.name.clone());
+                self.unreachable_hosts.borrow_mut().push(host.name.clone());
                 None
             }
         }
     }
 }
 
-/// Reads the host list that the options name.
+/// Reads the host list from the file of `--hosts`, or from the platform.
 pub async fn read_hosts(matches: &Matches) -> Result<HostList, CtlError> {
     let text = if let Some(file) = matches.opt_str("hosts") {
         fs::read_to_string(&file).map_err(|error| {
             CtlError::new(ResultCode::SettingsFileMissing, format!("{file}: {error}"))
         })?
     } else {
-        watched_hosts(matches).await?
+        published_hosts(matches).await?
     };
     serde_json::from_str(&text).map_err(|error| CtlError::new(ResultCode::PlatformReply, error))
 }
 
-async fn watched_hosts(matches: &Matches) -> Result<String, CtlError> {
+async fn published_hosts(matches: &Matches) -> Result<String, CtlError> {
     let address = matches
         .opt_str("platform")
         .ok_or_else(|| CtlError::usage("--platform or --hosts is required"))?
--- a/src/ctl/held.rs
+++ b/src/ctl/held.rs
@@ -9,20 +9,20 @@
     std::collections::BTreeMap,
 };
 
-/// A request that is held back, and by whom.
+/// A request that is held back, and the routers that hold it back.
 #[derive(Debug, Serialize)]
 struct HeldBack {
     #[serde(flatten)]
-    held: HeldStatus, // as the router says that knows of the most ends
+    held: HeldStatus, // from the router that knows of the most crashes
     routers: Vec<String>,
 }
 
-/// Requests under which replicas ended and that are held back, the fleet over.
+/// The requests that routers hold back, since replicas crashed while they ran them.
 pub async fn held(
     reader: &FleetReader,
     as_json: bool,
 ) -> Result<String, CtlError> {
-    let held = gather(reader.statuses().await);
+    let held = merge(reader.statuses().await);
     if as_json {
         return Ok(json(&held));
     }
@@ -47,7 +47,7 @@
     Ok(table(&head, rows))
 }
 
-fn gather(statuses: Vec<ProcessStatus>) -> Vec<HeldBack> {
+fn merge(statuses: Vec<ProcessStatus>) -> Vec<HeldBack> {
     let mut by_request: BTreeMap<String, HeldBack> = BTreeMap::new();
     for status in statuses {
         for held in status.held {
--- a/src/ctl/log_lines.rs
+++ b/src/ctl/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of collected logs: reading them, and showing them to people.
+//! Reads collected logs, and shows their lines as a table.
 
 use {
     super::{CtlError, output::table},
@@ -6,11 +6,12 @@
     serde_json::{Map, Value},
 };
 
-/// One line, by the names of its fields.
+/// The fields of one line, by name.
 pub type LogLine = Map<String, Value>;
 
-/// Fields that have a column of their own, or say nothing of what happened.
-const OWN_COLUMNS: &[&str] = &[
+/// Fields that are not shown in the last column: they have a column of their own, or say nothing
+/// about the event.
+const NOT_LISTED: &[&str] = &[
     "unix_ms",
     "host",
     "message",
@@ -20,8 +21,8 @@
     "code",
 ];
 
-/// The lines of these files that `wanted` picks by their text, and that are JSON: code
-/// 10. They may have something before the JSON.
+/// Reads the lines of these files whose text `wanted` accepts; fails with code 10. Anything before
+/// the JSON in a line is skipped, and so are lines without JSON.
 pub fn read_lines(
     files: &[String],
     wanted: impl Fn(&str) -> bool,
@@ -37,12 +38,12 @@
     Ok(lines)
 }
 
-/// When a line was written, in milliseconds of the unix clock; none if it does not say.
-pub fn written(line: &LogLine) -> Option<u64> {
+/// When a line was logged, in milliseconds of Unix time; `None` if it has no time.
+pub fn logged_at(line: &LogLine) -> Option<u64> {
     line.get("unix_ms").and_then(Value::as_u64)
 }
 
-/// The lines as a table.
+/// Formats the lines as a table.
 pub fn line_table(lines: &[LogLine]) -> String {
     let head = ["unix ms", "host", "what", "code", "with"];
     table(&head, lines.iter().map(row))
@@ -54,9 +55,9 @@
 }
 
 fn row(line: &LogLine) -> Vec<String> {
-    let with: Vec<String> = line
+    let other_fields: Vec<String> = line
         .iter()
-        .filter(|(name, _)| !OWN_COLUMNS.contains(&name.as_str()))
+        .filter(|(name, _)| !NOT_LISTED.contains(&name.as_str()))
         .map(|(name, value)| format!("{name}={}", text(Some(value))))
         .filter(|pair| !pair.ends_with('='))
         .collect();
@@ -65,7 +66,7 @@
         text(line.get("host")),
         text(line.get("message")),
         text(line.get("code")),
-        with.join(" "),
+        other_fields.join(" "),
     ]
 }
 
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's command line. It only reads.
+//! The operators' command `archmastctl`, which is read-only.
 
 mod audit;
 mod check;
--- a/src/ctl/output.rs
+++ b/src/ctl/output.rs
@@ -3,7 +3,7 @@
     serde::Serialize,
 };
 
-/// A table for people: a head and rows of words.
+/// Formats a table with a header, for people.
 pub fn table(
     head: &[&str],
     rows: impl IntoIterator<Item = Vec<String>>,
@@ -16,7 +16,7 @@
     format!("{table}\n")
 }
 
-/// The same for machines.
+/// Formats a value as JSON, for programs.
 pub fn json<T: Serialize>(value: &T) -> String {
     serde_json::to_string_pretty(value).unwrap_or_default() + "\n"
 }
--- a/src/ctl/shares.rs
+++ b/src/ctl/shares.rs
@@ -13,12 +13,12 @@
 struct AccountShares {
     account: String,
     share: f64,
-    service: f64,   // units, by the sidecars' present lives
+    service: f64,   // service units that the sidecars gave since they started
     per_share: f64, // service units
     waiting: u64,   // requests at routers
 }
 
-/// Service by share of each account, summed over the fleet.
+/// The service of each account in the whole fleet, divided by its share.
 pub async fn shares(
     reader: &FleetReader,
     as_json: bool,
--- a/src/ctl/status.rs
+++ b/src/ctl/status.rs
@@ -8,7 +8,7 @@
     std::collections::BTreeMap,
 };
 
-/// Every process in a row.
+/// A table of all processes, and the cordoned zones.
 pub async fn status(
     reader: &FleetReader,
     as_json: bool,
@@ -36,13 +36,13 @@
     Ok(table(&head, statuses.iter().map(row)) + &cordons(&statuses))
 }
 
-/// A line for each cordoned zone, with how many processes know of it.
+/// A line for each cordoned zone, with the number of processes that report it.
 fn cordons(statuses: &[ProcessStatus]) -> String {
-    let mut knowing: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut reporting: BTreeMap<&str, usize> = BTreeMap::new();
     for zone in statuses.iter().flat_map(|status| &status.cordoned) {
-        *knowing.entry(zone).or_default() += 1;
+        *reporting.entry(zone).or_default() += 1;
     }
-    let lines = knowing.iter().map(|(zone, count)| {
+    let lines = reporting.iter().map(|(zone, count)| {
         format!("zone {zone} is cordoned: it gets no new work (known to {count} processes)\n")
     });
     lines.collect()
@@ -63,7 +63,7 @@
         status.waiting.to_string(),
         status.running.to_string(),
         status.slots.to_string(),
-        used(status),
+        utilisation(status),
         format!("{:.0}", control as f64 / seconds.max(0.001)),
     ]
 }
@@ -76,8 +76,8 @@
     }
 }
 
-/// Busy slot time by slot time while work waited, or over all if none did.
-fn used(status: &ProcessStatus) -> String {
+/// Fraction of the slots' time that was used while requests waited; of all time if none waited.
+fn utilisation(status: &ProcessStatus) -> String {
     if status.slots == 0 {
         return String::new();
     }
--- a/src/ctl/timeline.rs
+++ b/src/ctl/timeline.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         CtlError,
-        log_lines::{line_table, read_lines, written},
+        log_lines::{line_table, logged_at, read_lines},
         output::json,
     },
     crate::codes::ResultCode,
@@ -9,11 +9,11 @@
     std::time::Duration,
 };
 
-/// What is shown on each side of the moment unless `--around` says otherwise.
-const AROUND: Duration = Duration::from_secs(2);
+/// Time shown before and after the moment, unless `--around` sets it.
+const DEFAULT_AROUND: Duration = Duration::from_secs(2);
 
-/// What collected logs say of one moment: all lines of all processes around it, by
-/// time. `--only TEXT` leaves those that hold a text, as the id of an upstream.
+/// Shows the lines of collected logs around a moment, of all processes, by time. `--only TEXT`
+/// selects the lines that contain a text, as the id of an upstream.
 pub fn timeline(
     matches: &Matches,
     as_json: bool,
@@ -25,11 +25,11 @@
             "timeline takes --at, a moment in milliseconds of the unix clock, and log files";
         return Err(CtlError::usage(usage));
     };
-    let around = number(matches, "around")?.map_or(AROUND, Duration::from_secs);
+    let around = number(matches, "around")?.map_or(DEFAULT_AROUND, Duration::from_secs);
     let around = around.as_millis() as u64;
     let only = matches.opt_str("only").unwrap_or_default();
     let mut lines = read_lines(files, |line| line.contains(&only))?;
-    lines.retain(|line| written(line).is_some_and(|moment| moment.abs_diff(at) <= around));
+    lines.retain(|line| logged_at(line).is_some_and(|moment| moment.abs_diff(at) <= around));
     if lines.is_empty() {
         let detail = format!(
             "no line within {around} ms of {at} in {} files",
@@ -37,7 +37,7 @@
         );
         return Err(CtlError::new(ResultCode::NothingFound, detail));
     }
-    lines.sort_by_key(written);
+    lines.sort_by_key(logged_at);
     Ok(if as_json {
         json(&lines)
     } else {
--- a/src/ctl/trace.rs
+++ b/src/ctl/trace.rs
@@ -1,20 +1,23 @@
 use {
     super::{
         CtlError,
-        log_lines::{LogLine, line_table, read_lines, written},
+        log_lines::{LogLine, line_table, logged_at, read_lines},
         output::json,
     },
     crate::codes::ResultCode,
     serde_json::Value,
 };
 
-/// What collected logs say of one request: its lines from every process, by
-/// time, and what their codes mean.
+/// Shows the lines of collected logs about one request, of all processes, by time, and explains
+/// their result codes.
 pub fn trace(
-    words: &[String],
+    arguments: &[String],
     as_json: bool,
 ) -> Result<String, CtlError> {
-    let Some((id, files)) = words.split_first().filter(|(_, files)| !files.is_empty()) else {
+    let Some((id, files)) = arguments
+        .split_first()
+        .filter(|(_, files)| !files.is_empty())
+    else {
         return Err(CtlError::usage("trace takes a request's id and log files"));
     };
     let mut lines = read_lines(files, |line| line.contains(id.as_str()))?;
@@ -23,15 +26,15 @@
         let detail = format!("no line about {id} in {} files", files.len());
         return Err(CtlError::new(ResultCode::NothingFound, detail));
     }
-    lines.sort_by_key(written);
+    lines.sort_by_key(logged_at);
     if as_json {
         return Ok(json(&lines));
     }
-    Ok(line_table(&lines) + &meanings(&lines))
+    Ok(line_table(&lines) + &explain_codes(&lines))
 }
 
-/// What the codes in these lines mean, each once.
-fn meanings(lines: &[LogLine]) -> String {
+/// Explains the result codes in these lines, each once.
+fn explain_codes(lines: &[LogLine]) -> String {
     let mut codes: Vec<u64> = lines
         .iter()
         .filter_map(|line| line.get("code")?.as_u64())
--- a/src/fleet/account_id.rs
+++ b/src/fleet/account_id.rs
@@ -4,15 +4,15 @@
     std::fmt,
 };
 
-/// A client account between processes: the first eight bytes of its name's
-/// SHA-256, so that every process derives the same number without agreement.
+/// Identifies a client account in messages between processes: the first eight bytes of the SHA-256
+/// of its name, so that all processes derive the same number.
 ///
-/// The validator refuses two names with one number.
+/// A configuration with two names that have the same number is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AccountId(pub u64);
 
 impl AccountId {
-    /// The identifier of the account with this name.
+    /// The identifier of an account, from its name.
     pub fn of_name(name: &str) -> Self {
         let digest = digest::digest(&digest::SHA256, name.as_bytes());
         let mut first = [0; 8];
--- a/src/fleet/class.rs
+++ b/src/fleet/class.rs
@@ -1,8 +1,8 @@
 use std::time::Duration;
 
-/// A class of patience.
+/// A class of requests that may wait for the same time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Class {
     pub name: String,
-    pub patience: Duration, // from arrival to the answer's start
+    pub patience: Duration, // longest time from arrival to the answer's start
 }
--- a/src/fleet/fleet_config.rs
+++ b/src/fleet/fleet_config.rs
@@ -13,16 +13,16 @@
     pub classes: Vec<Class>,
     pub groups: Vec<Group>,
     pub rules: Vec<Rule>,
-    pub zones: HashMap<String, Labels>, // labels of each availability zone
-    pub cordoned: HashSet<String>,      // availability zones that get no new work
-    pub hosts: HashMap<String, Labels>, // labels of each host
+    pub zones: HashMap<String, Labels>, // labels, by availability zone
+    pub cordoned: HashSet<String>,      // availability zones that get no new requests
+    pub hosts: HashMap<String, Labels>, // labels, by host
     pub by_key: HashMap<KeyDigest, usize>, // index into `accounts`
     pub by_id: HashMap<AccountId, usize>, // index into `accounts`
-    pub shares: Vec<f64>,               // in force, by index into `accounts`
+    pub shares: Vec<f64>,               // after the rules, by index into `accounts`
 }
 
 impl FleetConfig {
-    /// The account that a caller's key belongs to.
+    /// The account of a caller's API key.
     pub fn account_of_key(
         &self,
         key: &str,
@@ -39,7 +39,7 @@
         self.by_id.get(&id).map(|index| &self.accounts[*index])
     }
 
-    /// The share in force for an account, after the rules.
+    /// The share of an account, after the rules.
     pub fn share(
         &self,
         id: AccountId,
@@ -55,7 +55,7 @@
         self.groups.iter().find(|group| group.serves_model(model))
     }
 
-    /// The group with the longest prefix of a path.
+    /// The plain group whose path prefix matches a path; of several, the one with the longest.
     pub fn group_of_path(
         &self,
         path: &str,
@@ -83,7 +83,8 @@
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// The class of an account's requests, after the rules that select `labels`.
+    /// The class of an account's request with these labels: that of the last rule that selects
+    /// the request and names a class, else the account's.
     pub fn class_of(
         &self,
         account: &Account,
@@ -98,7 +99,7 @@
         &self.classes[by_rule.unwrap_or(account.class)]
     }
 
-    /// The labels of a host: its zone's, then its own, then `host` and `zone`.
+    /// The labels of a host: its zone's, overridden by its own, and these by `host` and `zone`.
     pub fn host_labels(
         &self,
         host: &str,
@@ -113,7 +114,7 @@
         labels
     }
 
-    /// Which of these hosts may serve a request, and which rule excludes others.
+    /// Finds which of these hosts may serve a request, and what excludes the others of the group.
     pub fn place<'h>(
         &self,
         group: &Group,
@@ -134,15 +135,15 @@
             if !group.hosts.matches(&labels) {
                 continue;
             }
-            let by_rule = rules.iter().find(|rule| !rule.hosts.matches(&labels));
-            let by = match by_rule {
+            let excluding_rule = rules.iter().find(|rule| !rule.hosts.matches(&labels));
+            let excluded_by = match excluding_rule {
                 Some(rule) => Some(ExcludedBy::Rule(rule.name.clone())),
                 None => self
                     .cordoned
                     .contains(&host.zone)
                     .then_some(ExcludedBy::Cordon),
             };
-            match by {
+            match excluded_by {
                 None => placement.hosts.push(host.name.clone()),
                 Some(by) => placement.excluded.push(Exclusion {
                     host: host.name.clone(),
@@ -154,7 +155,7 @@
         placement
     }
 
-    /// Whether one host may serve a request: the sidecar's own check.
+    /// Whether a host may serve a request. A sidecar checks this for its own host.
     pub fn admits(
         &self,
         group: &Group,
--- a/src/fleet/fleet_parser.rs
+++ b/src/fleet/fleet_parser.rs
@@ -13,20 +13,21 @@
     },
 };
 
-const SHARES: RangeInclusive<f64> = 0.000_001..=1_000_000.0;
-const WEIGHTS: RangeInclusive<f64> = 0.0..=1_000_000.0;
-const PATIENCE: RangeInclusive<Duration> = Duration::from_millis(1)..=Duration::from_secs(86_400);
+const SHARE_RANGE: RangeInclusive<f64> = 0.000_001..=1_000_000.0;
+const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=1_000_000.0;
+const PATIENCE_RANGE: RangeInclusive<Duration> =
+    Duration::from_millis(1)..=Duration::from_secs(86_400);
 
-/// Validates a configuration made of one or more documents: codes 11 to 24.
+/// Parses and validates a configuration of one or more documents; fails with codes 11 to 24.
 ///
-/// Classes are read first, so sections may stand in any order and any part.
-/// `documents` are parsed one at a time, and once for each pass: all of them
-/// at once would hold several times the configuration's own size in memory.
+/// Classes are read in a first pass, so that sections may be in any order and in any document.
+/// `documents` are parsed one after another in each pass: all together would take several times
+/// the memory of the configuration's text.
 pub fn parse_fleet<'d>(
     documents: impl Iterator<Item = Result<IniDocument, ConfError>> + Clone + 'd
 ) -> Result<FleetConfig, ConfError> {
     let mut parser = FleetParser::default();
-    for pass in [Pass::Classes, Pass::Rest] {
+    for pass in [Pass::Classes, Pass::OtherSections] {
         for document in documents.clone() {
             let document = document?;
             for section in &document.sections {
@@ -37,7 +38,7 @@
     Ok(parser.finish())
 }
 
-/// Validates a configuration that is one document.
+/// Parses and validates a configuration of one document.
 pub fn parse_document(document: &IniDocument) -> Result<FleetConfig, ConfError> {
     parse_fleet(std::iter::once_with(|| Ok(document.clone())))
 }
@@ -45,14 +46,14 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Pass {
     Classes,
-    Rest,
+    OtherSections,
 }
 
 #[derive(Default)]
 struct FleetParser {
     config: FleetConfig,
     classes: HashMap<String, usize>, // index into `config.classes`
-    names: HashSet<String>,          // section names of all documents
+    names: HashSet<String>,          // of the sections read so far, in all documents
 }
 
 impl FleetParser {
@@ -110,7 +111,7 @@
             .insert(name.to_owned(), self.config.classes.len());
         self.config.classes.push(Class {
             name: name.to_owned(),
-            patience: reader.duration("patience", PATIENCE)?,
+            patience: reader.duration("patience", PATIENCE_RANGE)?,
         });
         Ok(())
     }
@@ -127,12 +128,12 @@
                     .into_iter()
                     .map(str::to_owned)
                     .collect(),
-                prompt_weight: reader.number("prompt_weight", WEIGHTS)?,
-                generated_weight: reader.number("generated_weight", WEIGHTS)?,
+                prompt_weight: reader.number("prompt_weight", WEIGHT_RANGE)?,
+                generated_weight: reader.number("generated_weight", WEIGHT_RANGE)?,
             },
             "plain" => GroupKind::Plain {
                 prefix: prefix(reader)?,
-                second_weight: reader.number("second_weight", WEIGHTS)?,
+                second_weight: reader.number("second_weight", WEIGHT_RANGE)?,
             },
             other => {
                 return Err(reader.fault(
@@ -194,7 +195,7 @@
             id,
             name: name.to_owned(),
             keys,
-            share: reader.number("share", SHARES)?,
+            share: reader.number("share", SHARE_RANGE)?,
             class: self.class_index(reader, reader.text("class")?)?,
             labels: labels(reader)?,
         });
@@ -207,7 +208,7 @@
         name: &str,
     ) -> Result<(), ConfError> {
         let share = match reader.optional("share") {
-            Some(_) => Some(reader.number("share", SHARES)?),
+            Some(_) => Some(reader.number("share", SHARE_RANGE)?),
             None => None,
         };
         let class = match reader.optional("class") {
@@ -243,13 +244,13 @@
         config.shares = config
             .accounts
             .iter()
-            .map(|account| share_in_force(account, &config.rules))
+            .map(|account| share_by_rules(account, &config.rules))
             .collect();
         config
     }
 }
 
-fn share_in_force(
+fn share_by_rules(
     account: &Account,
     rules: &[Rule],
 ) -> f64 {
--- a/src/fleet/group.rs
+++ b/src/fleet/group.rs
@@ -5,8 +5,8 @@
 pub struct Group {
     pub name: String,
     pub kind: GroupKind,
-    pub hosts: Selector,         // over host labels
-    pub repeatable: Vec<String>, // methods that may run twice; none by default
+    pub hosts: Selector,         // selects its hosts by their labels
+    pub repeatable: Vec<String>, // HTTP methods whose requests may run more than once; none by default
 }
 
 impl Group {
@@ -26,7 +26,7 @@
         matches!(&self.kind, GroupKind::Model { models, .. } if models.iter().any(|m| m == model))
     }
 
-    /// The length of the path prefix, when the group serves this path.
+    /// The length of the path prefix, if the group serves this path.
     pub fn prefix_match(
         &self,
         path: &str,
--- a/src/fleet/group_kind.rs
+++ b/src/fleet/group_kind.rs
@@ -1,15 +1,15 @@
-/// What the upstreams of a group speak.
+/// The interface of a group's upstreams, and the weights of their service.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GroupKind {
-    /// The chat-completions interface, for these models.
+    /// The chat-completions API, for these models.
     Model {
         models: Vec<String>,
         prompt_weight: f64,    // service units per prompt token
         generated_weight: f64, // service units per generated token
     },
-    /// Any HTTP service below a path prefix.
+    /// Any HTTP service, under a path prefix.
     Plain {
         prefix: String,
-        second_weight: f64, // service units per second of a slot
+        second_weight: f64, // service units per second that a slot is in use
     },
 }
--- a/src/fleet/host_entry.rs
+++ b/src/fleet/host_entry.rs
@@ -10,7 +10,7 @@
     pub name: String,
     pub role: HostRole,
     pub zone: String,         // availability zone
-    pub link: SocketAddr,     // for the fleet's own processes
-    pub operator: SocketAddr, // for operators
+    pub link: SocketAddr,     // for routers and sidecars, QUIC
+    pub operator: SocketAddr, // for operators, HTTP
     pub state: HostState,
 }
--- a/src/fleet/host_list.rs
+++ b/src/fleet/host_list.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// The platform's list of live and leaving hosts. It lags.
+/// The platform's list of live and leaving hosts. It lags behind the state of the hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
     pub hosts: Vec<HostEntry>,
--- a/src/fleet/host_role.rs
+++ b/src/fleet/host_role.rs
@@ -3,7 +3,7 @@
     std::{fmt, str::FromStr},
 };
 
-/// What a host of the fleet runs.
+/// The kind of process that a host runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostRole {
--- a/src/fleet/host_state.rs
+++ b/src/fleet/host_state.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// What the platform says of a host.
+/// The state of a host in the platform's host list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
--- a/src/fleet/key_digest.rs
+++ b/src/fleet/key_digest.rs
@@ -3,15 +3,14 @@
     std::{fmt, str::FromStr},
 };
 
-/// The SHA-256 of a caller's key. The key itself is never stored or logged.
+/// The SHA-256 of a caller's API key. The key itself is never stored or logged.
 ///
-/// Callers are found by digest, so that the time a look-up takes says nothing
-/// about the key.
+/// Accounts are looked up by digest, so that the time of a look-up reveals nothing about keys.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key as a caller sends it.
+    /// The digest of a key, as the caller sends it.
     pub fn of_key(key: &str) -> Self {
         let digest = digest::digest(&digest::SHA256, key.as_bytes());
         let mut bytes = [0; 32];
--- a/src/fleet/labels.rs
+++ b/src/fleet/labels.rs
@@ -1,11 +1,11 @@
 use std::collections::BTreeMap;
 
-/// Labels of a host, an account or a request: names with values.
+/// Labels of a host, an account or a request: values by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Labels(BTreeMap<String, String>);
 
 impl Labels {
-    /// Parses `lot=yvr, tier=gold`.
+    /// Parses a list as `lot=yvr, tier=gold`; `None` if it is invalid.
     pub fn parse(text: &str) -> Option<Self> {
         let mut labels = Self::default();
         for pair in text.split(',').map(str::trim).filter(|p| !p.is_empty()) {
@@ -27,7 +27,7 @@
         self.0.get(name).map(String::as_str)
     }
 
-    /// Sets a label, in place of an earlier value.
+    /// Sets a label, and replaces its earlier value.
     pub fn set(
         &mut self,
         name: &str,
@@ -36,7 +36,7 @@
         self.0.insert(name.to_owned(), value.to_owned());
     }
 
-    /// Takes over all of `other`, whose values win.
+    /// Adds all labels of `other`, and replaces values of the same name.
     pub fn extend(
         &mut self,
         other: &Labels,
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Names and values, in order of name.
+    /// Names and values, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(n, v)| (n.as_str(), v.as_str()))
     }
 }
 
-/// Whether a text may be a label's name or value.
+/// Whether a text is valid as the name or value of a label.
 pub(super) fn is_word(text: &str) -> bool {
     !text.is_empty()
         && text
--- a/src/fleet/manifest.rs
+++ b/src/fleet/manifest.rs
@@ -6,27 +6,28 @@
     ring::digest,
 };
 
-/// The name of the one section that makes a published value a manifest.
+/// The section that makes a published value a manifest.
 const SECTION: &str = "manifest";
 
-/// The list of parts of a configuration that is over one value's bound.
+/// The list of parts of a configuration that is larger than a published value may be.
 ///
-/// A published value is either a whole configuration or
-/// `[manifest]` with `part-name = sha256` lines.
+/// A published value is either a whole configuration or a section `[manifest]` with lines of the
+/// form `part-name = sha256`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Manifest {
     pub parts: Vec<ManifestPart>,
 }
 
-/// One part of a configuration.
+/// Names one part of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ManifestPart {
     pub name: String,
-    pub digest: String, // SHA-256 in lower-case hexadecimal; the part's key too
+    pub digest: String, // SHA-256 in lower-case hexadecimal; the part is published under it
 }
 
 impl Manifest {
-    /// The manifest in a published value, or none if it is a configuration.
+    /// Parses a published value; `None` if it is a whole configuration. Fails with codes 11, 12 and
+    /// 18. `file` is its name for errors.
     pub fn parse(
         file: &str,
         text: &str,
@@ -49,7 +50,7 @@
         Ok(Some(Self { parts }))
     }
 
-    /// The manifest as a value to publish.
+    /// The text of the manifest, to be published.
     pub fn to_text(&self) -> String {
         let mut text = format!("[{SECTION}]\n");
         for part in &self.parts {
@@ -60,7 +61,7 @@
 }
 
 impl ManifestPart {
-    /// Checks a part's bytes against the manifest: code 23.
+    /// Compares a part's text with the digest in the manifest; fails with code 23.
     pub fn verify(
         &self,
         text: &str,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! What operators publish: client accounts, classes, groups, labels and rules.
+//! The configuration that operators publish (client accounts, classes, groups, labels and rules),
+//! and the host list, of the granted form.
 
 mod account;
 mod account_id;
--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -1,26 +1,26 @@
 use std::fmt;
 
-/// The hosts that may serve a request, and why the others may not.
+/// The hosts of a group that may serve a request, and why the others may not.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Placement {
     pub hosts: Vec<String>,       // sorted by name
-    pub rules: Vec<String>,       // rules that select the request
-    pub excluded: Vec<Exclusion>, // hosts of the group that are left out
+    pub rules: Vec<String>,       // names of the rules that select the request
+    pub excluded: Vec<Exclusion>, // other hosts of the group
 }
 
-/// A host that is left out.
+/// A host that may not serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exclusion {
     pub host: String,
     pub by: ExcludedBy,
 }
 
-/// What leaves a host out.
+/// Why a host may not serve a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExcludedBy {
-    /// The rule of this name.
+    /// The rule with this name does not select the host.
     Rule(String),
-    /// Its availability zone gets no new work.
+    /// The host's availability zone is cordoned: it gets no new requests.
     Cordon,
 }
 
--- a/src/fleet/request_labels.rs
+++ b/src/fleet/request_labels.rs
@@ -5,12 +5,12 @@
 
 /// Builds the labels that rules select a request by.
 ///
-/// What the system knows (`account`, `class`, `group`) wins over the account's
-/// labels, and these win over what the caller sends.
+/// The labels set here (`account`, `class`, `group`, `model`) override those of the account, and
+/// these override the labels that the caller sends.
 pub struct RequestLabels;
 
 impl RequestLabels {
-    /// The labels of one request.
+    /// Builds the labels of one request. `sent` are those that the caller sent.
     pub fn build(
         account: &Account,
         class: &Class,
--- a/src/fleet/revision.rs
+++ b/src/fleet/revision.rs
@@ -3,7 +3,7 @@
     std::fmt,
 };
 
-/// The platform's revision number of the configuration. Higher is newer.
+/// The platform's revision number of a configuration or host list. Higher is newer.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/src/fleet/selector.rs
+++ b/src/fleet/selector.rs
@@ -3,9 +3,9 @@
     std::{fmt, str::FromStr},
 };
 
-/// Conditions over labels, all of which must hold. An empty one holds always.
+/// Conditions on labels, all of which must hold. A selector without conditions matches all labels.
 ///
-/// `lot = yvr, tier in (gold silver), zone != a, model, !retired`
+/// Example: `lot = yvr, tier in (gold silver), zone != a, model, !retired`
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Selector(Vec<Term>);
 
@@ -25,7 +25,7 @@
 }
 
 impl FromStr for Selector {
-    type Err = String; // the term that cannot be parsed
+    type Err = String; // the term that is invalid
 
     fn from_str(text: &str) -> Result<Self, String> {
         text.split(',')
@@ -49,30 +49,33 @@
 
 fn parse_term(text: &str) -> Option<Term> {
     if let Some(name) = text.strip_prefix('!') {
-        return word(name).map(Term::Absent);
+        return parse_word(name).map(Term::Absent);
     }
     if let Some((name, value)) = text.split_once("!=") {
-        return Some(Term::NotIn(word(name)?, vec![word(value)?]));
+        return Some(Term::NotIn(parse_word(name)?, vec![parse_word(value)?]));
     }
     if let Some((name, value)) = text.split_once('=') {
-        return Some(Term::In(word(name)?, vec![word(value)?]));
+        return Some(Term::In(parse_word(name)?, vec![parse_word(value)?]));
     }
     if let Some((name, values)) = text.split_once(" notin ") {
-        return Some(Term::NotIn(word(name)?, set(values)?));
+        return Some(Term::NotIn(parse_word(name)?, parse_values(values)?));
     }
     if let Some((name, values)) = text.split_once(" in ") {
-        return Some(Term::In(word(name)?, set(values)?));
+        return Some(Term::In(parse_word(name)?, parse_values(values)?));
     }
-    word(text).map(Term::Exists)
+    parse_word(text).map(Term::Exists)
 }
 
-fn word(text: &str) -> Option<String> {
+fn parse_word(text: &str) -> Option<String> {
     let text = text.trim();
     is_word(text).then(|| text.to_owned())
 }
 
-fn set(text: &str) -> Option<Vec<String>> {
+fn parse_values(text: &str) -> Option<Vec<String>> {
     let inner = text.trim().strip_prefix('(')?.strip_suffix(')')?;
-    let values: Vec<String> = inner.split_whitespace().map(word).collect::<Option<_>>()?;
+    let values: Vec<String> = inner
+        .split_whitespace()
+        .map(parse_word)
+        .collect::<Option<_>>()?;
     (!values.is_empty()).then_some(values)
 }
--- a/src/fleet/term.rs
+++ b/src/fleet/term.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Term {
     In(String, Vec<String>),    // the label has one of these values
-    NotIn(String, Vec<String>), // the label is absent or has another value
+    NotIn(String, Vec<String>), // the label is absent or has a value that is not listed
     Exists(String),
     Absent(String),
 }
@@ -15,14 +15,14 @@
         &self,
         labels: &Labels,
     ) -> bool {
-        let one_of = |name: &str, values: &[String]| {
+        let has_one_of = |name: &str, values: &[String]| {
             labels
                 .get(name)
                 .is_some_and(|value| values.iter().any(|v| v == value))
         };
         match self {
-            Self::In(name, values) => one_of(name, values),
-            Self::NotIn(name, values) => !one_of(name, values),
+            Self::In(name, values) => has_one_of(name, values),
+            Self::NotIn(name, values) => !has_one_of(name, values),
             Self::Exists(name) => labels.get(name).is_some(),
             Self::Absent(name) => labels.get(name).is_none(),
         }
--- a/src/fleet/versioned_config.rs
+++ b/src/fleet/versioned_config.rs
@@ -10,22 +10,22 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// A configuration with its revision and the bytes it came from, so that it
-/// can be handed to a peer.
+/// A validated configuration with its revision and its published texts, which are kept to be sent
+/// to peers.
 #[derive(Debug, Clone)]
 pub struct VersionedConfig {
     pub revision: Revision,
     pub digest: String,                    // SHA-256 of the published value
     pub root: Arc<str>,                    // the published value: a configuration or a manifest
-    pub parts: BTreeMap<String, Arc<str>>, // by digest
+    pub parts: BTreeMap<String, Arc<str>>, // texts, by digest
     pub config: Arc<FleetConfig>,
 }
 
 impl VersionedConfig {
-    /// Validates a published value and its parts: codes 11 to 24.
+    /// Parses and validates a published value and its parts; fails with codes 11 to 24.
     ///
-    /// The verdict depends on the bytes alone, so every process reaches the
-    /// same one.
+    /// The result depends on the texts alone, so that all processes accept or reject the same
+    /// configurations.
     pub fn build(
         revision: Revision,
         root: Arc<str>,
@@ -45,7 +45,7 @@
         })
     }
 
-    /// The digests of the parts that a published value needs.
+    /// The digests of the parts that a published value lists; none for a whole configuration.
     pub fn needed_parts(root: &str) -> Result<Vec<String>, ConfError> {
         let manifest = Manifest::parse("manifest", root)?;
         Ok(manifest.map_or_else(Vec::new, |m| {
@@ -59,21 +59,24 @@
     parts: &BTreeMap<String, Arc<str>>,
 ) -> Result<FleetConfig, ConfError> {
     for part in &manifest.parts {
-        part.verify(text_of(part, parts)?)?;
+        part.verify(part_text(part, parts)?)?;
     }
     let documents = manifest
         .parts
         .iter()
-        .map(|part| IniDocument::parse(&part.name, text_of(part, parts)?));
+        .map(|part| IniDocument::parse(&part.name, part_text(part, parts)?));
     parse_fleet(documents)
 }
 
-fn text_of<'p>(
+fn part_text<'p>(
     part: &ManifestPart,
     parts: &'p BTreeMap<String, Arc<str>>,
 ) -> Result<&'p str, ConfError> {
-    parts
-        .get(&part.digest)
-        .map(|text| &**text)
-        .ok_or_else(|| ConfError::of_file(ResultCode::PartMissing, &part.name, "is not to be had"))
+    parts.get(&part.digest).map(|text| &**text).ok_or_else(|| {
+        ConfError::of_file(
+            ResultCode::PartMissing,
+            &part.name,
+            "is missing: the manifest names a part that was not published",
+        )
+    })
 }
--- a/src/keys/authority.rs
+++ b/src/keys/authority.rs
@@ -7,7 +7,7 @@
     },
 };
 
-/// The fleet's own certificate authority.
+/// The certificate authority of a fleet, which issues the certificates of routers and sidecars.
 pub struct Authority {
     certificate: String, // PEM
     private_key: String, // PEM
@@ -20,7 +20,7 @@
 }
 
 impl Authority {
-    /// Makes a new authority.
+    /// Creates an authority with a new key.
     pub fn create() -> Result<Self, KeyError> {
         let params = authority_params()?;
         let key = KeyPair::generate().map_err(failed)?;
@@ -31,7 +31,7 @@
         })
     }
 
-    /// An authority made earlier.
+    /// Loads an existing authority. The texts are parsed when a certificate is issued.
     pub fn from_pem(
         certificate: String,
         private_key: String,
@@ -42,17 +42,17 @@
         }
     }
 
-    /// The authority's certificate, which every process trusts.
+    /// The authority's certificate as PEM, which every process needs.
     pub fn certificate(&self) -> &str {
         &self.certificate
     }
 
-    /// The authority's private key, which no process of the fleet needs.
+    /// The authority's private key as PEM, which only the issuer of certificates needs.
     pub fn private_key(&self) -> &str {
         &self.private_key
     }
 
-    /// Issues a certificate for a process.
+    /// Issues a certificate, with a new key, for a process.
     pub fn issue(
         &self,
         name: &PeerName,
@@ -76,7 +76,7 @@
     }
 }
 
-/// The same for every authority; what tells two apart is the key.
+/// Certificate parameters, which are the same for every authority: only the keys differ.
 fn authority_params() -> Result<CertificateParams, KeyError> {
     let mut params = CertificateParams::new(Vec::new()).map_err(failed)?;
     params.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
--- a/src/keys/command.rs
+++ b/src/keys/command.rs
@@ -11,7 +11,7 @@
     },
 };
 
-const BRIEF: &str = "\
+const USAGE: &str = "\
 archmast-keys COMMAND
 
 Commands:
@@ -19,13 +19,13 @@
   issue DIR HOST ROLE        make HOST.crt and HOST.key in DIR, for a router or sidecar
   account                    make a caller's key and the digest to configure";
 
-/// Private files are for their owner only.
-const PRIVATE: u32 = 0o600;
+/// Permissions of the files written: only their owner may read them.
+const FILE_MODE: u32 = 0o600;
 
-/// The command line, run at the operator's desk and not on the fleet's hosts.
+/// The command `archmast-keys`, which operators run on their own machine, not on the fleet's hosts.
 pub fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match run(&words) {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match run(&arguments) {
         Ok(text) => {
             print!("{text}");
             ExitCode::SUCCESS
@@ -37,14 +37,14 @@
     }
 }
 
-fn run(words: &[String]) -> Result<String, KeyError> {
+fn run(arguments: &[String]) -> Result<String, KeyError> {
     let mut options = Options::new();
     options.optflag("h", "help", "print this text");
     let matches = options
-        .parse(words)
+        .parse(arguments)
         .map_err(|error| KeyError::new(ResultCode::Usage, "command line", error))?;
     if matches.opt_present("help") {
-        return Ok(options.usage(BRIEF) + "\n");
+        return Ok(options.usage(USAGE) + "\n");
     }
     let free: Vec<&str> = matches.free.iter().map(String::as_str).collect();
     match free.as_slice() {
@@ -111,7 +111,7 @@
     })
 }
 
-/// Writes a new file; an existing one is never overwritten.
+/// Writes a new file; fails if it exists.
 fn write(
     path: &Path,
     text: &str,
@@ -122,7 +122,7 @@
     let mut file = OpenOptions::new()
         .write(true)
         .create_new(true)
-        .mode(PRIVATE)
+        .mode(FILE_MODE)
         .open(path)
         .map_err(failed)?;
     file.write_all(text.as_bytes()).map_err(failed)
--- a/src/keys/crypto.rs
+++ b/src/keys/crypto.rs
@@ -1,10 +1,10 @@
-/// Chooses the process's cryptography for libraries that ask for a default.
-/// Calling it again changes nothing.
+/// Installs `ring` as the default cryptography provider of `rustls`, for libraries that use the
+/// default. Further calls have no effect.
 pub fn install_crypto() {
     if rustls::crypto::ring::default_provider()
         .install_default()
         .is_err()
     {
-        log::debug!("cryptography was chosen before");
+        log::debug!("a cryptography provider is already installed");
     }
 }
--- a/src/keys/errors.rs
+++ b/src/keys/errors.rs
@@ -1,15 +1,15 @@
 use {crate::codes::ResultCode, std::fmt};
 
-/// A key or certificate that cannot be used.
+/// An error about a key, a certificate or the command line that handles them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyError {
     pub code: ResultCode,
-    pub file: String,
+    pub file: String,   // path, or `command line`
     pub detail: String, // never key material
 }
 
 impl KeyError {
-    /// An error about a file.
+    /// Creates an error about a file.
     pub fn new(
         code: ResultCode,
         file: &str,
--- a/src/keys/identity.rs
+++ b/src/keys/identity.rs
@@ -10,10 +10,10 @@
     std::{fmt::Display, sync::Arc},
 };
 
-/// The protocol name that both ends of a connection must agree on.
+/// The ALPN protocol of connections between routers and sidecars.
 const PROTOCOL: &[u8] = b"archmast/1";
 
-/// What a process shows its peers, and which authority it trusts.
+/// A process's certificate and key, and the authority whose certificates it accepts.
 pub struct Identity {
     certificate: Vec<CertificateDer<'static>>,
     private_key: PrivateKeyDer<'static>,
@@ -22,7 +22,7 @@
 }
 
 impl Identity {
-    /// Reads the files that the settings name: codes 10 and 15.
+    /// Reads the files that the settings name; fails with codes 10 and 15.
     pub fn read(settings: &LinkSettings) -> Result<Self, KeyError> {
         let mut roots = RootCertStore::empty();
         for certificate in read_certificates(&settings.authority)? {
@@ -44,7 +44,7 @@
         peer_name(&self.certificate)
     }
 
-    /// The side that accepts connections. Peers must show a certificate.
+    /// TLS settings for accepting connections. Peers need a certificate of the authority.
     pub fn server_config(&self) -> Result<ServerConfig, KeyError> {
         let verifier =
             WebPkiClientVerifier::builder_with_provider(self.roots.clone(), self.provider.clone())
@@ -60,7 +60,7 @@
         Ok(config)
     }
 
-    /// The side that opens connections.
+    /// TLS settings for opening connections.
     pub fn client_config(&self) -> Result<ClientConfig, KeyError> {
         let mut config = ClientConfig::builder_with_provider(self.provider.clone())
             .with_protocol_versions(&[&rustls::version::TLS13])
@@ -73,7 +73,7 @@
     }
 }
 
-/// The fleet name in a peer's verified certificate chain.
+/// The peer's name in its certificate, the first of a verified chain.
 pub fn peer_name(chain: &[CertificateDer]) -> Option<PeerName> {
     let certificate = webpki::EndEntityCert::try_from(chain.first()?).ok()?;
     certificate.valid_dns_names().find_map(PeerName::parse)
@@ -85,7 +85,7 @@
         .collect::<Result<_, _>>()
         .map_err(|error| unusable(file, error))?;
     if certificates.is_empty() {
-        return Err(unusable(file, "holds no certificate"));
+        return Err(unusable(file, "contains no certificate"));
     }
     Ok(certificates)
 }
--- a/src/keys/mod.rs
+++ b/src/keys/mod.rs
@@ -1,4 +1,5 @@
-//! The fleet's authority and the certificates it issues.
+//! The fleet's certificate authority, the certificates of its processes, and the command that
+//! issues them.
 
 mod authority;
 mod command;
--- a/src/keys/peer_name.rs
+++ b/src/keys/peer_name.rs
@@ -1,9 +1,9 @@
 use {crate::fleet::HostRole, std::fmt};
 
-/// The domain that marks a certificate as the fleet's.
+/// The last label of the name in each certificate of the fleet.
 const DOMAIN: &str = "archmast";
 
-/// Who a certificate says its holder is: `HOST.ROLE.archmast`.
+/// The name in a process's certificate, `HOST.ROLE.archmast`.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PeerName {
     pub host: String,
@@ -11,7 +11,7 @@
 }
 
 impl PeerName {
-    /// The host with its role.
+    /// Creates a name.
     pub fn new(
         host: &str,
         role: HostRole,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The name in a certificate, if it is one of the fleet's.
+    /// Parses a DNS name of a certificate; `None` if it is not of this form.
     pub fn parse(name: &str) -> Option<Self> {
         let rest = name.strip_suffix(DOMAIN)?.strip_suffix('.')?;
         let (host, role) = rest.rsplit_once('.')?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,13 @@
-//! A router fleet that shares upstream capacity fairly between client accounts.
+//! A fleet of routers between HTTP callers and replicated upstreams that shares the upstreams'
+//! capacity fairly between client accounts.
 //!
-//! The logic that decides anything lives in [`fleet`] and [`policy`] and takes
-//! time and randomness as arguments. Everything else is a thin shell around it.
+//! There are two forms. In the *direct* form ([`direct`], [`peers`], [`catalog`], [`routing`],
+//! [`platform`]) routers send requests to the replicas themselves. In the *granted* form
+//! ([`router`], [`sidecar`], [`link`], [`wire`], [`node`], [`directory`]) a sidecar beside each
+//! upstream grants its capacity to requests that wait at routers.
+//!
+//! All decisions are made in [`policy`] and [`fleet`], which do no I/O and take time and randomness
+//! as arguments. The other modules do the I/O around them.
 
 pub mod catalog;
 pub mod codes;
