--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -116,7 +116,7 @@
     }
 
     /// Records the peer of a new connection in the membership.
-    pub fn sight(
+    pub fn observe_peer(
         &self,
         peer: &Peer,
     ) -> PeerObservation {
--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -29,7 +29,7 @@
         &self,
         peer: &Arc<Peer>,
     ) -> bool {
-        let sighting = self.node.sight(peer);
+        let sighting = self.node.observe_peer(peer);
         if sighting == PeerObservation::Stale {
             return false;
         }
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -29,7 +29,7 @@
         &self,
         peer: &Arc<Peer>,
     ) -> bool {
-        match self.node.sight(peer) {
+        match self.node.observe_peer(peer) {
             PeerObservation::Stale => return false,
             PeerObservation::Restarted => self.forget_router(&peer.host),
             PeerObservation::New | PeerObservation::Same => {}
