--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -141,7 +141,7 @@
 
     /// Fetches the configuration and host list of a peer, in a task, if its configuration is newer
     /// or this process has no host list yet.
-    pub fn notice_revision(
+    pub fn fetch_if_newer(
         self: Arc<Self>,
         peer: &Arc<Peer>,
         revision: Revision,
--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -53,7 +53,7 @@
     ) {
         self.node
             .clone()
-            .notice_revision(peer, envelope.revision, &envelope.digest);
+            .fetch_if_newer(peer, envelope.revision, &envelope.digest);
         if peer.role() != HostRole::Sidecar {
             return; // routers send each other only configuration revisions
         }
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -48,7 +48,7 @@
     ) {
         self.node
             .clone()
-            .notice_revision(peer, envelope.revision, &envelope.digest);
+            .fetch_if_newer(peer, envelope.revision, &envelope.digest);
         if peer.role() != HostRole::Router {
             return; // sidecars send each other only configuration revisions
         }
