--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -151,7 +151,7 @@
         let is_newer =
             revision > Revision(0) && self.config.judge(revision, digest) == Verdict::Fetch;
         if !is_newer && peer.config_confirmed {
-            self.readiness.heard_peer(&peer.host);
+            self.readiness.record_confirmation(&peer.host);
         }
         if !(is_newer || needs_hosts) || self.fetching.swap(true, Ordering::SeqCst) {
             return;
@@ -161,7 +161,7 @@
             if let Err(error) = fetch_from_peer(&self, &peer).await {
                 log::debug!(code = error.code.number(); "nothing from {}: {error}", peer.host);
             } else if peer.config_confirmed {
-                self.readiness.heard_peer(&peer.host);
+                self.readiness.record_confirmation(&peer.host);
             }
             self.fetching.store(false, Ordering::SeqCst);
         });
--- a/src/node/readiness.rs
+++ b/src/node/readiness.rs
@@ -21,7 +21,7 @@
 impl Readiness {
     /// Records that a peer whose own configuration is confirmed has none that is newer than this
     /// process's, or has sent it.
-    pub fn heard_peer(
+    pub fn record_confirmation(
         &self,
         host: &Arc<str>,
     ) {
