--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -98,7 +98,7 @@
             role: self.role,
             incarnation: self.incarnation,
             leaving: self.is_leaving(),
-            config_confirmed: self.readiness.has_asked(),
+            config_confirmed: self.readiness.is_confirmed(),
         }
     }
 
@@ -178,7 +178,7 @@
 
     /// Whether the process may take new work.
     pub fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.readiness.has_asked() && self.config.current().is_some()
+        !self.is_leaving() && self.readiness.is_confirmed() && self.config.current().is_some()
     }
 
     /// An account's name in the configuration in force, or its identifier if it is not there.
--- a/src/node/readiness.rs
+++ b/src/node/readiness.rs
@@ -25,14 +25,14 @@
         &self,
         host: &Arc<str>,
     ) {
-        if !self.has_asked() {
+        if !self.is_confirmed() {
             let mut confirmed_by = self.confirmed_by.lock().expect("confirmed_by lock");
             confirmed_by.insert(host.clone());
         }
     }
 
     /// Whether the configuration is confirmed.
-    pub fn has_asked(&self) -> bool {
+    pub fn is_confirmed(&self) -> bool {
         self.confirmed.load(Ordering::SeqCst)
     }
 
@@ -49,6 +49,6 @@
         if confirmations >= needed || waited >= bound {
             self.confirmed.store(true, Ordering::SeqCst);
         }
-        self.has_asked()
+        self.is_confirmed()
     }
 }
--- a/src/router/caller_port.rs
+++ b/src/router/caller_port.rs
@@ -109,7 +109,7 @@
             .node
             .config
             .current()
-            .filter(|_| self.router.node.readiness.has_asked())
+            .filter(|_| self.router.node.readiness.is_confirmed())
             .ok_or_else(|| {
                 ErrorAnswer::new(ResultCode::NoConfiguration).retry_after(Duration::from_secs(1))
             })?;
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -54,7 +54,7 @@
         if own.is_some_and(|host| host.state == HostState::Leaving) {
             sidecar.leave_permanently().await;
         }
-        if !sidecar.node.readiness.has_asked() {
+        if !sidecar.node.readiness.is_confirmed() {
             dial_some_routers(&sidecar, &dials, &hosts);
         }
         if lists.changed().await.is_err() {
