--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,7 +16,7 @@
     host_store::HostStore,
     node::Node,
     peer_config::{fetch_from_peer, serve_config},
-    readiness::{PEERS_ASKED, Readiness},
+    readiness::{PEERS_TO_CONFIRM, Readiness},
     start::{BLOCKING_THREADS, DIRECT_FLAG, StartError, run_process},
     watches::{watch_config, watch_hosts},
 };
--- a/src/node/readiness.rs
+++ b/src/node/readiness.rs
@@ -8,7 +8,7 @@
 };
 
 /// Number of peers that confirm the configuration of a starting process, if so many are listed.
-pub const PEERS_ASKED: usize = 3;
+pub const PEERS_TO_CONFIRM: usize = 3;
 
 /// Whether the configuration of a starting process is confirmed: enough peers have none that is
 /// newer, or the time to ask them has passed.
@@ -36,7 +36,7 @@
         self.confirmed.load(Ordering::SeqCst)
     }
 
-    /// Decides whether the configuration is confirmed: by `PEERS_ASKED` peers, or by all if fewer
+    /// Decides whether the configuration is confirmed: by `PEERS_TO_CONFIRM` peers, or by all if fewer
     /// are listed, or without them once `waited` reaches `bound`. Once true it stays true.
     pub fn decide(
         &self,
@@ -44,7 +44,7 @@
         waited: Duration,
         bound: Duration,
     ) -> bool {
-        let needed = listed_peers.min(PEERS_ASKED);
+        let needed = listed_peers.min(PEERS_TO_CONFIRM);
         let confirmations = self.confirmed_by.lock().expect("confirmed_by lock").len();
         if confirmations >= needed || waited >= bound {
             self.confirmed.store(true, Ordering::SeqCst);
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -4,7 +4,7 @@
         fleet::{HostList, HostRole, HostState},
         keys::PeerName,
         link::{DialSet, DialTarget},
-        node::PEERS_ASKED,
+        node::PEERS_TO_CONFIRM,
         ops::{GRANTS, PAUSES},
         policy::{SuspensionDetector, rendezvous},
         wire::ControlMessage,
@@ -71,7 +71,7 @@
     let routers = hosts.live(HostRole::Router).map(|host| host.name.as_str());
     for host in rendezvous(&sidecar.node.host, routers)
         .into_iter()
-        .take(PEERS_ASKED)
+        .take(PEERS_TO_CONFIRM)
     {
         if let Some(listed) = hosts.find(host) {
             dials.add(DialTarget {
