--- a/src/node/background.rs
+++ b/src/node/background.rs
@@ -32,7 +32,7 @@
 
 /// Waits until a starting process may serve: enough peers with the role `peers` have confirmed its
 /// configuration, or `bound` has passed since the first configuration came into force.
-pub async fn follow_readiness(
+pub async fn confirm_readiness(
     node: Arc<Node>,
     peers: HostRole,
     bound: Duration,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -11,7 +11,7 @@
 mod watches;
 
 pub use {
-    background::{follow_readiness, start_watches, stop_signal},
+    background::{confirm_readiness, start_watches, stop_signal},
     config_store::ConfigStore,
     host_store::HostStore,
     node::Node,
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -12,7 +12,7 @@
         keys::Identity,
         link::{DialSet, Link},
         node::{
-            BLOCKING_THREADS, Node, StartError, follow_readiness, run_process, start_watches,
+            BLOCKING_THREADS, Node, StartError, confirm_readiness, run_process, start_watches,
             stop_signal,
         },
         ops::OperatorPort,
@@ -65,7 +65,7 @@
     tokio::spawn(announce_demand(router.clone()));
     tokio::spawn(announce_config_changes(router.clone()));
     tokio::spawn(run_housekeeping(router.clone(), dials));
-    tokio::spawn(follow_readiness(
+    tokio::spawn(confirm_readiness(
         node.clone(),
         HostRole::Sidecar,
         settings.platform.bootstrap_wait,
--- a/src/sidecar/serve.rs
+++ b/src/sidecar/serve.rs
@@ -12,7 +12,7 @@
         keys::Identity,
         link::{DialSet, Link},
         node::{
-            BLOCKING_THREADS, Node, StartError, follow_readiness, run_process, start_watches,
+            BLOCKING_THREADS, Node, StartError, confirm_readiness, run_process, start_watches,
             stop_signal,
         },
         ops::OperatorPort,
@@ -68,7 +68,7 @@
     tokio::spawn(apply_config_changes(sidecar.clone()));
     tokio::spawn(run_housekeeping(sidecar.clone()));
     tokio::spawn(report_service(sidecar.clone(), dials));
-    tokio::spawn(follow_readiness(
+    tokio::spawn(confirm_readiness(
         node.clone(),
         HostRole::Router,
         settings.platform.bootstrap_wait,
