--- a/src/ops/json_log.rs
+++ b/src/ops/json_log.rs
@@ -32,7 +32,7 @@
         }
     };
     let host = host.to_owned();
-    pipe.is_the_process_log();
+    pipe.set_as_process_log();
     let dropped = pipe.lost();
     let uptime = Uptime::start();
     let rate = Mutex::new(LogRate::new(MAX_LINES_PER_SECOND, uptime.now()));
--- a/src/ops/log_pipe.rs
+++ b/src/ops/log_pipe.rs
@@ -60,7 +60,7 @@
     }
 
     /// Makes [`flush_logs`] wait for this pipe's lines. Only the first call has an effect.
-    pub fn is_the_process_log(&self) {
+    pub fn set_as_process_log(&self) {
         if PROCESS_LOG.set(self.buffer.clone()).is_err() {
             log::debug!("logging is already started");
         }
