--- a/src/codes/fault.rs
+++ b/src/codes/fault.rs
@@ -26,7 +26,7 @@
     /// Creates a fault from an error and its sources. The text of a library's error often says
     /// only that a call failed; its sources tell whether the connection was refused, was closed
     /// or timed out.
-    pub fn caused(
+    pub fn with_causes(
         code: ResultCode,
         error: &(dyn Error + 'static),
     ) -> Self {
--- a/src/directory/platform_client.rs
+++ b/src/directory/platform_client.rs
@@ -100,7 +100,7 @@
     ) -> Result<Option<Response>, Fault> {
         let sent = self.http.get(url).timeout(timeout).send().await;
         let outcome = match sent {
-            Err(error) => Err(Fault::caused(ResultCode::PlatformDown, &error)),
+            Err(error) => Err(Fault::with_causes(ResultCode::PlatformDown, &error)),
             Ok(response) => match response.status() {
                 StatusCode::OK => Ok(Some(response)),
                 StatusCode::NOT_MODIFIED | StatusCode::NOT_FOUND => Ok(None),
@@ -121,5 +121,5 @@
     response
         .text()
         .await
-        .map_err(|error| Fault::caused(ResultCode::PlatformDown, &error))
+        .map_err(|error| Fault::with_causes(ResultCode::PlatformDown, &error))
 }
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -56,7 +56,7 @@
         query: &[(&str, &str)],
         time: Duration,
     ) -> Result<Option<T>, Fault> {
-        let down = |error: reqwest::Error| Fault::caused(ResultCode::PlatformDown, &error);
+        let down = |error: reqwest::Error| Fault::with_causes(ResultCode::PlatformDown, &error);
         let parameters = query.iter().map(|(name, value)| {
             let value = utf8_percent_encode(value, ENCODED);
             format!("{name}={value}")
