--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -9,7 +9,7 @@
     crate::{
         catalog::UpstreamEntry,
         codes::{Fault, ResultCode},
-        ops::{KEPT_CALLS, KEPT_EVENTS, KEPT_FOLLOWED},
+        ops::{CACHE_EVENTS, CACHE_FOLLOW_CALLS, FOLLOWED_CACHES},
         policy::placement::{CacheChange, CacheEventBatch},
     },
     hyper::StatusCode,
@@ -53,7 +53,7 @@
                 }
             }
         }
-        metrics::gauge!(KEPT_FOLLOWED).set(followed.len() as f64);
+        metrics::gauge!(FOLLOWED_CACHES).set(followed.len() as f64);
         tokio::time::sleep(SELECTION_INTERVAL).await;
     }
 }
@@ -82,7 +82,7 @@
     while should_follow(&gateway, &entry) {
         let pause = match poll_events(&gateway, &entry, &mut connection).await {
             Ok(news) => {
-                metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
+                metrics::counter!(CACHE_FOLLOW_CALLS, "outcome" => "answered").increment(1);
                 let change =
                     gateway
                         .replica_table()
@@ -93,7 +93,7 @@
                 POLL_INTERVAL
             }
             Err(error) => {
-                metrics::counter!(KEPT_CALLS, "outcome" => "failed").increment(1);
+                metrics::counter!(CACHE_FOLLOW_CALLS, "outcome" => "failed").increment(1);
                 log::info!(
                     replica = &*entry.id, code = error.code.number();
                     "replica does not say what it keeps: {error}"
@@ -119,7 +119,7 @@
         ("given_up", change.evicted),
     ];
     for (kind, count) in kinds {
-        metrics::counter!(KEPT_EVENTS, "kind" => kind).increment(count as u64);
+        metrics::counter!(CACHE_EVENTS, "kind" => kind).increment(count as u64);
     }
     let news = &change.batch;
     if news.has_gap || change.was_reset || change.added + change.evicted > 0 {
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -7,7 +7,7 @@
     crate::{
         catalog::{Catalog, CatalogVersion},
         conf::DirectSettings,
-        ops::{AuditTrail, PAUSES, Uptime},
+        ops::{AuditTrail, SUSPENSIONS, Uptime},
         peers::{PeerTable, RouterContact, ZoneTable},
         policy::{
             Incarnation, Moment, SuspensionGuard, name_hash,
@@ -149,7 +149,7 @@
             (suspension.check(now), suspension.is_unconfirmed(now))
         };
         if let Some(duration) = detected {
-            metrics::counter!(PAUSES).increment(1);
+            metrics::counter!(SUSPENSIONS).increment(1);
             log::warn!(pause_ms = duration.as_millis() as u64; "the process stood still");
             self.pool.close_all_idle();
             self.catalog.remove_all_lapsed();
--- a/src/direct/gateway_tasks.rs
+++ b/src/direct/gateway_tasks.rs
@@ -5,7 +5,7 @@
     crate::{
         catalog::UpstreamEntry,
         fleet::Revision,
-        ops::{CORDONED, CORDONS_UNKNOWN},
+        ops::{CORDONED_UNKNOWN_ZONES, CORDONED_ZONES},
         policy::slow_start::SlowStartLimit,
     },
     std::{
@@ -56,7 +56,7 @@
             }
             let cordoned = self.catalog.cordoned_zones();
             report_unknown_cordons(&cordoned, &entries);
-            metrics::gauge!(CORDONED).set(cordoned.len() as f64);
+            metrics::gauge!(CORDONED_ZONES).set(cordoned.len() as f64);
             self.replica_table().set_cordoned(cordoned);
             if version.is_complete() {
                 let since = *knows_both_since.get_or_insert_with(Instant::now);
@@ -140,7 +140,7 @@
     let is_known = |zone: &str| entries.iter().any(|entry| &*entry.zone == zone);
     let unknown = cordoned.iter().filter(|zone| !is_known(zone));
     let unknown: Vec<&str> = unknown.map(String::as_str).collect();
-    metrics::gauge!(CORDONS_UNKNOWN).set(unknown.len() as f64);
+    metrics::gauge!(CORDONED_UNKNOWN_ZONES).set(unknown.len() as f64);
     for zone in unknown {
         log::debug!(zone = zone; "cordoned zone has no replicas");
     }
--- a/src/direct/replica_call.rs
+++ b/src/direct/replica_call.rs
@@ -2,7 +2,7 @@
     super::{attempt_end::AttemptEnd, gateway::Gateway, upstream_connection::UpstreamConnection},
     crate::{
         catalog::UpstreamEntry,
-        ops::{NOTICES, Uptime},
+        ops::{REPLICA_NOTICES, Uptime},
         policy::ReplicaNotice,
     },
     bytes::Bytes,
@@ -45,7 +45,7 @@
         // relays the answer without reading it.
         gateway.early_report.notify_one();
     }
-    metrics::counter!(NOTICES, "says" => notice.kind()).increment(1);
+    metrics::counter!(REPLICA_NOTICES, "says" => notice.kind()).increment(1);
     log::info!(
         replica = &*replica.id,
         born = replica.started_unix_ms,
--- a/src/direct/status.rs
+++ b/src/direct/status.rs
@@ -5,8 +5,9 @@
     crate::{
         fleet::{HostRole, Revision},
         ops::{
-            ACCOUNTS, AuditTrail, HELD, HELD_BYTES, HeldStatus, PeerStatus, ProcessStatus, RESTING,
-            REVISION, RUNNING, SHARE_DIVIDED, SHARE_LEVEL, SLOW_REPLICAS, STORE_AGE, StatusSource,
+            ACCOUNTS, AuditTrail, EJECTED_REPLICAS, HELD_BYTES, HELD_REQUESTS, HeldStatus,
+            PeerStatus, ProcessStatus, REVISION, RUNNING_REQUESTS, SHARE_DIVIDED_TOKENS,
+            SHARE_LEVEL_TOKENS, SLOW_REPLICAS, STORE_AGE, StatusSource,
         },
         policy::Incarnation,
     },
@@ -25,21 +26,21 @@
             .replicas()
             .map(|view| view.own_load.running)
             .sum();
-        metrics::gauge!(RUNNING).set(f64::from(running));
+        metrics::gauge!(RUNNING_REQUESTS).set(f64::from(running));
         let now = self.now();
         let resting = self
             .replica_table()
             .replicas()
             .filter(|view| view.health.is_ejected(now))
             .count();
-        metrics::gauge!(RESTING).set(resting as f64);
+        metrics::gauge!(EJECTED_REPLICAS).set(resting as f64);
         let slow = self.replica_table().count_slower_than(SLOW_PACE);
         metrics::gauge!(SLOW_REPLICAS).set(slow as f64);
         metrics::gauge!(REVISION).set(version.config as f64);
         let store_age = self.store_reads.answer_age(now);
         metrics::gauge!(STORE_AGE).set(store_age.map_or(-1.0, |age| age.as_secs_f64()));
         let held = self.held_status();
-        metrics::gauge!(HELD).set(held.len() as f64);
+        metrics::gauge!(HELD_REQUESTS).set(held.len() as f64);
         let answers = self.answer_bytes.load(Ordering::Relaxed);
         metrics::gauge!(HELD_BYTES, "what" => "answers").set(answers as f64);
         let requests = self.request_bytes.load(Ordering::Relaxed);
@@ -95,9 +96,9 @@
     fn measure_shares(&self) {
         let now = self.now();
         let (division, accounts) = self.shares().account_shares(now);
-        metrics::gauge!(SHARE_DIVIDED).set(f64::from(division.capacity));
+        metrics::gauge!(SHARE_DIVIDED_TOKENS).set(f64::from(division.capacity));
         let level = Some(division.fair_level).filter(|level| level.is_finite());
-        metrics::gauge!(SHARE_LEVEL).set(f64::from(level.unwrap_or(-1.0)));
+        metrics::gauge!(SHARE_LEVEL_TOKENS).set(f64::from(level.unwrap_or(-1.0)));
         let mut standings = BTreeMap::from([("over", 0_u32), ("within", 0), ("behind", 0)]);
         for account in accounts {
             *standings.entry(account.status.name()).or_default() += 1;
--- a/src/direct/stream_watch.rs
+++ b/src/direct/stream_watch.rs
@@ -2,7 +2,7 @@
     super::gateway::Gateway,
     crate::{
         catalog::UpstreamEntry,
-        ops::BROKEN_PAUSES,
+        ops::STREAMS_OVER_TARGET_PAUSE,
         policy::{
             Moment,
             placement::{PauseEvidence, PauseWatch},
@@ -75,7 +75,8 @@
         }
         let entry = &self.entry;
         if evidence.late > 0.0 {
-            metrics::counter!(BROKEN_PAUSES, "service" => entry.service.to_string()).increment(1);
+            metrics::counter!(STREAMS_OVER_TARGET_PAUSE, "service" => entry.service.to_string())
+                .increment(1);
         }
         let changed_rate =
             self.gateway
--- a/src/ops/metric_names.rs
+++ b/src/ops/metric_names.rs
@@ -3,15 +3,15 @@
 /// Requests from callers, by `code` and `ran`.
 pub const REQUESTS: &str = "archmast_requests_total";
 /// Requests that are queued at a router.
-pub const WAITING: &str = "archmast_waiting_requests";
+pub const WAITING_REQUESTS: &str = "archmast_waiting_requests";
 /// Requests that a sidecar's upstream or, in the direct form, the replicas run for this process.
-pub const RUNNING: &str = "archmast_running_requests";
+pub const RUNNING_REQUESTS: &str = "archmast_running_requests";
 /// Grants, by `outcome`: `issued`, `declined`, `expired`.
 pub const GRANTS: &str = "archmast_grants_total";
 /// Bytes of control messages sent, by `kind` of message.
 pub const CONTROL_BYTES: &str = "archmast_control_bytes_total";
 /// Connections of callers that were passed on to another router, which had CPU to spare.
-pub const HANDED_ON: &str = "archmast_connections_handed_on_total";
+pub const CONNECTIONS_HANDED_ON: &str = "archmast_connections_handed_on_total";
 /// Requests sent again, by `why` the attempt before failed.
 pub const RETRIES: &str = "archmast_retries_total";
 /// Revision of the configuration in force.
@@ -22,7 +22,7 @@
 /// did.
 pub const STORE_AGE: &str = "archmast_store_answer_age_seconds";
 /// Suspensions of the process, after which it no longer relies on its state until it is confirmed.
-pub const PAUSES: &str = "archmast_pauses_total";
+pub const SUSPENSIONS: &str = "archmast_pauses_total";
 /// Histogram of the seconds until an answer's head or first event, by `route`.
 pub const ANSWER_SECONDS: &str = "archmast_answer_seconds";
 /// Routers that recently sent a report.
@@ -34,43 +34,43 @@
 /// `over`, `within`, or `behind` for far below.
 pub const ACCOUNTS: &str = "archmast_accounts";
 /// Tokens that are divided among the accounts in one window of the fair shares.
-pub const SHARE_DIVIDED: &str = "archmast_share_divided_tokens";
+pub const SHARE_DIVIDED_TOKENS: &str = "archmast_share_divided_tokens";
 /// Tokens of these that an account may use in a window; -1 if the capacity suffices for all.
-pub const SHARE_LEVEL: &str = "archmast_share_level_tokens";
+pub const SHARE_LEVEL_TOKENS: &str = "archmast_share_level_tokens";
 /// Replicas that get no requests for now, since requests failed there.
-pub const RESTING: &str = "archmast_resting_replicas";
+pub const EJECTED_REPLICAS: &str = "archmast_resting_replicas";
 /// Replicas that are estimated to take at least 1.5 times as long as the other engines of their
 /// service.
 pub const SLOW_REPLICAS: &str = "archmast_slow_replicas";
 /// Notices of replicas about themselves, in answers, that were not known yet, by what one `says`:
 /// `leaves` for a replica that shuts down, `rests` for one that asks for a backoff.
-pub const NOTICES: &str = "archmast_replica_notices_total";
+pub const REPLICA_NOTICES: &str = "archmast_replica_notices_total";
 /// Bytes in memory, by `what`: `answers` that callers are slow to read, or bodies of `requests`.
 pub const HELD_BYTES: &str = "archmast_held_bytes";
 /// Answers that were cut off since their callers did not read them (code 48).
 pub const UNREAD_ANSWERS: &str = "archmast_unread_answers_total";
 /// Replicas whose prompt caches this router follows.
-pub const KEPT_FOLLOWED: &str = "archmast_kept_followed_replicas";
+pub const FOLLOWED_CACHES: &str = "archmast_kept_followed_replicas";
 /// Calls for the cache events of these replicas, by `outcome`: `answered`, `failed`.
-pub const KEPT_CALLS: &str = "archmast_kept_calls_total";
+pub const CACHE_FOLLOW_CALLS: &str = "archmast_kept_calls_total";
 /// Cache events of these replicas, by `kind`: `heard` are new ones; of these, `taken` add a cached
 /// part that was not known, and `given_up` evict one that was.
-pub const KEPT_EVENTS: &str = "archmast_kept_events_total";
+pub const CACHE_EVENTS: &str = "archmast_kept_events_total";
 /// Event streams that ended, by `how`: `whole` for complete ones, `cut` for incomplete ones,
 /// `left` if the caller disconnected.
 pub const STREAMS: &str = "archmast_streams_total";
 /// Event streams with a pause between two events above the target pause of their route, by
 /// `service`. A stream counts once for each replica that serves it.
-pub const BROKEN_PAUSES: &str = "archmast_broken_pauses_total";
+pub const STREAMS_OVER_TARGET_PAUSE: &str = "archmast_broken_pauses_total";
 /// Requests that are held back, since replicas crashed while they ran them.
-pub const HELD: &str = "archmast_held_requests";
+pub const HELD_REQUESTS: &str = "archmast_held_requests";
 /// Messages of other routers that could not be decoded and were dropped, by `code`. A newer build
 /// may send messages that this one does not know.
 pub const MESSAGES_REFUSED: &str = "archmast_messages_refused_total";
 /// Cordoned zones, whose replicas get no new requests, as the operator configured.
-pub const CORDONED: &str = "archmast_cordoned_zones";
+pub const CORDONED_ZONES: &str = "archmast_cordoned_zones";
 /// Cordoned zones in which this router knows no replicas; the name may be wrong.
-pub const CORDONS_UNKNOWN: &str = "archmast_cordoned_unknown_zones";
+pub const CORDONED_UNKNOWN_ZONES: &str = "archmast_cordoned_unknown_zones";
 /// Invalid items of the store that were ignored, by `what` is invalid: `item`, `value`, `cordon`.
 pub const UNREADABLE: &str = "archmast_unreadable_total";
 /// Entries in the store's list of upstreams that are invalid and therefore not used.
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -4,7 +4,7 @@
         fleet::{HostList, HostRole},
         keys::PeerName,
         link::{DialSet, DialTarget},
-        ops::PAUSES,
+        ops::SUSPENSIONS,
         policy::{SidecarSubset, SuspensionDetector},
         wire::ControlMessage,
     },
@@ -99,7 +99,7 @@
     router: &Router,
     suspended_for: Duration,
 ) {
-    metrics::counter!(PAUSES).increment(1);
+    metrics::counter!(SUSPENSIONS).increment(1);
     let detail = format!(
         "stood still for {} ms; views dropped",
         suspended_for.as_millis()
--- a/src/router/status.rs
+++ b/src/router/status.rs
@@ -4,7 +4,9 @@
     super::router::Router,
     crate::{
         fleet::AccountId,
-        ops::{AccountStatus, AuditTrail, PeerStatus, ProcessStatus, StatusSource, WAITING},
+        ops::{
+            AccountStatus, AuditTrail, PeerStatus, ProcessStatus, StatusSource, WAITING_REQUESTS,
+        },
         policy::RequestQueue,
     },
     std::collections::{BTreeSet, HashMap},
@@ -16,7 +18,7 @@
         {
             let waiting = self.waiting.lock().expect("waiting lock");
             status.waiting = waiting.queue.len() as u64;
-            metrics::gauge!(WAITING).set(waiting.queue.len() as f64);
+            metrics::gauge!(WAITING_REQUESTS).set(waiting.queue.len() as f64);
             status.accounts = self.account_statuses(&waiting.queue);
         }
         status.running = self.open_requests().saturating_sub(status.waiting);
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -5,7 +5,7 @@
         keys::PeerName,
         link::{DialSet, DialTarget},
         node::PEERS_TO_CONFIRM,
-        ops::{GRANTS, PAUSES},
+        ops::{GRANTS, SUSPENSIONS},
         policy::{SuspensionDetector, rendezvous},
         wire::ControlMessage,
     },
@@ -111,7 +111,7 @@
     sidecar: &Sidecar,
     suspended_for: Duration,
 ) {
-    metrics::counter!(PAUSES).increment(1);
+    metrics::counter!(SUSPENSIONS).increment(1);
     let detail = format!(
         "stood still for {} ms; grants void",
         suspended_for.as_millis()
--- a/src/sidecar/status.rs
+++ b/src/sidecar/status.rs
@@ -2,7 +2,9 @@
 
 use {
     super::{dispatch_table::DispatchTable, sidecar::Sidecar},
-    crate::ops::{AccountStatus, AuditTrail, PeerStatus, ProcessStatus, RUNNING, StatusSource},
+    crate::ops::{
+        AccountStatus, AuditTrail, PeerStatus, ProcessStatus, RUNNING_REQUESTS, StatusSource,
+    },
 };
 
 impl StatusSource for Sidecar {
@@ -13,7 +15,7 @@
             let running = table.dispatcher.running();
             let contended = table.dispatcher.waiting() > 0;
             table.clock.observe(self.node.now(), running, contended);
-            metrics::gauge!(RUNNING).set(running as f64);
+            metrics::gauge!(RUNNING_REQUESTS).set(running as f64);
             status.running = running as u64;
             status.waiting = table.dispatcher.waiting();
             status.slots = self.settings.slots;
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -3,7 +3,7 @@
 
 use {
     super::{sidecar::Sidecar, upstream_restart::wait_for_upstream_restart},
-    crate::{ops::NOTICES, policy::ReplicaNotice},
+    crate::{ops::REPLICA_NOTICES, policy::ReplicaNotice},
     std::sync::{Arc, atomic::Ordering},
 };
 
@@ -17,7 +17,7 @@
         if notice.is_empty() {
             return;
         }
-        metrics::counter!(NOTICES, "says" => notice.kind()).increment(1);
+        metrics::counter!(REPLICA_NOTICES, "says" => notice.kind()).increment(1);
         log::info!(
             request_id = request_id,
             leaves = notice.is_leaving,
