--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -4,9 +4,9 @@
 //! `docs/PLATFORM-PROTOCOL.md` states the protocol.
 
 mod platform_client;
-mod watched;
+mod watched_value;
 
-pub use {platform_client::PlatformClient, watched::Watched};
+pub use {platform_client::PlatformClient, watched_value::WatchedValue};
 
 /// The key of the configuration's value.
 pub const FLEET_KEY: &str = "fleet";
--- a/src/directory/platform_client.rs
+++ b/src/directory/platform_client.rs
@@ -1,5 +1,5 @@
 use {
-    super::{REVISION_HEADER, Watched},
+    super::{REVISION_HEADER, WatchedValue},
     crate::{
         catalog::WatchTiming,
         codes::{Fault, ResultCode},
@@ -44,7 +44,7 @@
         key: &str,
         after: Revision,
         timing: WatchTiming,
-    ) -> Result<Option<Watched>, Fault> {
+    ) -> Result<Option<WatchedValue>, Fault> {
         let url = format!(
             "{}/watch/{key}?after={after}&wait_ms={}",
             self.base,
@@ -65,14 +65,14 @@
                 )
             })?;
         let text = text(response).await?;
-        Ok(Some(Watched { revision, text }))
+        Ok(Some(WatchedValue { revision, text }))
     }
 
     /// Reads a value; `None` if the key has none. Fails with codes 80 to 82.
     pub async fn read(
         &self,
         key: &str,
-    ) -> Result<Option<Watched>, Fault> {
+    ) -> Result<Option<WatchedValue>, Fault> {
         let no_wait = WatchTiming {
             wait: Duration::ZERO,
             limit: CALL_TIMEOUT,
--- a/src/node/watches.rs
+++ b/src/node/watches.rs
@@ -4,7 +4,7 @@
         catalog::WatchPacing,
         codes::{Fault, ResultCode},
         conf::PlatformSettings,
-        directory::{FLEET_KEY, HOSTS_KEY, PlatformClient, Watched},
+        directory::{FLEET_KEY, HOSTS_KEY, PlatformClient, WatchedValue},
         fleet::{HostList, Revision, VersionedConfig, sha256_hex},
         policy::Verdict,
     },
@@ -64,7 +64,7 @@
 async fn apply_config(
     node: &Node,
     client: &PlatformClient,
-    watched: &Watched,
+    watched: &WatchedValue,
 ) -> Result<(), Fault> {
     let digest = sha256_hex(watched.text.as_bytes());
     let parts = match node.config.judge(watched.revision, &digest) {
@@ -99,7 +99,7 @@
 
 fn apply_hosts(
     node: &Node,
-    watched: &Watched,
+    watched: &WatchedValue,
 ) -> Result<(), Fault> {
     let hosts: HostList = serde_json::from_str(&watched.text)
         .map_err(|error| Fault::new(ResultCode::PlatformReply, error))?;
