--- a/src/ops/json_log.rs
+++ b/src/ops/json_log.rs
@@ -33,7 +33,7 @@
     };
     let host = host.to_owned();
     pipe.set_as_process_log();
-    let dropped = pipe.lost();
+    let dropped = pipe.dropped_lines();
     let uptime = Uptime::start();
     let rate = Mutex::new(LogRate::new(MAX_LINES_PER_SECOND, uptime.now()));
     let started = Builder::from_env(Env::default().default_filter_or(DEFAULT_FILTER))
--- a/src/ops/log_pipe.rs
+++ b/src/ops/log_pipe.rs
@@ -55,7 +55,7 @@
     }
 
     /// The number of lines that were dropped, since the buffer was full.
-    pub fn lost(&self) -> Arc<AtomicU64> {
+    pub fn dropped_lines(&self) -> Arc<AtomicU64> {
         self.dropped.clone()
     }
 
--- a/src/ops/log_rate.rs
+++ b/src/ops/log_rate.rs
@@ -51,7 +51,7 @@
     }
 
     /// Counts a line that was admitted but could not be written.
-    pub fn lost(&mut self) {
+    pub fn record_dropped(&mut self) {
         self.left_out += 1;
     }
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -65,7 +65,7 @@
 fn a_reader_that_stands_still_costs_lines_and_holds_nobody_up() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let mut pipe = LogPipe::start(StuckReader(gate.clone())).expect("a thread");
-    let lost = pipe.lost();
+    let lost = pipe.dropped_lines();
     // Every write returns, although nothing is read: this test would not end.
     for number in 0..20_000 {
         writeln!(pipe, "line {number} of many that nobody reads").expect("writing never fails");
