--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -21,32 +21,32 @@
     pub path: String, // of the settings file; empty if there is none
     pub process: ProcessSettings,
     pub operator: OperatorSettings,
-    pub callers: SocketAddr,               // HTTP address for callers
+    pub caller_listen: SocketAddr,         // HTTP address for callers
     pub max_connections: usize,            // of callers; beyond it idle ones are closed
     pub regions: BTreeMap<String, String>, // of zones, by zone
     pub answer_memory: MemoryBudget,       // for answers that callers are slow to read
     pub request_memory: MemoryBudget,      // for bodies of requests
-    pub most_busy: f64, // busy fraction of the CPU above which the router reports not ready
-    pub hand_on: f64,   // busy fraction of the CPU above which connections go to neighbours
-    pub ready: SocketAddr, // HTTP address for the balancer's readiness checks
-    pub ready_path: String, // path of these checks
-    pub peers: SocketAddr, // UDP address for reports of peers
-    pub news: SocketAddr, // QUIC address for peers that fetch the catalog
-    pub seeds: Vec<SocketAddr>, // UDP addresses of some peers
+    pub max_busy_share: f64, // busy fraction of the CPU above which the router reports not ready
+    pub hand_on_busy_share: f64, // busy fraction of the CPU above which connections go to neighbours
+    pub ready_listen: SocketAddr, // HTTP address for the balancer's readiness checks
+    pub ready_path: String,      // path of these checks
+    pub peer_listen: SocketAddr, // UDP address for reports of peers
+    pub update_listen: SocketAddr, // QUIC address for peers that fetch the catalog
+    pub seeds: Vec<SocketAddr>,  // UDP addresses of some peers
     pub peer_interval: Duration, // between two reports to peers
-    pub peer_age: Duration, // age from which a peer's report is ignored
-    pub peer_forget: Duration, // silence after which a peer is removed
-    pub catalog: SocketAddr, // address of the store
-    pub catalog_pace: WatchPacing, // timing of calls to the store
+    pub peer_age: Duration,      // age from which a peer's report is ignored
+    pub peer_retention: Duration, // silence after which a peer is removed
+    pub store_address: SocketAddr, // address of the store
+    pub store_pacing: WatchPacing, // timing of calls to the store
     pub placement: PlacementSettings,
-    pub follow_kept: bool, // whether cache events of replicas are followed
+    pub follow_caches: bool, // whether cache events of replicas are followed
     pub start_bounds: SlowStartBounds, // for replicas that have just started
     pub share_window: Duration, // over which usage is compared with fair shares
-    pub retry_ratio: f64,  // retries per request
-    pub retry_extra: f64,  // additional retries of the whole fleet in a window
+    pub retry_ratio: f64,    // retries per request
+    pub retry_extra: f64,    // additional retries of the whole fleet in a window
     pub retry_window: Duration, // over which requests and retries are counted
-    pub let_through: BTreeSet<RequestDigest>, // requests that are never held back
-    pub grace: Duration,   // from the stop signal until the process is killed
+    pub never_held: BTreeSet<RequestDigest>, // requests that are never held back
+    pub grace: Duration,     // from the stop signal until the process is killed
     pub balancer_lag: Duration, // from the stop signal until requests are refused
 }
 
@@ -78,10 +78,10 @@
     /// The addresses at which this process listens, UDP and TCP.
     pub fn own_addresses(&self) -> Vec<SocketAddr> {
         vec![
-            self.callers,
-            self.ready,
-            self.peers,
-            self.news,
+            self.caller_listen,
+            self.ready_listen,
+            self.peer_listen,
+            self.update_listen,
             self.operator.listen,
         ]
     }
@@ -102,7 +102,7 @@
             path: String::new(),
             process: ProcessSettings::read(file)?,
             operator: OperatorSettings::read(file)?,
-            callers: callers.parsed("listen", "an IP:port")?,
+            caller_listen: callers.parsed("listen", "an IP:port")?,
             max_connections: callers.number("max_connections", 1..=1_000_000)?,
             regions: regions(file)?,
             answer_memory: MemoryBudget {
@@ -113,12 +113,12 @@
                 per_connection: memory / REQUESTS_DIVISOR,
                 total: memory / REQUESTS_DIVISOR,
             },
-            most_busy: callers.number("most_busy", 0.01..=1.0)?,
-            hand_on: callers.number("hand_on", 0.0..=1.0)?,
-            ready: ready.parsed("listen", "an IP:port")?,
+            max_busy_share: callers.number("most_busy", 0.01..=1.0)?,
+            hand_on_busy_share: callers.number("hand_on", 0.0..=1.0)?,
+            ready_listen: ready.parsed("listen", "an IP:port")?,
             ready_path: ready.text("path")?.to_owned(),
-            peers: peers.parsed("listen", "an IP:port")?,
-            news: peers.parsed("news", "an IP:port")?,
+            peer_listen: peers.parsed("listen", "an IP:port")?,
+            update_listen: peers.parsed("news", "an IP:port")?,
             seeds: peers
                 .list("seeds")
                 .into_iter()
@@ -131,11 +131,11 @@
                 .collect::<Result<_, _>>()?,
             peer_interval: peers.duration("interval", 10 * ms..=10 * second)?,
             peer_age,
-            peer_forget: peers.duration("forget", second..=3600 * second)?,
-            catalog: catalog.parsed("address", "an IP:port")?,
-            catalog_pace: catalog_pace(file)?,
+            peer_retention: peers.duration("forget", second..=3600 * second)?,
+            store_address: catalog.parsed("address", "an IP:port")?,
+            store_pacing: catalog_pace(file)?,
             placement: placement(file, peer_age)?,
-            follow_kept: file.section("caches")?.number("follow", 0..=1)? == 1,
+            follow_caches: file.section("caches")?.number("follow", 0..=1)? == 1,
             start_bounds: start_bounds(file)?,
             share_window: file
                 .section("shares")?
@@ -143,7 +143,7 @@
             retry_ratio: retry.number("ratio", 0.0..=1.0)?,
             retry_extra: retry.number("extra", 0.0..=1e6)?,
             retry_window: retry.duration("window", 100 * ms..=600 * second)?,
-            let_through: let_through(file)?,
+            never_held: let_through(file)?,
             grace: stop.duration("grace", 500 * ms..=600 * second)?,
             balancer_lag: stop.duration("balancer_lag", Duration::ZERO..=600 * second)?,
         })
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
     pub address: SocketAddr,
-    pub pace: WatchPacing,        // timing of calls to the service
+    pub pacing: WatchPacing,      // timing of calls to the service
     pub bootstrap_wait: Duration, // limit of the time to ask peers for a newer configuration at start
     pub seeds: Vec<DialTarget>,   // peers to dial before a host list is known
 }
@@ -37,7 +37,7 @@
         }
         Ok(Self {
             address: section.parsed("address", "an IP:port")?,
-            pace,
+            pacing: pace,
             bootstrap_wait: section.duration("bootstrap_wait", Duration::ZERO..=60 * second)?,
             seeds,
         })
--- a/src/conf/router_settings.rs
+++ b/src/conf/router_settings.rs
@@ -13,7 +13,7 @@
     pub link: LinkSettings,
     pub platform: PlatformSettings,
     pub operator: OperatorSettings,
-    pub callers: SocketAddr,       // HTTP address for callers
+    pub caller_listen: SocketAddr, // HTTP address for callers
     pub max_body: u64,             // of one request, in bytes
     pub max_requests: usize,       // queued, of all accounts
     pub max_bytes: u64,            // of all queued requests
@@ -22,7 +22,7 @@
     pub demand_interval: Duration, // between two announcements of queued requests to sidecars
     pub demand_budget: u64, // bytes of announcements a second, to all sidecars
     pub demand_cap: u32,    // largest count of requests in one announcement
-    pub reach: usize,       // sidecars to connect to at first; 0 for all
+    pub initial_sidecars: usize, // sidecars to connect to at first; 0 for all
     pub retry_fraction: f64, // retries per request
     pub prefix_slack: Duration, // a request with a cached prefix may overtake one that waits at most this much longer
     pub prefix_bytes: usize,    // of the prompt that count as its prefix
@@ -56,7 +56,7 @@
             link: LinkSettings::read(file)?,
             platform: PlatformSettings::read(file)?,
             operator: OperatorSettings::read(file)?,
-            callers: callers.parsed("listen", "an IP:port")?,
+            caller_listen: callers.parsed("listen", "an IP:port")?,
             max_body: callers.size("max_body", 1..=64 << 20)?,
             max_requests: waiting.number("max_requests", 1..=10_000_000)?,
             max_bytes: waiting.size("max_bytes", 1..=64 << 30)?,
@@ -65,7 +65,7 @@
             demand_interval: dispatch.duration("demand_interval", second / 1000..=second)?,
             demand_budget: dispatch.size("demand_budget", 100..=1 << 30)?,
             demand_cap: dispatch.number("demand_cap", 1..=100_000)?,
-            reach: dispatch.number("reach", 0..=100_000)?,
+            initial_sidecars: dispatch.number("reach", 0..=100_000)?,
             retry_fraction: dispatch.number("retry_fraction", 0.0..=1.0)?,
             prefix_slack: dispatch.duration("prefix_slack", Duration::ZERO..=60 * second)?,
             prefix_bytes: dispatch.size("prefix_bytes", 1..=1 << 20)? as usize,
--- a/src/conf/sidecar_settings.rs
+++ b/src/conf/sidecar_settings.rs
@@ -19,7 +19,7 @@
     pub operator: OperatorSettings,
     pub upstream: SocketAddr,      // the upstream beside this process
     pub slots: u32,                // requests that the upstream runs at once
-    pub ahead: u32,                // most granted requests held ready for a free slot
+    pub max_ready: u32,            // most granted requests held ready for a free slot
     pub silence_limit: Duration,   // longest wait for the next byte of the upstream
     pub order: OrderMode, // order of service: fair, or by arrival as a baseline for measurements
     pub totals: TotalsMode, // whether service in the whole fleet counts, or here only as a baseline
@@ -73,7 +73,7 @@
             operator: OperatorSettings::read(file)?,
             upstream: upstream.parsed("address", "an IP:port")?,
             slots: upstream.number("slots", 1..=100_000)?,
-            ahead: upstream.number("ahead", 0..=10_000)?,
+            max_ready: upstream.number("ahead", 0..=10_000)?,
             silence_limit: upstream.duration("silence_limit", second / 10..=3600 * second)?,
             order,
             totals,
--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -45,7 +45,7 @@
     let mut followed: HashMap<u32, JoinHandle<()>> = HashMap::new();
     loop {
         followed.retain(|_, task| !task.is_finished());
-        if gateway.settings().follow_kept {
+        if gateway.settings().follow_caches {
             let replicas = model_replicas(&gateway).into_iter();
             for entry in replicas.filter(|entry| should_follow(&gateway, entry)) {
                 if let Entry::Vacant(vacant) = followed.entry(entry.start_hash()) {
@@ -63,7 +63,7 @@
     entry: &UpstreamEntry,
 ) -> bool {
     let settings = gateway.settings();
-    settings.follow_kept
+    settings.follow_caches
         && *entry.zone == *settings.process.zone
         && !gateway.is_stopping()
         && gateway
--- a/src/direct/caller_connections.rs
+++ b/src/direct/caller_connections.rs
@@ -129,7 +129,7 @@
             .neighbour_for_new_connection()
             .filter(|_| !was_forwarded)
         {
-            let own_address = self.gateway.settings().callers;
+            let own_address = self.gateway.settings().caller_listen;
             let started = self.gateway.now();
             match connect_to_neighbour(own_address, neighbour).await {
                 Ok(connection) => {
--- a/src/direct/gateway.rs
+++ b/src/direct/gateway.rs
@@ -73,7 +73,7 @@
             settings.retry_extra,
         );
         let own = RouterContact {
-            address: settings.peers,
+            address: settings.peer_listen,
             zone: name_hash(&settings.process.zone),
         };
         let mut replica_table = ReplicaTable::new(settings.placement);
@@ -101,7 +101,7 @@
             replica_table: Mutex::new(replica_table),
             shares: Mutex::new(ShareTracker::new(settings.share_window, settings.peer_age)),
             retries: Mutex::new(retries),
-            suspects: Mutex::new(SuspectTracker::new(settings.let_through.clone())),
+            suspects: Mutex::new(SuspectTracker::new(settings.never_held.clone())),
             stopping: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
             placement_started: AtomicBool::new(false),
@@ -129,7 +129,7 @@
             settings.retry_ratio,
             settings.retry_extra,
         );
-        self.suspects().set_exempt(settings.let_through.clone());
+        self.suspects().set_exempt(settings.never_held.clone());
         self.peers.add_seeds(&settings.seeds);
         *self.settings.write().expect("settings lock") = Arc::new(settings);
     }
@@ -201,8 +201,8 @@
     pub fn router_count(&self) -> usize {
         let settings = self.settings();
         let now = self.now();
-        let own_zone = self.peers.live_count(now, settings.peer_forget) + 1;
-        let other_zones = self.zones.router_count(now, settings.peer_forget);
+        let own_zone = self.peers.live_count(now, settings.peer_retention) + 1;
+        let other_zones = self.zones.router_count(now, settings.peer_retention);
         (own_zone + other_zones).max(settings.seeds.len())
     }
 
@@ -218,7 +218,8 @@
 
     /// The least Retry-After for refused callers.
     pub fn min_retry_after(&self) -> Duration {
-        self.processor.min_retry_after(self.settings().most_busy)
+        self.processor
+            .min_retry_after(self.settings().max_busy_share)
     }
 
     /// Refuses requests from now on.
@@ -247,7 +248,7 @@
 
     /// Whether this router cannot read the store, so that another of the zone should.
     pub fn is_store_unavailable(&self) -> bool {
-        let apply = self.settings().catalog_pace.apply;
+        let apply = self.settings().store_pacing.apply;
         self.store_reads.is_unavailable(self.now(), apply)
     }
 
--- a/src/direct/processor_watch.rs
+++ b/src/direct/processor_watch.rs
@@ -104,7 +104,7 @@
     ) {
         let settings = self.gateway.settings();
         let own_busy = self.short_term_busy.share();
-        if settings.hand_on < 1.0 && own_busy >= settings.hand_on {
+        if settings.hand_on_busy_share < 1.0 && own_busy >= settings.hand_on_busy_share {
             self.forwarding_until = now + MIN_FORWARDING_TIME;
         }
         let neighbours = if now < self.forwarding_until {
@@ -134,7 +134,7 @@
         let own_busy = self.busy.share();
         let others = self.gateway.peers.mean_busy(now, settings.peer_age);
         let is_busier = others.is_some_and(|percent| own_busy > percent / 100.0 * PAUSE_BUSY_RATIO);
-        own_busy > settings.most_busy && is_busier
+        own_busy > settings.max_busy_share && is_busier
     }
 
     /// The time that the runtime's threads have been busy since the start, on average.
--- a/src/direct/ready_port.rs
+++ b/src/direct/ready_port.rs
@@ -18,7 +18,7 @@
 /// The server for the load balancer's health checks, ready to launch. Fails if the
 /// configured address or path is unusable.
 pub async fn ready_server(gateway: Arc<Gateway>) -> Result<Rocket<Ignite>, rocket::Error> {
-    let config = quiet_config(gateway.settings().ready);
+    let config = quiet_config(gateway.settings().ready_listen);
     let path = gateway.settings().ready_path.clone();
     let route = Route::new(Method::Get, &path, ReadyPort { gateway });
     rocket::custom(config)
--- a/src/direct/serve.rs
+++ b/src/direct/serve.rs
@@ -54,14 +54,14 @@
     let hangup = signal(SignalKind::hangup()).change_context_lazy(failed)?;
     let catalog = Arc::new(Catalog::new(parse_config, parse_replica));
     catalog.exclude_addresses(settings.own_addresses());
-    let pace = settings.catalog_pace;
-    let store = StoreClient::new(settings.catalog, pace.read_time());
+    let pace = settings.store_pacing;
+    let store = StoreClient::new(settings.store_address, pace.read_time());
     let store = Arc::new(store.change_context_lazy(failed)?);
     let gateway = Arc::new(Gateway::new(settings.clone(), dialect(), catalog.clone()));
     let link = PeerLink::bind(gateway.clone())
         .await
         .change_context_lazy(failed)?;
-    let listener = CallerConnections::bind(settings.callers).change_context_lazy(failed)?;
+    let listener = CallerConnections::bind(settings.caller_listen).change_context_lazy(failed)?;
     let ready = ready_server(gateway.clone())
         .await
         .change_context_lazy(failed)?;
@@ -86,8 +86,8 @@
     let accepting = tokio::spawn(connections.clone().accept(listener));
     let readiness = tokio::spawn(ready.launch());
     log::info!(
-        callers = settings.callers.to_string().as_str(),
-        peers = settings.peers.to_string().as_str();
+        callers = settings.caller_listen.to_string().as_str(),
+        peers = settings.peer_listen.to_string().as_str();
         "router started"
     );
     tokio::select! {
--- a/src/node/watches.rs
+++ b/src/node/watches.rs
@@ -22,7 +22,7 @@
     let mut failed = false;
     loop {
         let started_at = Instant::now();
-        let timing = settings.pace.next_watch(failed);
+        let timing = settings.pacing.next_watch(failed);
         let outcome = match client.watch(FLEET_KEY, seen, timing).await {
             Ok(Some(watched)) => {
                 let outcome = apply_config(&node, &client, &watched).await;
@@ -34,7 +34,7 @@
             Ok(None) => Ok(()),
             Err(error) => Err(error),
         };
-        failed = pause_if_failed(outcome, FLEET_KEY, &settings.pace, started_at).await;
+        failed = pause_if_failed(outcome, FLEET_KEY, &settings.pacing, started_at).await;
     }
 }
 
@@ -48,7 +48,7 @@
     let mut failed = false;
     loop {
         let started_at = Instant::now();
-        let timing = settings.pace.next_watch(failed);
+        let timing = settings.pacing.next_watch(failed);
         let outcome = match client.watch(HOSTS_KEY, seen, timing).await {
             Ok(Some(watched)) => {
                 seen = watched.revision;
@@ -57,7 +57,7 @@
             Ok(None) => Ok(()),
             Err(error) => Err(error),
         };
-        failed = pause_if_failed(outcome, HOSTS_KEY, &settings.pace, started_at).await;
+        failed = pause_if_failed(outcome, HOSTS_KEY, &settings.pacing, started_at).await;
     }
 }
 
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -62,12 +62,14 @@
         let failed = |error: std::io::Error| Fault::new(ResultCode::StartFailed, error);
         let settings = gateway.settings();
         let (server, client) = quic_configs()?;
-        let mut endpoint = Endpoint::server(server, settings.news).map_err(failed)?;
+        let mut endpoint = Endpoint::server(server, settings.update_listen).map_err(failed)?;
         endpoint.set_default_client_config(client);
-        let socket = UdpSocket::bind(settings.peers).await.map_err(failed)?;
+        let socket = UdpSocket::bind(settings.peer_listen)
+            .await
+            .map_err(failed)?;
         Ok(Arc::new(Self {
             endpoint,
-            update_address: settings.news,
+            update_address: settings.update_listen,
             socket,
             incarnation: Uptime::unix_millis(),
             sequence: AtomicU64::new(0),
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -46,11 +46,11 @@
             let now = self.gateway.now();
             let settings = self.gateway.settings();
             let peers = &self.gateway.peers;
-            for address in peers.remove_silent(now, settings.peer_forget) {
+            for address in peers.remove_silent(now, settings.peer_retention) {
                 log::info!(peer = address.to_string().as_str(); "silent router removed");
                 self.gateway.shares().remove_reporter(router_hash(&address));
             }
-            metrics::gauge!(PEERS).set(peers.live_count(now, settings.peer_forget) as f64);
+            metrics::gauge!(PEERS).set(peers.live_count(now, settings.peer_retention) as f64);
             let addresses = peers.own_zone_addresses();
             self.send_reports(now, &addresses).await;
             self.send_suspects(now, &addresses).await;
@@ -79,7 +79,7 @@
         interval: Duration,
     ) {
         let now = self.gateway.now();
-        let removal_age = self.gateway.settings().peer_forget;
+        let removal_age = self.gateway.settings().peer_retention;
         let fleet = FleetSize {
             in_zone: self.gateway.peers.live_count(now, removal_age) + 1,
             total: self.gateway.router_count(),
@@ -102,7 +102,7 @@
         let peers = &self.gateway.peers;
         let live = peers.live_addresses(now, PEER_SILENCE_LIMIT);
         let live_hashes = live.iter().map(stable_hash).collect();
-        let known = peers.live_count(now, self.gateway.settings().peer_forget);
+        let known = peers.live_count(now, self.gateway.settings().peer_retention);
         ZoneRouters::new(now, stable_hash(&peers.own().address), live_hashes, known)
     }
 
@@ -117,7 +117,7 @@
             let report = RouterReport {
                 address: gateway.peers.own().address,
                 update_address: self.update_address,
-                caller_address: settings.callers,
+                caller_address: settings.caller_listen,
                 zone: gateway.peers.own().zone,
                 incarnation: self.incarnation,
                 sequence: self.next_sequence(),
--- a/src/router/caller_port.rs
+++ b/src/router/caller_port.rs
@@ -61,7 +61,7 @@
 
 /// The HTTP server for callers, ready to launch.
 pub async fn caller_server(router: Arc<Router>) -> Result<Rocket<Ignite>, rocket::Error> {
-    let mut config = quiet_config(router.settings.callers);
+    let mut config = quiet_config(router.settings.caller_listen);
     config.workers = router.settings.process.workers;
     config.shutdown.grace = FLUSH_TIMEOUT_SECONDS;
     config.shutdown.mercy = FLUSH_TIMEOUT_SECONDS;
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -25,7 +25,7 @@
 ) {
     let mut suspensions =
         SuspensionDetector::new(router.settings.process.pause_limit, router.node.now());
-    let mut subset = SidecarSubset::new(router.settings.reach);
+    let mut subset = SidecarSubset::new(router.settings.initial_sidecars);
     let mut lists = router.node.hosts.subscribe();
     let mut last_sweep = router.node.now();
     let mut ticks = tokio::time::interval(HOUSEKEEPING_INTERVAL);
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -58,7 +58,7 @@
     router.set_link(link.clone());
     let dials = Arc::new(DialSet::new(
         link.clone(),
-        settings.platform.pace.retry_pause,
+        settings.platform.pacing.retry_pause,
     ));
     start_watches(&node, &settings.platform, &dials).change_context_lazy(failed)?;
     tokio::spawn(link.clone().accept());
@@ -80,7 +80,7 @@
     let shutdown = server.shutdown();
     let callers = tokio::spawn(server.launch());
     log::info!(
-        callers = settings.callers.to_string().as_str(),
+        callers = settings.caller_listen.to_string().as_str(),
         link = settings.link.listen.to_string().as_str(),
         operator = settings.operator.listen.to_string().as_str();
         "router started"
--- a/src/sidecar/serve.rs
+++ b/src/sidecar/serve.rs
@@ -60,7 +60,7 @@
     sidecar.set_link(link.clone());
     let dials = Arc::new(DialSet::new(
         link.clone(),
-        settings.platform.pace.retry_pause,
+        settings.platform.pacing.retry_pause,
     ));
     start_watches(&node, &settings.platform, &dials).change_context_lazy(failed)?;
     tokio::spawn(link.clone().accept());
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -69,7 +69,7 @@
     ) -> Self {
         let dispatch_settings = DispatchSettings {
             slots: settings.slots,
-            max_ready: settings.ahead,
+            max_ready: settings.max_ready,
             order: settings.order,
             totals: settings.totals,
             slack: settings.slack,
--- a/tests/direct_settings.rs
+++ b/tests/direct_settings.rs
@@ -76,7 +76,7 @@
         (1_250_000, 20_000_000)
     );
     assert_eq!(requests.total, 40_000_000);
-    assert_eq!(settings.catalog_pace.apply, Duration::from_millis(2500));
+    assert_eq!(settings.store_pacing.apply, Duration::from_millis(2500));
     let starts = settings.start_bounds;
     assert_eq!((starts.overage, starts.tolerance), (1.5, 5.0));
     assert_eq!(settings.grace, Duration::from_secs(8));
@@ -87,7 +87,7 @@
 #[test]
 fn where_the_sheet_names_no_bounds_of_starts_and_cordons_the_strictest_hold() {
     let settings = read(&filled_where_bounds_lack()).expect("a valid file");
-    assert_eq!(settings.catalog_pace.apply, Duration::from_secs(3));
+    assert_eq!(settings.store_pacing.apply, Duration::from_secs(3));
     let starts = settings.start_bounds;
     assert_eq!((starts.overage, starts.tolerance), (1.0, 0.0));
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -63,7 +63,7 @@
 /// of 15 s counted as lost 5 s later (20 s by the shipped settings).
 #[test]
 fn a_watch_that_gets_lost_costs_less_than_a_configuration_may_take() {
-    let pace = sidecar(SIDECAR).expect("good settings").platform.pace;
+    let pace = sidecar(SIDECAR).expect("good settings").platform.pacing;
     assert_eq!(pace.apply, Duration::from_secs(18));
     let waiting = pace.next_watch(false);
     assert!(waiting.wait < waiting.limit);
--- a/tests/silent_store.rs
+++ b/tests/silent_store.rs
@@ -199,7 +199,7 @@
                      [catalog]\naddress = 10.0.0.9:6\n";
     let document = IniDocument::parse("router.ini", addresses).expect("settings");
     let settings = DirectSettings::from_document(document).expect("settings");
-    settings.catalog_pace
+    settings.store_pacing
 }
 
 /// A catalog that follows the store by the shipped settings.
