--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -18,36 +18,64 @@
 /// Settings of a router of the direct form, which sends requests to the replicas itself.
 #[derive(Debug, Clone)]
 pub struct DirectSettings {
-    pub path: String, // of the settings file; empty if there is none
+    /// Path of the settings file; empty if there is none.
+    pub path: String,
     pub process: ProcessSettings,
     pub operator: OperatorSettings,
-    pub caller_listen: SocketAddr,         // HTTP address for callers
-    pub max_connections: usize,            // of callers; beyond it idle ones are closed
-    pub regions: BTreeMap<String, String>, // of zones, by zone
-    pub answer_memory: MemoryBudget,       // for answers that callers are slow to read
-    pub request_memory: MemoryBudget,      // for bodies of requests
-    pub max_busy_share: f64, // busy fraction of the CPU above which the router reports not ready
-    pub hand_on_busy_share: f64, // busy fraction of the CPU above which connections go to neighbours
-    pub ready_listen: SocketAddr, // HTTP address for the balancer's readiness checks
-    pub ready_path: String,      // path of these checks
-    pub peer_listen: SocketAddr, // UDP address for reports of peers
-    pub update_listen: SocketAddr, // QUIC address for peers that fetch the catalog
-    pub seeds: Vec<SocketAddr>,  // UDP addresses of some peers
-    pub peer_interval: Duration, // between two reports to peers
-    pub peer_age: Duration,      // age from which a peer's report is ignored
-    pub peer_retention: Duration, // silence after which a peer is removed
-    pub store_address: SocketAddr, // address of the store
-    pub store_pacing: WatchPacing, // timing of calls to the store
+    /// HTTP address for callers.
+    pub caller_listen: SocketAddr,
+    /// Open connections of callers beyond which idle ones are closed.
+    pub max_connections: usize,
+    /// The region of each availability zone, by zone.
+    pub regions: BTreeMap<String, String>,
+    /// Memory for answers that callers are slow to read.
+    pub answer_memory: MemoryBudget,
+    /// Memory for bodies of requests.
+    pub request_memory: MemoryBudget,
+    /// Busy fraction of the CPU, 0 to 1, above which the router reports itself as not ready.
+    pub max_busy_share: f64,
+    /// Busy fraction of the CPU, 0 to 1, above which new connections of callers are passed on to
+    /// routers of the same zone; 1 disables this.
+    pub hand_on_busy_share: f64,
+    /// HTTP address for the balancer's readiness checks.
+    pub ready_listen: SocketAddr,
+    /// Path of the balancer's readiness checks.
+    pub ready_path: String,
+    /// UDP address for reports of peers.
+    pub peer_listen: SocketAddr,
+    /// QUIC address for peers that fetch the catalog.
+    pub update_listen: SocketAddr,
+    /// UDP addresses of some peers.
+    pub seeds: Vec<SocketAddr>,
+    /// Interval between two reports to peers.
+    pub peer_interval: Duration,
+    /// Age from which a peer's report is ignored.
+    pub peer_age: Duration,
+    /// Silence after which a peer is removed.
+    pub peer_retention: Duration,
+    /// Address of the store.
+    pub store_address: SocketAddr,
+    /// Timing of calls to the store.
+    pub store_pacing: WatchPacing,
     pub placement: PlacementSettings,
-    pub follow_caches: bool, // whether cache events of replicas are followed
-    pub start_bounds: SlowStartBounds, // for replicas that have just started
-    pub share_window: Duration, // over which usage is compared with fair shares
-    pub retry_ratio: f64,    // retries per request
-    pub retry_extra: f64,    // additional retries of the whole fleet in a window
-    pub retry_window: Duration, // over which requests and retries are counted
-    pub never_held: BTreeSet<RequestDigest>, // requests that are never held back
-    pub grace: Duration,     // from the stop signal until the process is killed
-    pub balancer_lag: Duration, // from the stop signal until requests are refused
+    /// Whether cache events of replicas are followed.
+    pub follow_caches: bool,
+    /// Limits on requests to replicas that have just started.
+    pub start_bounds: SlowStartBounds,
+    /// Time over which usage is compared with fair shares.
+    pub share_window: Duration,
+    /// Retries per request.
+    pub retry_ratio: f64,
+    /// Additional retries of the whole fleet in a window.
+    pub retry_extra: f64,
+    /// Time over which requests and retries are counted.
+    pub retry_window: Duration,
+    /// Requests that are never held back.
+    pub never_held: BTreeSet<RequestDigest>,
+    /// Time from the stop signal until the process is killed.
+    pub grace: Duration,
+    /// Time from the stop signal until requests are refused.
+    pub balancer_lag: Duration,
 }
 
 /// The process's memory limit divided by these is the budget for one answer, for all answers, and
@@ -133,7 +161,7 @@
             peer_age,
             peer_retention: peers.duration("forget", second..=3600 * second)?,
             store_address: catalog.parsed("address", "an IP:port")?,
-            store_pacing: catalog_pace(file)?,
+            store_pacing: store_pacing(file)?,
             placement: placement(file, peer_age)?,
             follow_caches: file.section("caches")?.number("follow", 0..=1)? == 1,
             start_bounds: start_bounds(file)?,
@@ -143,7 +171,7 @@
             retry_ratio: retry.number("ratio", 0.0..=1.0)?,
             retry_extra: retry.number("extra", 0.0..=1e6)?,
             retry_window: retry.duration("window", 100 * ms..=600 * second)?,
-            never_held: let_through(file)?,
+            never_held: never_held(file)?,
             grace: stop.duration("grace", 500 * ms..=600 * second)?,
             balancer_lag: stop.duration("balancer_lag", Duration::ZERO..=600 * second)?,
         })
@@ -165,7 +193,7 @@
     pairs.collect()
 }
 
-fn let_through(file: &SettingsFile) -> Result<BTreeSet<RequestDigest>, ConfError> {
+fn never_held(file: &SettingsFile) -> Result<BTreeSet<RequestDigest>, ConfError> {
     let section = file.section("suspects")?;
     let words = section.list("let_through").into_iter();
     let digests = words.map(|word| {
@@ -177,7 +205,7 @@
     digests.collect()
 }
 
-fn catalog_pace(file: &SettingsFile) -> Result<WatchPacing, ConfError> {
+fn store_pacing(file: &SettingsFile) -> Result<WatchPacing, ConfError> {
     let section = file.section("catalog")?;
     let (ms, second) = (Duration::from_millis(1), Duration::from_secs(1));
     let apply = section.duration("apply", 500 * ms..=60 * second)?;
@@ -185,13 +213,13 @@
         Some(_) => section.duration("cordon_apply", 500 * ms..=3600 * second)?,
         None => apply,
     };
-    let pace = WatchPacing {
+    let pacing = WatchPacing {
         apply: apply.min(cordon_apply),
         pause: section.duration("pause", Duration::ZERO..=10 * second)?,
         retry_pause: section.duration("retry_pause", 10 * ms..=60 * second)?,
     };
-    if pace.meets_apply() {
-        return Ok(pace);
+    if pacing.meets_apply() {
+        return Ok(pacing);
     }
     let detail = "apply leaves no time to wait for changes beside pause, or none after retry_pause";
     Err(section.fault(ResultCode::SettingsContradict, "apply", detail))
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -8,9 +8,12 @@
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
     pub address: SocketAddr,
-    pub pacing: WatchPacing,      // timing of calls to the service
-    pub bootstrap_wait: Duration, // limit of the time to ask peers for a newer configuration at start
-    pub seeds: Vec<DialTarget>,   // peers to dial before a host list is known
+    /// Timing of calls to the service.
+    pub pacing: WatchPacing,
+    /// Longest time to ask peers for a newer configuration at start.
+    pub bootstrap_wait: Duration,
+    /// Peers to dial before a host list is known.
+    pub seeds: Vec<DialTarget>,
 }
 
 impl PlatformSettings {
@@ -26,18 +29,18 @@
             })?;
             seeds.push(seed);
         }
-        let pace = WatchPacing {
+        let pacing = WatchPacing {
             apply: section.duration("apply", second..=60 * second)?,
             pause: Duration::ZERO,
             retry_pause: section.duration("retry_pause", second / 100..=60 * second)?,
         };
-        if !pace.meets_apply() {
+        if !pacing.meets_apply() {
             let detail = "apply leaves no time after retry_pause";
             return Err(section.fault(ResultCode::SettingsContradict, "apply", detail));
         }
         Ok(Self {
             address: section.parsed("address", "an IP:port")?,
-            pacing: pace,
+            pacing,
             bootstrap_wait: section.duration("bootstrap_wait", Duration::ZERO..=60 * second)?,
             seeds,
         })
--- a/src/conf/router_settings.rs
+++ b/src/conf/router_settings.rs
@@ -13,22 +13,39 @@
     pub link: LinkSettings,
     pub platform: PlatformSettings,
     pub operator: OperatorSettings,
-    pub caller_listen: SocketAddr, // HTTP address for callers
-    pub max_body: u64,             // of one request, in bytes
-    pub max_requests: usize,       // queued, of all accounts
-    pub max_bytes: u64,            // of all queued requests
-    pub max_per_account: usize,    // queued requests of one account
-    pub refuse_early: bool, // refuse a request at once if its estimated wait exceeds its patience
-    pub demand_interval: Duration, // between two announcements of queued requests to sidecars
-    pub demand_budget: u64, // bytes of announcements a second, to all sidecars
-    pub demand_cap: u32,    // largest count of requests in one announcement
-    pub initial_sidecars: usize, // sidecars to connect to at first; 0 for all
-    pub retry_fraction: f64, // retries per request
-    pub prefix_slack: Duration, // a request with a cached prefix may overtake one that waits at most this much longer
-    pub prefix_bytes: usize,    // of the prompt that count as its prefix
-    pub idle_grace: Duration,   // idle time after which an account has no credit any more
-    pub debt_ceiling: f64, // largest lead of an account that counts, in service units per share
-    pub balancer_lag: Duration, // from the stop signal until requests are refused
+    /// HTTP address for callers.
+    pub caller_listen: SocketAddr,
+    /// Largest body of a request, in bytes.
+    pub max_body: u64,
+    /// Most queued requests, of all accounts.
+    pub max_requests: usize,
+    /// Most bytes of all queued requests.
+    pub max_bytes: u64,
+    /// Most queued requests of one account.
+    pub max_per_account: usize,
+    /// Whether a request is refused at once if its estimated wait exceeds its patience.
+    pub refuse_early: bool,
+    /// Shortest interval between two announcements of queued requests to sidecars.
+    pub demand_interval: Duration,
+    /// Bytes of announcements a second, to all sidecars.
+    pub demand_budget: u64,
+    /// Largest count of requests announced for one account and class.
+    pub demand_cap: u32,
+    /// Number of sidecars to connect to at first; 0 for all.
+    pub initial_sidecars: usize,
+    /// Retries per request.
+    pub retry_fraction: f64,
+    /// A request whose prompt prefix the sidecar served before may overtake one that has waited
+    /// longer by at most this.
+    pub prefix_slack: Duration,
+    /// Bytes of a prompt that are compared as its prefix.
+    pub prefix_bytes: usize,
+    /// Idle time after which an account has no credit any more.
+    pub idle_grace: Duration,
+    /// Largest lead of an account that counts against it, in service units per share.
+    pub debt_ceiling: f64,
+    /// Time from the stop signal until requests are refused.
+    pub balancer_lag: Duration,
 }
 
 impl RouterSettings {
--- a/src/conf/sidecar_settings.rs
+++ b/src/conf/sidecar_settings.rs
@@ -17,20 +17,36 @@
     pub link: LinkSettings,
     pub platform: PlatformSettings,
     pub operator: OperatorSettings,
-    pub upstream: SocketAddr,      // the upstream beside this process
-    pub slots: u32,                // requests that the upstream runs at once
-    pub max_ready: u32,            // most granted requests held ready for a free slot
-    pub silence_limit: Duration,   // longest wait for the next byte of the upstream
-    pub order: OrderMode, // order of service: fair, or by arrival as a baseline for measurements
-    pub totals: TotalsMode, // whether service in the whole fleet counts, or here only as a baseline
-    pub slack: f64,       // difference between accounts that is ignored, in service units per share
-    pub debt_ceiling: f64, // largest lead of an account that counts, in service units per share
-    pub grant_ttl: Duration, // lifetime of an unused grant
-    pub report_interval: Duration, // between two reports of service to the routers that sum it
-    pub idle_grace: Duration, // idle time after which an account has no credit any more
-    pub key_memory: Duration, // how long an idempotency key is remembered
-    pub max_keys: usize,  // most idempotency keys remembered
-    pub key_quarantine: Duration, // time after a start in which requests with an idempotency key are refused
+    /// Address of the upstream beside this process.
+    pub upstream: SocketAddr,
+    /// Requests that the upstream runs at once.
+    pub slots: u32,
+    /// Most granted requests held ready for a free slot.
+    pub max_ready: u32,
+    /// Longest wait for the next byte of the upstream.
+    pub silence_limit: Duration,
+    /// Order of service: fair, or by arrival as a baseline for measurements.
+    pub order: OrderMode,
+    /// Whether the service of all sidecars counts, or only that of this one as a baseline for
+    /// measurements.
+    pub totals: TotalsMode,
+    /// Difference between accounts that is ignored, in service units per share.
+    pub slack: f64,
+    /// Largest lead of an account that counts against it, in service units per share.
+    pub debt_ceiling: f64,
+    /// Lifetime of an unused grant.
+    pub grant_ttl: Duration,
+    /// Interval between two reports of service to the routers that sum it.
+    pub report_interval: Duration,
+    /// Idle time after which an account has no credit any more.
+    pub idle_grace: Duration,
+    /// How long an idempotency key is remembered.
+    pub key_memory: Duration,
+    /// Most idempotency keys remembered.
+    pub max_keys: usize,
+    /// Time after a start in which requests with an idempotency key that may run only once are
+    /// refused.
+    pub key_quarantine: Duration,
 }
 
 impl SidecarSettings {
--- a/src/ctl/fleet_reader.rs
+++ b/src/ctl/fleet_reader.rs
@@ -16,7 +16,7 @@
 /// Time-out of a call to an operator port.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Calls the operator ports of all processes of a fleet, and collects the hosts that did not answer.
+/// Calls the operator ports of all processes of a fleet, and records the hosts that do not answer.
 pub struct FleetReader {
     hosts: HostList,
     http: Client,
--- a/src/fleet/group.rs
+++ b/src/fleet/group.rs
@@ -6,7 +6,7 @@
     pub name: String,
     pub kind: GroupKind,
     pub hosts: Selector,         // selects its hosts by their labels
-    pub repeatable: Vec<String>, // HTTP methods whose requests may run more than once; none by default
+    pub repeatable: Vec<String>, // methods whose requests may run more than once
 }
 
 impl Group {
--- a/src/node/readiness.rs
+++ b/src/node/readiness.rs
@@ -36,8 +36,8 @@
         self.confirmed.load(Ordering::SeqCst)
     }
 
-    /// Decides whether the configuration is confirmed: by `PEERS_TO_CONFIRM` peers, or by all if fewer
-    /// are listed, or without them once `waited` reaches `bound`. Once true it stays true.
+    /// Decides whether the configuration is confirmed: by [`PEERS_TO_CONFIRM`] peers, by all if
+    /// fewer are listed, or without them once `waited` reaches `bound`. Once true it stays true.
     pub fn decide(
         &self,
         listed_peers: usize,
--- a/src/ops/process_status.rs
+++ b/src/ops/process_status.rs
@@ -78,9 +78,14 @@
 /// A request that a router holds back, since replicas crashed while they ran it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldStatus {
-    pub request: String, // digest
-    pub account: String, // name, or its hash if the router's configuration does not have the account
-    pub ends: usize,     // replicas that crashed while they ran it, one after another
-    pub since_ms: u64,   // since the last crash
-    pub left_ms: u64,    // until it is no longer held back
+    /// Digest of the request.
+    pub request: String,
+    /// Name of the account, or its hash if the router's configuration does not have it.
+    pub account: String,
+    /// Number of replicas that crashed while they ran it, one after another.
+    pub ends: usize,
+    /// Time since the last crash.
+    pub since_ms: u64,
+    /// Time until it is no longer held back.
+    pub left_ms: u64,
 }
