--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -180,13 +180,13 @@
 
 fn regions(file: &SettingsFile) -> Result<BTreeMap<String, String>, ConfError> {
     let section = file.section("regions")?;
-    let words = section.list("zones").into_iter();
-    let pairs = words.map(|word| match word.split_once(':') {
+    let items = section.list("zones").into_iter();
+    let pairs = items.map(|item| match item.split_once(':') {
         Some((zone, region)) if !zone.is_empty() && !region.is_empty() => {
             Ok((zone.trim().to_owned(), region.trim().to_owned()))
         }
         _ => {
-            let detail = format!("\"{word}\" is not ZONE:REGION");
+            let detail = format!("\"{item}\" is not ZONE:REGION");
             Err(section.fault(ResultCode::BadValue, "zones", &detail))
         }
     });
@@ -195,10 +195,10 @@
 
 fn never_held(file: &SettingsFile) -> Result<BTreeSet<RequestDigest>, ConfError> {
     let section = file.section("suspects")?;
-    let words = section.list("let_through").into_iter();
-    let digests = words.map(|word| {
-        word.parse().map_err(|()| {
-            let detail = format!("\"{word}\" is not a request's digest of 16 hexadecimal digits");
+    let items = section.list("let_through").into_iter();
+    let digests = items.map(|item| {
+        item.parse().map_err(|()| {
+            let detail = format!("\"{item}\" is not a request's digest of 16 hexadecimal digits");
             section.fault(ResultCode::BadValue, "let_through", &detail)
         })
     });
@@ -221,7 +221,8 @@
     if pacing.meets_apply() {
         return Ok(pacing);
     }
-    let detail = "apply leaves no time to wait for changes beside pause, or none after retry_pause";
+    let detail =
+        "apply is too short for a watch beside pause and late answers, or not above retry_pause";
     Err(section.fault(ResultCode::SettingsContradict, "apply", detail))
 }
 
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -22,9 +22,9 @@
         let section = file.section("platform")?;
         let second = Duration::from_secs(1);
         let mut seeds = Vec::new();
-        for word in section.list("seeds") {
-            let seed = word.parse().map_err(|_| {
-                let detail = format!("\"{word}\" is not HOST.ROLE@IP:port");
+        for item in section.list("seeds") {
+            let seed = item.parse().map_err(|_| {
+                let detail = format!("\"{item}\" is not HOST.ROLE@IP:port");
                 section.fault(ResultCode::BadValue, "seeds", &detail)
             })?;
             seeds.push(seed);
--- a/src/fleet/fleet_parser.rs
+++ b/src/fleet/fleet_parser.rs
@@ -69,7 +69,11 @@
             return Ok(());
         }
         if !self.names.insert(section.name.clone()) {
-            return Err(reader.fault(ResultCode::DuplicateKey, "", "stands in two parts"));
+            return Err(reader.fault(
+                ResultCode::DuplicateKey,
+                "",
+                "is defined in more than one part",
+            ));
         }
         let name = name.trim();
         if name.is_empty() {
