--- a/src/ops/metric_names.rs
+++ b/src/ops/metric_names.rs
@@ -75,5 +75,5 @@
 pub const UNREADABLE: &str = "archmast_unreadable_total";
 /// Entries in the store's list of upstreams that are invalid and therefore not used.
 pub const UNUSABLE_ENTRIES: &str = "archmast_unusable_entries";
-/// 1 if the last configuration received was invalid, else 0.
+/// 1 after an invalid configuration was received, until a newer valid one comes into force; else 0.
 pub const CONFIG_REFUSED: &str = "archmast_configuration_refused";
