--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -15,52 +15,81 @@
     },
 };
 
-/// Everything a router is told that carries requests to the replicas itself.
+/// Settings of a router of the direct form, which sends requests to the replicas itself.
 #[derive(Debug, Clone)]
 pub struct DirectSettings {
-    pub path: String, // of the file they were read from; empty if none
+    /// Path of the settings file; empty if there is none.
+    pub path: String,
     pub process: ProcessSettings,
     pub operator: OperatorSettings,
-    pub callers: SocketAddr,               // HTTP address for callers
-    pub max_connections: usize,            // of callers; beyond it those at rest are closed
-    pub regions: BTreeMap<String, String>, // of zones, by zone
-    pub answer_memory: MemoryBudget,       // for answers that callers are slow to read
-    pub request_memory: MemoryBudget,      // for bodies of requests
-    pub most_busy: f64,                    // part of the time; busier, callers are sent elsewhere
-    pub hand_on: f64,                      // part of the time; busier, connections are handed on
-    pub ready: SocketAddr,                 // HTTP address for the balancer
-    pub ready_path: String,                // what the balancer asks for
-    pub peers: SocketAddr,                 // UDP address for reports of other routers
-    pub news: SocketAddr,                  // QUIC address for routers that ask for the catalog
-    pub seeds: Vec<SocketAddr>,            // some of them
-    pub peer_interval: Duration,           // between two reports to peers
-    pub peer_age: Duration,                // older reports count for nothing
-    pub peer_forget: Duration,             // silence after which a router is forgotten
-    pub catalog: SocketAddr,               // the store's address
-    pub catalog_pace: WatchPacing,         // how often the store is asked
+    /// HTTP address for callers.
+    pub caller_listen: SocketAddr,
+    /// Open connections of callers beyond which idle ones are closed.
+    pub max_connections: usize,
+    /// The region of each availability zone, by zone.
+    pub regions: BTreeMap<String, String>,
+    /// Memory for answers that callers are slow to read.
+    pub answer_memory: MemoryBudget,
+    /// Memory for bodies of requests.
+    pub request_memory: MemoryBudget,
+    /// Busy fraction of the CPU, 0 to 1, above which the router reports itself as not ready.
+    pub max_busy_share: f64,
+    /// Busy fraction of the CPU, 0 to 1, above which new connections of callers are passed on to
+    /// routers of the same zone; 1 disables this.
+    pub hand_on_busy_share: f64,
+    /// HTTP address for the balancer's readiness checks.
+    pub ready_listen: SocketAddr,
+    /// Path of the balancer's readiness checks.
+    pub ready_path: String,
+    /// UDP address for reports of peers.
+    pub peer_listen: SocketAddr,
+    /// QUIC address for peers that fetch the catalog.
+    pub update_listen: SocketAddr,
+    /// UDP addresses of some peers.
+    pub seeds: Vec<SocketAddr>,
+    /// Interval between two reports to peers.
+    pub peer_interval: Duration,
+    /// Age from which a peer's report is ignored.
+    pub peer_age: Duration,
+    /// Silence after which a peer is removed.
+    pub peer_retention: Duration,
+    /// Address of the store.
+    pub store_address: SocketAddr,
+    /// Timing of calls to the store.
+    pub store_pacing: WatchPacing,
     pub placement: PlacementSettings,
-    pub follow_kept: bool,             // what replicas say that they keep
-    pub start_bounds: SlowStartBounds, // of replicas that have just started
-    pub share_window: Duration,        // over which shares are counted
-    pub retry_ratio: f64,              // repeats per request
-    pub retry_extra: f64,              // and beyond that, for the whole fleet
-    pub retry_window: Duration,        // over which both are counted
-    pub let_through: BTreeSet<RequestDigest>, // requests that are never held back
-    pub grace: Duration,               // from the stop signal to the kill
-    pub balancer_lag: Duration,        // from the stop signal to refusing connections
+    /// Whether cache events of replicas are followed.
+    pub follow_caches: bool,
+    /// Limits on requests to replicas that have just started.
+    pub start_bounds: SlowStartBounds,
+    /// Time over which usage is compared with fair shares.
+    pub share_window: Duration,
+    /// Retries per request.
+    pub retry_ratio: f64,
+    /// Additional retries of the whole fleet in a window.
+    pub retry_extra: f64,
+    /// Time over which requests and retries are counted.
+    pub retry_window: Duration,
+    /// Requests that are never held back.
+    pub never_held: BTreeSet<RequestDigest>,
+    /// Time from the stop signal until the process is killed.
+    pub grace: Duration,
+    /// Time from the stop signal until requests are refused.
+    pub balancer_lag: Duration,
 }
 
-/// Parts of the process's memory: for one answer and for all, and for the bodies of requests.
-/// The greater part is left to connections, replicas and the configuration.
-const ONE_ANSWER: u64 = 128;
-const ALL_ANSWERS: u64 = 8;
-const ALL_REQUESTS: u64 = 4;
+/// The process's memory limit divided by these is the budget for one answer, for all answers, and
+/// for all bodies of requests. Most of the memory is left to connections, replicas and the
+/// configuration.
+const ANSWER_DIVISOR: u64 = 128;
+const ALL_ANSWERS_DIVISOR: u64 = 8;
+const REQUESTS_DIVISOR: u64 = 4;
 
 impl DirectSettings {
-    /// The commented defaults that ship with the product.
+    /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/direct.ini");
 
-    /// Reads a settings file: codes 10 to 18.
+    /// Reads a settings file; fails with codes 10 to 19.
     pub fn read(path: &str) -> Result<Self, ConfError> {
         let settings = Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)?;
         Ok(Self {
@@ -69,18 +98,18 @@
         })
     }
 
-    /// Reads a parsed settings file: codes 12 to 17.
+    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
 
-    /// The addresses at which this process listens.
+    /// The addresses at which this process listens, UDP and TCP.
     pub fn own_addresses(&self) -> Vec<SocketAddr> {
         vec![
-            self.callers,
-            self.ready,
-            self.peers,
-            self.news,
+            self.caller_listen,
+            self.ready_listen,
+            self.peer_listen,
+            self.update_listen,
             self.operator.listen,
         ]
     }
@@ -101,23 +130,23 @@
             path: String::new(),
             process: ProcessSettings::read(file)?,
             operator: OperatorSettings::read(file)?,
-            callers: callers.parsed("listen", "an IP:port")?,
+            caller_listen: callers.parsed("listen", "an IP:port")?,
             max_connections: callers.number("max_connections", 1..=1_000_000)?,
             regions: regions(file)?,
             answer_memory: MemoryBudget {
-                per_connection: memory / ONE_ANSWER,
-                total: memory / ALL_ANSWERS,
+                per_connection: memory / ANSWER_DIVISOR,
+                total: memory / ALL_ANSWERS_DIVISOR,
             },
             request_memory: MemoryBudget {
-                per_connection: memory / ALL_REQUESTS,
-                total: memory / ALL_REQUESTS,
+                per_connection: memory / REQUESTS_DIVISOR,
+                total: memory / REQUESTS_DIVISOR,
             },
-            most_busy: callers.number("most_busy", 0.01..=1.0)?,
-            hand_on: callers.number("hand_on", 0.0..=1.0)?,
-            ready: ready.parsed("listen", "an IP:port")?,
+            max_busy_share: callers.number("most_busy", 0.01..=1.0)?,
+            hand_on_busy_share: callers.number("hand_on", 0.0..=1.0)?,
+            ready_listen: ready.parsed("listen", "an IP:port")?,
             ready_path: ready.text("path")?.to_owned(),
-            peers: peers.parsed("listen", "an IP:port")?,
-            news: peers.parsed("news", "an IP:port")?,
+            peer_listen: peers.parsed("listen", "an IP:port")?,
+            update_listen: peers.parsed("news", "an IP:port")?,
             seeds: peers
                 .list("seeds")
                 .into_iter()
@@ -130,11 +159,11 @@
                 .collect::<Result<_, _>>()?,
             peer_interval: peers.duration("interval", 10 * ms..=10 * second)?,
             peer_age,
-            peer_forget: peers.duration("forget", second..=3600 * second)?,
-            catalog: catalog.parsed("address", "an IP:port")?,
-            catalog_pace: catalog_pace(file)?,
+            peer_retention: peers.duration("forget", second..=3600 * second)?,
+            store_address: catalog.parsed("address", "an IP:port")?,
+            store_pacing: store_pacing(file)?,
             placement: placement(file, peer_age)?,
-            follow_kept: file.section("caches")?.number("follow", 0..=1)? == 1,
+            follow_caches: file.section("caches")?.number("follow", 0..=1)? == 1,
             start_bounds: start_bounds(file)?,
             share_window: file
                 .section("shares")?
@@ -142,7 +171,7 @@
             retry_ratio: retry.number("ratio", 0.0..=1.0)?,
             retry_extra: retry.number("extra", 0.0..=1e6)?,
             retry_window: retry.duration("window", 100 * ms..=600 * second)?,
-            let_through: let_through(file)?,
+            never_held: never_held(file)?,
             grace: stop.duration("grace", 500 * ms..=600 * second)?,
             balancer_lag: stop.duration("balancer_lag", Duration::ZERO..=600 * second)?,
         })
@@ -151,32 +180,32 @@
 
 fn regions(file: &SettingsFile) -> Result<BTreeMap<String, String>, ConfError> {
     let section = file.section("regions")?;
-    let words = section.list("zones").into_iter();
-    let pairs = words.map(|word| match word.split_once(':') {
+    let items = section.list("zones").into_iter();
+    let pairs = items.map(|item| match item.split_once(':') {
         Some((zone, region)) if !zone.is_empty() && !region.is_empty() => {
             Ok((zone.trim().to_owned(), region.trim().to_owned()))
         }
         _ => {
-            let detail = format!("\"{word}\" is not ZONE:REGION");
+            let detail = format!("\"{item}\" is not ZONE:REGION");
             Err(section.fault(ResultCode::BadValue, "zones", &detail))
         }
     });
     pairs.collect()
 }
 
-fn let_through(file: &SettingsFile) -> Result<BTreeSet<RequestDigest>, ConfError> {
+fn never_held(file: &SettingsFile) -> Result<BTreeSet<RequestDigest>, ConfError> {
     let section = file.section("suspects")?;
-    let words = section.list("let_through").into_iter();
-    let digests = words.map(|word| {
-        word.parse().map_err(|()| {
-            let detail = format!("\"{word}\" is not a request's digest of 16 hexadecimal digits");
+    let items = section.list("let_through").into_iter();
+    let digests = items.map(|item| {
+        item.parse().map_err(|()| {
+            let detail = format!("\"{item}\" is not a request's digest of 16 hexadecimal digits");
             section.fault(ResultCode::BadValue, "let_through", &detail)
         })
     });
     digests.collect()
 }
 
-fn catalog_pace(file: &SettingsFile) -> Result<WatchPacing, ConfError> {
+fn store_pacing(file: &SettingsFile) -> Result<WatchPacing, ConfError> {
     let section = file.section("catalog")?;
     let (ms, second) = (Duration::from_millis(1), Duration::from_secs(1));
     let apply = section.duration("apply", 500 * ms..=60 * second)?;
@@ -184,15 +213,16 @@
         Some(_) => section.duration("cordon_apply", 500 * ms..=3600 * second)?,
         None => apply,
     };
-    let pace = WatchPacing {
+    let pacing = WatchPacing {
         apply: apply.min(cordon_apply),
         pause: section.duration("pause", Duration::ZERO..=10 * second)?,
         retry_pause: section.duration("retry_pause", 10 * ms..=60 * second)?,
     };
-    if pace.meets_apply() {
-        return Ok(pace);
+    if pacing.meets_apply() {
+        return Ok(pacing);
     }
-    let detail = "apply leaves no time to wait for changes beside pause, or none after retry_pause";
+    let detail =
+        "apply is too short for a watch beside pause and late answers, or not above retry_pause";
     Err(section.fault(ResultCode::SettingsContradict, "apply", detail))
 }
 
--- a/src/conf/router_settings.rs
+++ b/src/conf/router_settings.rs
@@ -6,41 +6,58 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Everything a router is told on its host.
+/// Settings of a router of the granted form.
 #[derive(Debug, Clone)]
 pub struct RouterSettings {
     pub process: ProcessSettings,
     pub link: LinkSettings,
     pub platform: PlatformSettings,
     pub operator: OperatorSettings,
-    pub callers: SocketAddr,       // HTTP address for callers
-    pub max_body: u64,             // bytes
-    pub max_requests: usize,       // waiting in all
-    pub max_bytes: u64,            // waiting in all
-    pub max_per_account: usize,    // waiting for one account
-    pub refuse_early: bool,        // refuse at once when patience cannot be met
-    pub demand_interval: Duration, // pace of announcements
-    pub demand_budget: u64,        // bytes a second, over all sidecars
-    pub demand_cap: u32,           // largest count announced
-    pub reach: usize,              // sidecars connected to begin with, 0 is all
-    pub retry_fraction: f64,       // retries per request
-    pub prefix_slack: Duration,    // age difference bound of prefix affinity
-    pub prefix_bytes: usize,       // of the prompt
-    pub idle_grace: Duration,      // idle time that ends stored credit
-    pub debt_ceiling: f64,         // service units per share
-    pub balancer_lag: Duration,    // between unready and refusing
+    /// HTTP address for callers.
+    pub caller_listen: SocketAddr,
+    /// Largest body of a request, in bytes.
+    pub max_body: u64,
+    /// Most queued requests, of all accounts.
+    pub max_requests: usize,
+    /// Most bytes of all queued requests.
+    pub max_bytes: u64,
+    /// Most queued requests of one account.
+    pub max_per_account: usize,
+    /// Whether a request is refused at once if its estimated wait exceeds its patience.
+    pub refuse_early: bool,
+    /// Shortest interval between two announcements of queued requests to sidecars.
+    pub demand_interval: Duration,
+    /// Bytes of announcements a second, to all sidecars.
+    pub demand_budget: u64,
+    /// Largest count of requests announced for one account and class.
+    pub demand_cap: u32,
+    /// Number of sidecars to connect to at first; 0 for all.
+    pub initial_sidecars: usize,
+    /// Retries per request.
+    pub retry_fraction: f64,
+    /// A request whose prompt prefix the sidecar served before may overtake one that has waited
+    /// longer by at most this.
+    pub prefix_slack: Duration,
+    /// Bytes of a prompt that are compared as its prefix.
+    pub prefix_bytes: usize,
+    /// Idle time after which an account has no credit any more.
+    pub idle_grace: Duration,
+    /// Largest lead of an account that counts against it, in service units per share.
+    pub debt_ceiling: f64,
+    /// Time from the stop signal until requests are refused.
+    pub balancer_lag: Duration,
 }
 
 impl RouterSettings {
-    /// The commented defaults that ship with the product.
+    /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/router.ini");
 
-    /// Reads a settings file: codes 10 to 18.
+    /// Reads a settings file; fails with codes 10 to 19.
     pub fn read(path: &str) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)
     }
 
-    /// Reads a parsed settings file: codes 12 to 17.
+    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
@@ -56,7 +73,7 @@
             link: LinkSettings::read(file)?,
             platform: PlatformSettings::read(file)?,
             operator: OperatorSettings::read(file)?,
-            callers: callers.parsed("listen", "an IP:port")?,
+            caller_listen: callers.parsed("listen", "an IP:port")?,
             max_body: callers.size("max_body", 1..=64 << 20)?,
             max_requests: waiting.number("max_requests", 1..=10_000_000)?,
             max_bytes: waiting.size("max_bytes", 1..=64 << 30)?,
@@ -65,7 +82,7 @@
             demand_interval: dispatch.duration("demand_interval", second / 1000..=second)?,
             demand_budget: dispatch.size("demand_budget", 100..=1 << 30)?,
             demand_cap: dispatch.number("demand_cap", 1..=100_000)?,
-            reach: dispatch.number("reach", 0..=100_000)?,
+            initial_sidecars: dispatch.number("reach", 0..=100_000)?,
             retry_fraction: dispatch.number("retry_fraction", 0.0..=1.0)?,
             prefix_slack: dispatch.duration("prefix_slack", Duration::ZERO..=60 * second)?,
             prefix_bytes: dispatch.size("prefix_bytes", 1..=1 << 20)? as usize,
--- a/src/conf/sidecar_settings.rs
+++ b/src/conf/sidecar_settings.rs
@@ -10,39 +10,55 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Everything a sidecar is told on its host.
+/// Settings of a sidecar.
 #[derive(Debug, Clone)]
 pub struct SidecarSettings {
     pub process: ProcessSettings,
     pub link: LinkSettings,
     pub platform: PlatformSettings,
     pub operator: OperatorSettings,
-    pub upstream: SocketAddr,      // the upstream beside this process
-    pub slots: u32,                // requests the upstream runs at once
-    pub ahead: u32,                // granted requests held ready
-    pub silence_limit: Duration,   // longest silence of the upstream
-    pub order: OrderMode,          // fair, or a baseline
-    pub totals: TotalsMode,        // fleet, or a baseline
-    pub slack: f64,                // service units per share
-    pub debt_ceiling: f64,         // service units per share
-    pub grant_ttl: Duration,       // life of an unused grant
-    pub report_interval: Duration, // pace of reports to keepers
-    pub idle_grace: Duration,      // idle time that ends stored credit
-    pub key_memory: Duration,      // how long a key is remembered
-    pub max_keys: usize,           // how many keys are remembered
-    pub key_quarantine: Duration,  // after a start, no keyed requests
+    /// Address of the upstream beside this process.
+    pub upstream: SocketAddr,
+    /// Requests that the upstream runs at once.
+    pub slots: u32,
+    /// Most granted requests held ready for a free slot.
+    pub max_ready: u32,
+    /// Longest wait for the next byte of the upstream.
+    pub silence_limit: Duration,
+    /// Order of service: fair, or by arrival as a baseline for measurements.
+    pub order: OrderMode,
+    /// Whether the service of all sidecars counts, or only that of this one as a baseline for
+    /// measurements.
+    pub totals: TotalsMode,
+    /// Difference between accounts that is ignored, in service units per share.
+    pub slack: f64,
+    /// Largest lead of an account that counts against it, in service units per share.
+    pub debt_ceiling: f64,
+    /// Lifetime of an unused grant.
+    pub grant_ttl: Duration,
+    /// Interval between two reports of service to the routers that sum it.
+    pub report_interval: Duration,
+    /// Idle time after which an account has no credit any more.
+    pub idle_grace: Duration,
+    /// How long an idempotency key is remembered.
+    pub key_memory: Duration,
+    /// Most idempotency keys remembered.
+    pub max_keys: usize,
+    /// Time after a start in which requests with an idempotency key that may run only once are
+    /// refused.
+    pub key_quarantine: Duration,
 }
 
 impl SidecarSettings {
-    /// The commented defaults that ship with the product.
+    /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/sidecar.ini");
 
-    /// Reads a settings file: codes 10 to 18.
+    /// Reads a settings file; fails with codes 10 to 19.
     pub fn read(path: &str) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)
     }
 
-    /// Reads a parsed settings file: codes 12 to 17.
+    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
@@ -73,7 +89,7 @@
             operator: OperatorSettings::read(file)?,
             upstream: upstream.parsed("address", "an IP:port")?,
             slots: upstream.number("slots", 1..=100_000)?,
-            ahead: upstream.number("ahead", 0..=10_000)?,
+            max_ready: upstream.number("ahead", 0..=10_000)?,
             silence_limit: upstream.duration("silence_limit", second / 10..=3600 * second)?,
             order,
             totals,
--- a/src/direct/cache_follow.rs
+++ b/src/direct/cache_follow.rs
@@ -9,7 +9,7 @@
     crate::{
         catalog::UpstreamEntry,
         codes::{Fault, ResultCode},
-        ops::{KEPT_CALLS, KEPT_EVENTS, KEPT_FOLLOWED},
+        ops::{CACHE_EVENTS, CACHE_FOLLOW_CALLS, FOLLOWED_CACHES},
         policy::placement::{CacheChange, CacheEventBatch},
     },
     hyper::StatusCode,
@@ -45,7 +45,7 @@
     let mut followed: HashMap<u32, JoinHandle<()>> = HashMap::new();
     loop {
         followed.retain(|_, task| !task.is_finished());
-        if gateway.settings().follow_kept {
+        if gateway.settings().follow_caches {
             let replicas = model_replicas(&gateway).into_iter();
             for entry in replicas.filter(|entry| should_follow(&gateway, entry)) {
                 if let Entry::Vacant(vacant) = followed.entry(entry.start_hash()) {
@@ -53,7 +53,7 @@
                 }
             }
         }
-        metrics::gauge!(KEPT_FOLLOWED).set(followed.len() as f64);
+        metrics::gauge!(FOLLOWED_CACHES).set(followed.len() as f64);
         tokio::time::sleep(SELECTION_INTERVAL).await;
     }
 }
@@ -63,7 +63,7 @@
     entry: &UpstreamEntry,
 ) -> bool {
     let settings = gateway.settings();
-    settings.follow_kept
+    settings.follow_caches
         && *entry.zone == *settings.process.zone
         && !gateway.is_stopping()
         && gateway
@@ -82,7 +82,7 @@
     while should_follow(&gateway, &entry) {
         let delay = match poll_events(&gateway, &entry, &mut connection).await {
             Ok(batch) => {
-                metrics::counter!(KEPT_CALLS, "outcome" => "answered").increment(1);
+                metrics::counter!(CACHE_FOLLOW_CALLS, "outcome" => "answered").increment(1);
                 let change =
                     gateway
                         .replica_table()
@@ -93,7 +93,7 @@
                 POLL_INTERVAL
             }
             Err(error) => {
-                metrics::counter!(KEPT_CALLS, "outcome" => "failed").increment(1);
+                metrics::counter!(CACHE_FOLLOW_CALLS, "outcome" => "failed").increment(1);
                 log::info!(
                     replica = &*entry.id, code = error.code.number();
                     "replica does not say what it keeps: {error}"
@@ -119,7 +119,7 @@
         ("given_up", change.evicted),
     ];
     for (kind, count) in kinds {
-        metrics::counter!(KEPT_EVENTS, "kind" => kind).increment(count as u64);
+        metrics::counter!(CACHE_EVENTS, "kind" => kind).increment(count as u64);
     }
     let batch = &change.batch;
     if batch.has_gap || change.was_reset || change.added + change.evicted > 0 {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! What routers and sidecars have in common: identity, configuration in force,
-//! host list, watches, membership.
+//! What routers and sidecars of the granted form have in common: identity, configuration in force,
+//! host list, watches, membership; and the command line of all daemons.
 
 mod background;
 mod config_store;
@@ -11,12 +11,12 @@
 mod watches;
 
 pub use {
-    background::{follow_readiness, start_watches, stop_signal},
+    background::{confirm_readiness, start_watches, stop_signal},
     config_store::ConfigStore,
     host_store::HostStore,
     node::Node,
     peer_config::{fetch_from_peer, serve_config},
-    readiness::{PEERS_ASKED, Readiness},
+    readiness::{PEERS_TO_CONFIRM, Readiness},
     start::{BLOCKING_THREADS, DIRECT_FLAG, StartError, run_process},
     watches::{watch_config, watch_hosts},
 };
--- a/src/router/caller_port.rs
+++ b/src/router/caller_port.rs
@@ -61,7 +61,7 @@
 
 /// The HTTP server for callers, ready to launch.
 pub async fn caller_server(router: Arc<Router>) -> Result<Rocket<Ignite>, rocket::Error> {
-    let mut config = quiet_config(router.settings.callers);
+    let mut config = quiet_config(router.settings.caller_listen);
     config.workers = router.settings.process.workers;
     config.shutdown.grace = FLUSH_TIMEOUT_SECONDS;
     config.shutdown.mercy = FLUSH_TIMEOUT_SECONDS;
@@ -109,7 +109,7 @@
             .node
             .config
             .current()
-            .filter(|_| self.router.node.readiness.has_asked())
+            .filter(|_| self.router.node.readiness.is_confirmed())
             .ok_or_else(|| {
                 ErrorAnswer::new(ResultCode::NoConfiguration).retry_after(Duration::from_secs(1))
             })?;
--- a/src/router/housekeeping.rs
+++ b/src/router/housekeeping.rs
@@ -4,7 +4,7 @@
         fleet::{HostList, HostRole},
         keys::PeerName,
         link::{DialSet, DialTarget},
-        ops::PAUSES,
+        ops::SUSPENSIONS,
         policy::{SidecarSubset, SuspensionDetector},
         wire::ControlMessage,
     },
@@ -25,7 +25,7 @@
 ) {
     let mut suspensions =
         SuspensionDetector::new(router.settings.process.pause_limit, router.node.now());
-    let mut subset = SidecarSubset::new(router.settings.reach);
+    let mut subset = SidecarSubset::new(router.settings.initial_sidecars);
     let mut lists = router.node.hosts.subscribe();
     let mut last_sweep = router.node.now();
     let mut ticks = tokio::time::interval(HOUSEKEEPING_INTERVAL);
@@ -99,7 +99,7 @@
     router: &Router,
     suspended_for: Duration,
 ) {
-    metrics::counter!(PAUSES).increment(1);
+    metrics::counter!(SUSPENSIONS).increment(1);
     let detail = format!(
         "stood still for {} ms; views dropped",
         suspended_for.as_millis()
--- a/src/router/serve.rs
+++ b/src/router/serve.rs
@@ -12,7 +12,7 @@
         keys::Identity,
         link::{DialSet, Link},
         node::{
-            BLOCKING_THREADS, Node, StartError, follow_readiness, run_process, start_watches,
+            BLOCKING_THREADS, Node, StartError, confirm_readiness, run_process, start_watches,
             stop_signal,
         },
         ops::OperatorPort,
@@ -58,14 +58,14 @@
     router.set_link(link.clone());
     let dials = Arc::new(DialSet::new(
         link.clone(),
-        settings.platform.pace.retry_pause,
+        settings.platform.pacing.retry_pause,
     ));
     start_watches(&node, &settings.platform, &dials).change_context_lazy(failed)?;
     tokio::spawn(link.clone().accept());
     tokio::spawn(announce_demand(router.clone()));
     tokio::spawn(announce_config_changes(router.clone()));
     tokio::spawn(run_housekeeping(router.clone(), dials));
-    tokio::spawn(follow_readiness(
+    tokio::spawn(confirm_readiness(
         node.clone(),
         HostRole::Sidecar,
         settings.platform.bootstrap_wait,
@@ -80,7 +80,7 @@
     let shutdown = server.shutdown();
     let callers = tokio::spawn(server.launch());
     log::info!(
-        callers = settings.callers.to_string().as_str(),
+        callers = settings.caller_listen.to_string().as_str(),
         link = settings.link.listen.to_string().as_str(),
         operator = settings.operator.listen.to_string().as_str();
         "router started"
--- a/src/sidecar/housekeeping.rs
+++ b/src/sidecar/housekeeping.rs
@@ -4,8 +4,8 @@
         fleet::{HostList, HostRole, HostState},
         keys::PeerName,
         link::{DialSet, DialTarget},
-        node::PEERS_ASKED,
-        ops::{GRANTS, PAUSES},
+        node::PEERS_TO_CONFIRM,
+        ops::{GRANTS, SUSPENSIONS},
         policy::{SuspensionDetector, rendezvous},
         wire::ControlMessage,
     },
@@ -54,7 +54,7 @@
         if own.is_some_and(|host| host.state == HostState::Leaving) {
             sidecar.leave_permanently().await;
         }
-        if !sidecar.node.readiness.has_asked() {
+        if !sidecar.node.readiness.is_confirmed() {
             dial_some_routers(&sidecar, &dials, &hosts);
         }
         if lists.changed().await.is_err() {
@@ -71,7 +71,7 @@
     let routers = hosts.live(HostRole::Router).map(|host| host.name.as_str());
     for host in rendezvous(&sidecar.node.host, routers)
         .into_iter()
-        .take(PEERS_ASKED)
+        .take(PEERS_TO_CONFIRM)
     {
         if let Some(listed) = hosts.find(host) {
             dials.add(DialTarget {
@@ -111,7 +111,7 @@
     sidecar: &Sidecar,
     suspended_for: Duration,
 ) {
-    metrics::counter!(PAUSES).increment(1);
+    metrics::counter!(SUSPENSIONS).increment(1);
     let detail = format!(
         "stood still for {} ms; grants void",
         suspended_for.as_millis()
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -29,7 +29,7 @@
         &self,
         peer: &Arc<Peer>,
     ) -> bool {
-        match self.node.sight(peer) {
+        match self.node.observe_peer(peer) {
             PeerObservation::Stale => return false,
             PeerObservation::Restarted => self.forget_router(&peer.host),
             PeerObservation::New | PeerObservation::Same => {}
@@ -48,7 +48,7 @@
     ) {
         self.node
             .clone()
-            .notice_revision(peer, envelope.revision, &envelope.digest);
+            .fetch_if_newer(peer, envelope.revision, &envelope.digest);
         if peer.role() != HostRole::Router {
             return; // sidecars send each other only configuration revisions
         }
