--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -18,7 +18,7 @@
     tokio::{sync::watch, time::Instant},
 };
 
-/// Parses the text of a configuration. Fails with code 82.
+/// Parses the text of a configuration. Fails with `PlatformReply`.
 pub type ParseConfig = fn(&str) -> Result<RoutingTable, Fault>;
 
 /// Version of a catalog. Has no total order, since the two parts advance independently.
@@ -181,15 +181,15 @@
     }
 
     /// Applies a configuration if its version is higher than that of the one in force, and
-    /// returns whether it was. Fails with code 82 if it cannot be parsed; then the one in
-    /// force stays.
+    /// returns whether it was. Fails with `PlatformReply` if it cannot be parsed; then the one
+    /// in force stays.
     pub fn offer_config(
         &self,
         text: &str,
         from: &str,
     ) -> Result<bool, Fault> {
-        let held = self.config_text();
-        if held.as_deref() == Some(text) {
+        let current = self.config_text();
+        if current.as_deref() == Some(text) {
             return Ok(false);
         }
         let parsed = (self.parse_config)(text);
@@ -200,7 +200,7 @@
         let version = table.version;
         let known = {
             let mut state = self.state.lock().expect("catalog lock");
-            let known = state.config.as_ref().map_or(0, |held| held.table.version);
+            let known = state.config.as_ref().map_or(0, |current| current.table.version);
             if version > known {
                 state.config = Some(AcceptedConfig {
                     text: text.into(),
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -12,7 +12,7 @@
     tokio::time::Instant,
 };
 
-/// Parses an upstream's entry from its id and text. Fails with code 82.
+/// Parses an upstream's entry from its id and text. Fails with `PlatformReply`.
 pub type ParseUpstream = fn(&str, &str) -> Result<UpstreamEntry, Fault>;
 
 /// The upstreams, by the record of highest revision for each.
--- a/src/peers/fetch_update.rs
+++ b/src/peers/fetch_update.rs
@@ -22,7 +22,7 @@
     pub cordons: Option<CordonSnapshot>, // none from builds without support for cordons
 }
 
-/// Connects to the QUIC endpoint of another router. Fails with code 74.
+/// Connects to the QUIC endpoint of another router. Fails with `PeerUnreachable`.
 pub async fn connect(
     endpoint: &Endpoint,
     address: SocketAddr,
@@ -36,8 +36,8 @@
         .map_err(Fault::unreachable)
 }
 
-/// Requests everything newer than `own_version`, and closes the connection on failure.
-/// Fails with codes 70 to 74.
+/// Requests everything newer than `own_version`, and closes the connection on failure. Fails
+/// with `PeerUnreachable`, or as [`read_frame`] does for an invalid answer.
 pub async fn fetch_update(
     connection: &Connection,
     own_version: CatalogVersion,
--- a/src/peers/peer_link.rs
+++ b/src/peers/peer_link.rs
@@ -57,7 +57,7 @@
 }
 
 impl PeerLink {
-    /// Binds the UDP and QUIC addresses. Fails with code 93.
+    /// Binds the UDP and QUIC addresses. Fails with `StartFailed`.
     pub async fn bind(gateway: Arc<Gateway>) -> Result<Arc<Self>, Fault> {
         let failed = |error: std::io::Error| Fault::new(ResultCode::StartFailed, error);
         let settings = gateway.settings();
--- a/src/peers/self_signed_certificate.rs
+++ b/src/peers/self_signed_certificate.rs
@@ -33,7 +33,8 @@
 const MAX_UNI_STREAMS: u32 = 64;
 const MAX_REQUEST_STREAMS: u32 = 8;
 
-/// Server and client configuration with a newly generated certificate. Fails with code 93.
+/// Server and client configuration with a newly generated certificate. Fails with
+/// `StartFailed`.
 pub fn quic_configs() -> Result<(ServerConfig, ClientConfig), Fault> {
     let failed = |error: &dyn std::fmt::Display| Fault::new(ResultCode::StartFailed, error);
     let made = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()])
--- a/src/platform/config_json.rs
+++ b/src/platform/config_json.rs
@@ -99,7 +99,7 @@
 const DEFAULT_TARGET_LATENCY_MS: f64 = 1_000.0;
 const DEFAULT_MAX_CONNECTIONS: usize = 64;
 
-/// Parses the operator's configuration. Fails with code 82.
+/// Parses the operator's configuration. Fails with `PlatformReply`.
 pub fn parse_config(text: &str) -> Result<RoutingTable, Fault> {
     let config: ConfigJson =
         serde_json::from_str(text).map_err(|error| Fault::new(ResultCode::PlatformReply, error))?;
@@ -208,7 +208,7 @@
 /// The longest time that a configuration may set.
 const MAX_TIME: Duration = Duration::from_secs(24 * 3600);
 
-/// Converts milliseconds. Fails with code 82 outside the range from zero to [`MAX_TIME`].
+/// Converts milliseconds. Fails with `PlatformReply` outside the range from zero to [`MAX_TIME`].
 fn millis(ms: f64) -> Result<Duration, Fault> {
     let time = Duration::try_from_secs_f64(ms / 1000.0).ok();
     time.filter(|time| *time <= MAX_TIME).ok_or_else(|| {
--- a/src/platform/replica_json.rs
+++ b/src/platform/replica_json.rs
@@ -30,7 +30,7 @@
 /// Upper bound of the remaining slow start that an entry may state.
 const MAX_SLOW_START: Duration = Duration::from_secs(3600);
 
-/// Parses a replica's entry. Fails with code 82.
+/// Parses a replica's entry. Fails with `PlatformReply`.
 pub fn parse_replica(
     id: &str,
     text: &str,
--- a/src/platform/store_client.rs
+++ b/src/platform/store_client.rs
@@ -25,19 +25,19 @@
 pub struct StoreClient {
     http: Client,
     base_url: String,
-    call_time: Duration, // time-out of a call, in addition to the wait of a watch
+    call_timeout: Duration, // of a call, in addition to the wait of a watch
 }
 
 impl StoreClient {
-    /// A client of the store at this address. Fails with code 93.
+    /// A client of the store at this address. Fails with `StartFailed`.
     pub fn new(
         address: SocketAddr,
-        call_time: Duration,
+        call_timeout: Duration,
     ) -> Result<Self, Fault> {
         let http = Client::builder()
             .retry(retry::never())
             .no_proxy()
-            .connect_timeout(call_time)
+            .connect_timeout(call_timeout)
             .tcp_nodelay(true)
             .pool_max_idle_per_host(0)
             .build()
@@ -45,11 +45,13 @@
         Ok(Self {
             http,
             base_url: format!("http://{address}/v1"),
-            call_time,
+            call_timeout,
         })
     }
 
-    /// Makes one call. Returns none for status 404 or 410. Fails with codes 80 to 82.
+    /// Makes one call, which takes up to `time`. Returns none for status 404 or 410. Fails with
+    /// `PlatformBudget` for status 429, with `PlatformReply` if the answer cannot be parsed, and
+    /// with `PlatformDown` otherwise.
     async fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -95,7 +97,7 @@
         loop {
             let mut query = vec![("path_prefix", prefix)];
             query.extend(after.as_deref().map(|after| ("after_revision", after)));
-            let page: Option<RangeJson> = self.get("kv-range", &query, self.call_time).await?;
+            let page: Option<RangeJson> = self.get("kv-range", &query, self.call_timeout).await?;
             let reply = |detail: &str| Fault::new(ResultCode::PlatformReply, detail);
             let page =
                 page.ok_or_else(|| reply("the store answered that the range does not exist"))?;
@@ -141,7 +143,7 @@
             ("after_revision", &after),
             ("wait_ms", &wait_ms),
         ];
-        let time = wait + self.call_time;
+        let time = wait + self.call_timeout;
         let reply: Option<WatchJson> = self.get("kv-watch", &query, time).await?;
         Ok(reply.map(|reply| CatalogChange {
             items: translate_all(reply.events),
