--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -200,7 +200,10 @@
         let version = table.version;
         let known = {
             let mut state = self.state.lock().expect("catalog lock");
-            let known = state.config.as_ref().map_or(0, |current| current.table.version);
+            let known = state
+                .config
+                .as_ref()
+                .map_or(0, |current| current.table.version);
             if version > known {
                 state.config = Some(AcceptedConfig {
                     text: text.into(),
--- a/src/catalog/follow_store.rs
+++ b/src/catalog/follow_store.rs
@@ -19,11 +19,11 @@
 /// watches for changes, and lists again when the store has discarded its history. While
 /// `role` says that other processes read the store, their updates arrive by other means; when
 /// this process takes over, it continues from the revision that those have reached.
-pub async fn follow_store<S: CatalogSource, D: ReaderRole>(
+pub async fn follow_store<S: CatalogSource, R: ReaderRole>(
     catalog: Arc<Catalog>,
     source: Arc<S>,
-    role: Arc<D>,
-    pace: WatchPacing,
+    role: Arc<R>,
+    pacing: WatchPacing,
 ) {
     tokio::spawn(remove_expired_lapsed(Arc::downgrade(&catalog)));
     let mut reached = None;
@@ -42,7 +42,7 @@
             last_answer = Instant::now();
         }
         let call_start = Instant::now();
-        match call_store(&catalog, &*source, pace, failures > 0, reached).await {
+        match call_store(&catalog, &*source, pacing, failures > 0, reached).await {
             Ok(revision) => {
                 if failures > 0 {
                     log::info!(
@@ -54,7 +54,7 @@
                 last_answer = Instant::now();
                 role.record_call(true);
                 reached = revision;
-                sleep(pace.pause).await;
+                sleep(pacing.pause).await;
             }
             Err(error) => {
                 failures += 1;
@@ -64,7 +64,7 @@
                     "store does not answer: {error}"
                 );
                 role.record_call(false);
-                sleep(pace.pause_after_failure(call_start.elapsed(), rand::random())).await;
+                sleep(pacing.pause_after_failure(call_start.elapsed(), rand::random())).await;
             }
         }
     }
@@ -96,21 +96,21 @@
 async fn call_store<S: CatalogSource>(
     catalog: &Catalog,
     source: &S,
-    pace: WatchPacing,
+    pacing: WatchPacing,
     failed_before: bool,
     reached: Option<u64>,
 ) -> Result<Option<u64>, Fault> {
     let Some(after) = reached else {
         let is_first = catalog.version().config == 0;
         let listing = match is_first {
-            true => first_listing(source, pace.first_listing_hedge_delay()).await?,
+            true => first_listing(source, pacing.first_listing_hedge_delay()).await?,
             false => source.list().await?,
         };
         let revision = listing.revision;
         catalog.offer_listing(listing, "store");
         return Ok(Some(revision));
     };
-    let time = pace.next_watch(failed_before);
+    let time = pacing.next_watch(failed_before);
     let answer = timeout(time.limit, source.watch(after, time.wait)).await;
     let timed_out = |_| Fault::new(ResultCode::PlatformDown, "the watch timed out");
     let Some(change) = answer.map_err(timed_out)?? else {
--- a/src/catalog/lapse_grace.rs
+++ b/src/catalog/lapse_grace.rs
@@ -8,14 +8,14 @@
 /// anew within about 2 s of its return; entries still missing then are removed. It has to be
 /// below 2 s, the shortest time within which an upstream that shuts down must not get any
 /// new work.
-const GRACE: Duration = Duration::from_millis(1800);
+const GRACE_PERIOD: Duration = Duration::from_millis(1800);
 
 /// Tracks upstream entries that disappeared because of an outage of the store. Their leases
 /// expired without being renewed, which says nothing about the upstreams themselves, so they
 /// stay in use for a grace period, in which live upstreams write their entries again.
 #[derive(Debug, Default)]
 pub struct LapseGrace {
-    until: Option<Instant>, // end of the grace period; entries that vanish before it are kept
+    until: Option<Instant>, // end of the grace period; entries that vanish before it stay in use
     lapsed: BTreeMap<String, Instant>, // when each is removed, by id
 }
 
@@ -25,7 +25,7 @@
         &mut self,
         now: Instant,
     ) {
-        self.until = Some(now + GRACE);
+        self.until = Some(now + GRACE_PERIOD);
     }
 
     /// Records that an entry vanished. Returns whether it stays in use for now.
--- a/src/peers/cache_events_gossip.rs
+++ b/src/peers/cache_events_gossip.rs
@@ -100,11 +100,11 @@
     let mut datagrams = Vec::new();
     let mut current = Vec::new();
     let mut size = 0;
-    let parts = batches.into_iter().flat_map(|(start, batch)| {
-        let parts = split(batch).into_iter();
-        parts.map(move |part| (start, part))
+    let small_batches = batches.into_iter().flat_map(|(start, batch)| {
+        let pieces = split(batch).into_iter();
+        pieces.map(move |piece| (start, piece))
     });
-    for (start, batch) in parts {
+    for (start, batch) in small_batches {
         let cost = HEAD_EVENTS + batch.events.len();
         if size + cost > MAX_EVENTS && !current.is_empty() {
             datagrams.push(std::mem::take(&mut current));
@@ -127,11 +127,11 @@
     let mut from = batch.from;
     let mut has_gap = batch.has_gap;
     let mut rest = batch.events.as_slice();
-    let mut parts = Vec::new();
+    let mut pieces = Vec::new();
     while !rest.is_empty() {
         let (events, later) = rest.split_at(max_events.min(rest.len()));
         let next = later.first().map_or(batch.next, |event| event.number);
-        parts.push(CacheEventBatch {
+        pieces.push(CacheEventBatch {
             epoch: batch.epoch,
             from,
             next,
@@ -142,5 +142,5 @@
         from = next;
         rest = later;
     }
-    parts
+    pieces
 }
--- a/src/peers/cache_events_message.rs
+++ b/src/peers/cache_events_message.rs
@@ -11,5 +11,5 @@
 pub struct CacheEventsMessage {
     pub zone: u32,                             // hash of the zone's name
     pub reporter: SocketAddr,                  // the router that read the events
-    pub replicas: Vec<(u32, CacheEventBatch)>, // by `UpstreamEntry::start_hash`
+    pub replicas: Vec<(u32, CacheEventBatch)>, // by hash of id and start time
 }
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -28,9 +28,9 @@
             let peer_version = ahead.map(|(_, version)| version);
             // Waiting for a store that does not answer would delay the notice that a
             // replica has just started by half a second.
-            let reading = &self.gateway.store_reads;
+            let store_reads = &self.gateway.store_reads;
             let reads_store =
-                own_version.is_complete() && reading.is_reader() && reading.is_answering();
+                own_version.is_complete() && store_reads.is_reader() && store_reads.is_answering();
             let is_due = timer.should_ask(now, own_version, peer_version, reads_store);
             let Some((address, _)) = ahead.filter(|_| is_due) else {
                 continue;
--- a/src/peers/evidence_gossip.rs
+++ b/src/peers/evidence_gossip.rs
@@ -54,9 +54,9 @@
             return;
         }
         let now = gateway.now();
-        let sender = router_hash(&message.reporter);
+        let reporter = router_hash(&message.reporter);
         gateway
             .replica_table()
-            .apply_evidence(now, sender, &message.replicas);
+            .apply_evidence(now, reporter, &message.replicas);
     }
 }
--- a/src/peers/evidence_message.rs
+++ b/src/peers/evidence_message.rs
@@ -4,8 +4,8 @@
     std::net::SocketAddr,
 };
 
-/// Datagram to the routers of the own zone with what one router has observed of the pace and
-/// the pauses of replicas. Replaces what the same router sent of a replica before.
+/// Datagram to the routers of the own zone with one router's observations of how fast replicas
+/// are and how long their streams pause. Replaces what the same router sent of a replica before.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceMessage {
     pub zone: u32,            // hash of the zone's name
--- a/src/peers/leaving_gossip.rs
+++ b/src/peers/leaving_gossip.rs
@@ -15,7 +15,7 @@
 /// lost, and a router may have started since.
 const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// When the announcement of each replica was last sent, by `UpstreamEntry::start_hash`.
+/// When the announcement of each replica was last sent, by the hash of its id and start time.
 pub(super) type LeavingTimes = HashMap<u32, Moment>;
 
 impl PeerLink {
--- a/src/peers/leaving_message.rs
+++ b/src/peers/leaving_message.rs
@@ -9,5 +9,5 @@
 pub struct LeavingMessage {
     pub zone: u32,            // hash of the zone's name
     pub reporter: SocketAddr, // the router that got the announcements
-    pub starts: Vec<u32>,     // replicas, by `UpstreamEntry::start_hash`
+    pub starts: Vec<u32>,     // hashes of the replicas' ids and start times
 }
--- a/src/peers/peer_entry.rs
+++ b/src/peers/peer_entry.rs
@@ -13,11 +13,11 @@
     pub last_seen: Option<Moment>,          // last message from it, or from its zone naming it
     pub last_report: Option<Moment>,        // last report from it
     pub update_address: Option<SocketAddr>, // QUIC address that serves its catalog
-    pub incarnation: u64,
+    pub incarnation: u64,                   // start time of its process in Unix milliseconds
     pub sequence: u64,
     pub is_leaving: bool,
     pub busy_percent: u8, // of the time, in which its processor had work
-    pub millicores: u16,
+    pub millicores: u16,  // processor capacity, in thousandths of a core
     pub is_store_unavailable: bool, // its recent reads of the store failed
     pub caller_address: Option<SocketAddr>, // address for caller connections
     pub version: CatalogVersion,
--- a/src/peers/receive.rs
+++ b/src/peers/receive.rs
@@ -14,11 +14,11 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// Bytes read of one datagram; the rest of a longer one is lost.
-const MAX_DATAGRAM: usize = 4096;
+/// Size of the receive buffer; the rest of a longer datagram is lost.
+const MAX_DATAGRAM_BYTES: usize = 4096;
 
 /// Pause after a failed read of the socket.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Routers of each other zone in the answer to a discovery request.
 const CONTACTS_PER_ZONE: usize = 4;
@@ -32,13 +32,13 @@
 impl PeerLink {
     /// Receives datagrams until the process exits.
     pub(super) async fn receive(self: Arc<Self>) {
-        let mut datagram = vec![0; MAX_DATAGRAM];
+        let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             match self.socket.recv_from(&mut datagram).await {
                 Ok((length, from)) => self.handle_datagram(&datagram[..length], from).await,
                 Err(error) => {
                     log::debug!("cannot read datagrams of other routers: {error}");
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(READ_RETRY_PAUSE).await;
                 }
             }
         }
--- a/src/peers/report_body.rs
+++ b/src/peers/report_body.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReportBody {
     pub replicas: Vec<ReplicaReport>,
-    pub accounts: Vec<(u32, AccountUsage)>,
+    pub accounts: Vec<(u32, AccountUsage)>, // by hash of the account's name
     pub placements: Vec<PartPlacement>,
     pub latency_reports: Vec<LatencyReport>,
 }
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -18,7 +18,7 @@
 };
 
 /// Shortest time between two reports.
-const MIN_PAUSE: Duration = Duration::from_millis(10);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Limit on the regular reports of one router to all others together. In larger zones each
 /// router is sent to less often.
@@ -27,7 +27,7 @@
 /// The same limit for reports that are sent early, on request or after a catalog change.
 const MAX_URGENT_DATAGRAMS_PER_SECOND: f64 = 400.0;
 
-/// Unchanged figures are sent again after this fraction of the age at which they expire.
+/// Unchanged entries of a report are sent again after this fraction of the age at which they expire.
 const REFRESH_FRACTION: f32 = 0.5;
 
 /// Routers of its zone that a summary names, round robin.
@@ -35,7 +35,7 @@
 
 /// Routers of another zone that a summary is sent to while that zone's representative is
 /// unknown.
-const MAX_CONTACTS: usize = 3;
+const MAX_ZONE_CONTACTS: usize = 3;
 
 impl PeerLink {
     /// Sends reports at the report interval, and earlier on request or when the catalog
@@ -59,8 +59,9 @@
             self.send_cache_events(now, &addresses).await;
             let summaries = self.send_summaries(now).await;
             let datagrams = (addresses.len() + summaries) as f64;
-            let min_pause = Duration::from_secs_f64(datagrams / MAX_URGENT_DATAGRAMS_PER_SECOND);
-            tokio::time::sleep(MIN_PAUSE.max(min_pause)).await;
+            let urgent_interval =
+                Duration::from_secs_f64(datagrams / MAX_URGENT_DATAGRAMS_PER_SECOND);
+            tokio::time::sleep(MIN_REPORT_INTERVAL.max(urgent_interval)).await;
             let paced = Duration::from_secs_f64(addresses.len() as f64 / MAX_DATAGRAMS_PER_SECOND);
             let interval = settings.peer_interval.max(paced);
             self.update_report_interval(interval);
@@ -214,10 +215,10 @@
         }
         let known = self.gateway.peers.addresses_in_zone(zone);
         let begin = rand::random_range(0..known.len().max(1));
-        cyclic_slice(&known, begin, MAX_CONTACTS)
+        cyclic_slice(&known, begin, MAX_ZONE_CONTACTS)
     }
 
-    /// This router's own figures that are due to be sent to its zone.
+    /// The entries of this router's own report that are due to be sent to its zone.
     fn own_body(
         &self,
         now: Moment,
@@ -239,7 +240,7 @@
         self.due(now, &mut sent.own_zone, all)
     }
 
-    /// All figures of the own zone, for other zones.
+    /// All entries of the own zone's summary, for other zones.
     fn zone_body(
         &self,
         now: Moment,
@@ -259,7 +260,7 @@
         }
     }
 
-    /// The figures that changed since they were sent, or are due to be sent again.
+    /// The entries that changed since they were sent, or are due to be sent again.
     fn due(
         &self,
         now: Moment,
--- a/src/peers/zone_roles.rs
+++ b/src/peers/zone_roles.rs
@@ -7,8 +7,8 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// Routers of a zone that read the store. One alone may lose its connection to the store and
-/// take some seconds to notice.
+/// Number of routers of a zone that read the store. One alone may lose its connection to the
+/// store and take some seconds to notice.
 const STORE_READERS: usize = 2;
 
 impl PeerTable {
@@ -29,19 +29,19 @@
 
     /// Whether this router reads the store for its zone: the first `STORE_READERS` by hash
     /// do, among the routers that reported within `age`, are not shutting down and can read
-    /// the store. A router that lost the store (`own_lost`) goes on trying if it is among the
-    /// first ones of all.
+    /// the store. A router whose own reads fail (`own_reads_fail`) goes on trying if it is among
+    /// the first ones of all.
     pub fn is_store_reader(
         &self,
         now: Moment,
         age: Duration,
-        own_lost: bool,
+        own_reads_fail: bool,
     ) -> bool {
         let weight = |address: &SocketAddr| mix_hashes(stable_hash(address), STORE_READERS as u64);
         let own = weight(&self.own().address);
         let peers = self.peers();
         let live = peers.iter().filter(|(_, entry)| entry.is_live(now, age));
-        let able = live.filter(|(_, entry)| own_lost || !entry.is_store_unavailable);
+        let able = live.filter(|(_, entry)| own_reads_fail || !entry.is_store_unavailable);
         let before = able.filter(|(address, _)| weight(address) > own);
         before.count() < STORE_READERS
     }
--- a/src/peers/zone_summary.rs
+++ b/src/peers/zone_summary.rs
@@ -6,7 +6,7 @@
 };
 
 /// Datagram from one availability zone to another with the totals of its routers. A later one
-/// replaces it, also if another router of the zone made that.
+/// replaces it, also one of another router of the zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ZoneSummary {
     pub zone: u32,                  // hash of the zone's name
--- a/src/platform/store_json.rs
+++ b/src/platform/store_json.rs
@@ -31,7 +31,7 @@
 /// An item of the store, or its removal.
 #[derive(Deserialize)]
 struct ItemJson {
-    private_key: String,
+    private_key: String, // the item's key
     revision: u64,
     value: Option<String>,
     #[serde(default)]
@@ -43,15 +43,15 @@
 #[derive(Deserialize)]
 pub struct RangeJson {
     pub items: Vec<Value>,
-    pub more: bool,
-    pub at: u64,
+    pub more: bool, // whether another page follows
+    pub at: u64,    // store revision of the page
 }
 
 /// The answer to a watch.
 #[derive(Deserialize)]
 pub struct WatchJson {
-    pub events: Vec<Value>,
-    pub at: u64,
+    pub events: Vec<Value>, // the changed items
+    pub at: u64,            // store revision that they lead to
 }
 
 /// The key of the last item that has one, after which the next page begins.
--- a/src/sidecar/link_events.rs
+++ b/src/sidecar/link_events.rs
@@ -31,7 +31,7 @@
     ) -> bool {
         match self.node.sight(peer) {
             PeerObservation::Stale => return false,
-            PeerObservation::Restarted => self.forget_router(&peer.host),
+            PeerObservation::Restarted => self.remove_router(&peer.host),
             PeerObservation::New | PeerObservation::Same => {}
         }
         if let Some(link) = self.link() {
@@ -78,7 +78,7 @@
         last: bool,
     ) {
         if last {
-            self.forget_router(&peer.host);
+            self.remove_router(&peer.host);
         }
     }
 
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -282,7 +282,8 @@
         self.dispatch();
     }
 
-    pub(super) fn forget_router(
+    /// Discards the demand and the grants of a router that has disconnected or restarted.
+    pub(super) fn remove_router(
         &self,
         host: &Arc<str>,
     ) {
--- a/src/sidecar/upstream_notice.rs
+++ b/src/sidecar/upstream_notice.rs
@@ -24,7 +24,7 @@
             rest_ms = notice.backoff.as_millis() as u64;
             "the upstream said of itself"
         );
-        // The upstream's own request is always met in full: a shorter backoff does not end it.
+        // The backoff that the upstream asks for lasts in full: a shorter one does not end it.
         if !notice.backoff.is_zero() {
             self.back_off(notice.backoff);
         }
