--- a/src/catalog/catalog.rs
+++ b/src/catalog/catalog.rs
@@ -296,7 +296,7 @@
             match item {
                 CatalogItem::Upstream(record) => records.push(record),
                 CatalogItem::Cordon(change) => cordons.push(change),
-                CatalogItem::Config { text } => self.offer_told_config(&text, from),
+                CatalogItem::Config { text } => self.offer_config_or_log(&text, from),
             }
         }
         let update = UpstreamUpdate {
@@ -335,7 +335,7 @@
 
     /// Applies a configuration as [`Catalog::offer_config`] does, and logs the error if it
     /// cannot be parsed.
-    pub fn offer_told_config(
+    pub fn offer_config_or_log(
         &self,
         text: &str,
         from: &str,
--- a/src/peers/catch_up.rs
+++ b/src/peers/catch_up.rs
@@ -86,7 +86,7 @@
             "news of the upstreams taken in"
         );
         if let Some(text) = &update.config {
-            catalog.offer_told_config(text, &from);
+            catalog.offer_config_or_log(text, &from);
         }
         catalog.offer_upstreams(update.upstreams, &from);
         if let Some(cordons) = fetched.cordons {
