--- a/src/catalog/lapse_grace.rs
+++ b/src/catalog/lapse_grace.rs
@@ -6,8 +6,8 @@
 
 /// Grace period for entries that lapsed during an outage of the store. Upstreams write them
 /// anew within about 2 s of its return; entries still missing then are removed. It has to be
-/// below 2 s, the shortest time within which an upstream that shuts down must not get any
-/// new work.
+/// shorter than the time after which an upstream that shuts down must not get any new work,
+/// which is 2 s at the shortest.
 const GRACE_PERIOD: Duration = Duration::from_millis(1800);
 
 /// Tracks upstream entries that disappeared because of an outage of the store. Their leases
@@ -67,7 +67,7 @@
 
 /// Whether records remove more than half of the entries, and more than one, at once. No
 /// planned work does that; leases that expired during an outage of the store do.
-pub fn remove_most_entries(
+pub fn is_mass_removal(
     entries: &BTreeMap<String, Arc<UpstreamEntry>>,
     records: &[UpstreamRecord],
 ) -> bool {
--- a/src/catalog/upstream_list.rs
+++ b/src/catalog/upstream_list.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         UpstreamEntry, UpstreamOrigin, UpstreamRecord, UpstreamState, UpstreamUpdate,
-        lapse_grace::{LapseGrace, remove_most_entries},
+        lapse_grace::{LapseGrace, is_mass_removal},
     },
     crate::codes::{Fault, ResultCode},
     std::{
@@ -121,7 +121,7 @@
         if is_snapshot {
             records.extend(self.removals_by(&records, revision));
         }
-        if remove_most_entries(&self.entries, &records) {
+        if is_mass_removal(&self.entries, &records) {
             log::warn!(
                 from = from;
                 "most upstream entries vanished at once: their leases expired"
--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -163,7 +163,7 @@
             self.sent.lock().expect("sent lock").zone_suspects = times;
             for zone in &represented {
                 let sent = sent.entry(*zone).or_default();
-                let body = self.due(now, sent, all.clone());
+                let body = self.due_entries(now, sent, all.clone());
                 self.send_summary(now, *zone, body).await;
                 if !suspects.is_empty() {
                     let contacts = self.zone_contacts(now, *zone);
@@ -237,7 +237,7 @@
             placements,
             latency_reports,
         };
-        self.due(now, &mut sent.own_zone, all)
+        self.due_entries(now, &mut sent.own_zone, all)
     }
 
     /// All entries of the own zone's summary, for other zones.
@@ -261,7 +261,7 @@
     }
 
     /// The entries that changed since they were sent, or are due to be sent again.
-    fn due(
+    fn due_entries(
         &self,
         now: Moment,
         sent: &mut SentReports,
--- a/src/sidecar/mod.rs
+++ b/src/sidecar/mod.rs
@@ -6,7 +6,7 @@
 mod housekeeping;
 mod link_events;
 mod relay;
-mod reporter;
+mod report_service;
 mod router_numbers;
 mod serve;
 mod sidecar;
--- a/src/sidecar/serve.rs
+++ b/src/sidecar/serve.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         housekeeping::{apply_config_changes, run_housekeeping, watch_host_list},
-        reporter::report_service,
+        report_service::report_service,
         sidecar::Sidecar,
         upstream_client::UpstreamClient,
     },
