--- a/src/peers/send_reports.rs
+++ b/src/peers/send_reports.rs
@@ -275,9 +275,9 @@
             Vec::new()
         };
         ReportBody {
-            replicas: sent.replicas(now, refresh, all.replicas),
-            accounts: sent.accounts(now, refresh, settings.share_window, &all.accounts),
-            placements: sent.placements(now, settings.peer_age, all.placements),
+            replicas: sent.due_replicas(now, refresh, all.replicas),
+            accounts: sent.due_accounts(now, refresh, settings.share_window, &all.accounts),
+            placements: sent.due_placements(now, settings.peer_age, all.placements),
             latency_reports,
         }
     }
--- a/src/peers/sent_reports.rs
+++ b/src/peers/sent_reports.rs
@@ -30,7 +30,7 @@
 impl SentReports {
     /// The replica reports to send: those that changed, and those last sent at least
     /// `refresh` ago.
-    pub fn replicas(
+    pub fn due_replicas(
         &mut self,
         now: Moment,
         refresh: Duration,
@@ -54,7 +54,7 @@
 
     /// The account usage to send. Peers decay what they received over `window` by
     /// themselves, so that an account whose usage only decays is not sent before `refresh`.
-    pub fn accounts(
+    pub fn due_accounts(
         &mut self,
         now: Moment,
         refresh: Duration,
@@ -83,7 +83,7 @@
     }
 
     /// The placements of prompt parts to send, without those sent less than `refresh` ago.
-    pub fn placements(
+    pub fn due_placements(
         &mut self,
         now: Moment,
         refresh: Duration,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -229,7 +229,7 @@
 fn encoded(board: &ReplicaTable) -> Vec<Vec<u8>> {
     let replicas = board.zone_reports(NOW).into_iter().step_by(ZONES).collect();
     let figures = ReportBody {
-        replicas: SentReports::default().replicas(NOW, AGE, replicas),
+        replicas: SentReports::default().due_replicas(NOW, AGE, replicas),
         ..ReportBody::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -42,19 +42,22 @@
 fn only_replicas_that_changed_are_told_at_once() {
     let mut told = SentReports::default();
     let all = vec![replica(1, 1), replica(2, 1)];
-    assert_eq!(told.replicas(ms(0), REFRESH, all.clone()), all);
-    assert_eq!(told.replicas(ms(100), REFRESH, all), []);
+    assert_eq!(told.due_replicas(ms(0), REFRESH, all.clone()), all);
+    assert_eq!(told.due_replicas(ms(100), REFRESH, all), []);
     let changed = vec![replica(1, 1), replica(2, 5)];
     assert_eq!(
-        told.replicas(ms(200), REFRESH, changed.clone()),
+        told.due_replicas(ms(200), REFRESH, changed.clone()),
         [replica(2, 5)]
     );
     // The first was told longest ago: its turn comes first.
     assert_eq!(
-        told.replicas(ms(500), REFRESH, changed.clone()),
+        told.due_replicas(ms(500), REFRESH, changed.clone()),
         [replica(1, 1)]
     );
-    assert_eq!(told.replicas(ms(700), REFRESH, changed), [replica(2, 5)]);
+    assert_eq!(
+        told.due_replicas(ms(700), REFRESH, changed),
+        [replica(2, 5)]
+    );
 }
 
 #[test]
@@ -68,7 +71,7 @@
     let mut times = 0;
     for step in 0..=10 {
         let now = ms(step * 100);
-        times += told.accounts(now, REFRESH, WINDOW, &at(now)).len();
+        times += told.due_accounts(now, REFRESH, WINDOW, &at(now)).len();
     }
     assert_eq!(times, 3, "at the start and after each refresh");
     let more = vec![(
@@ -78,7 +81,7 @@
             ..usage
         },
     )];
-    assert_eq!(told.accounts(ms(1100), REFRESH, WINDOW, &more).len(), 1);
+    assert_eq!(told.due_accounts(ms(1100), REFRESH, WINDOW, &more).len(), 1);
 }
 
 #[test]
@@ -89,9 +92,12 @@
         part: 9,
         shared: true,
     };
-    assert_eq!(told.placements(ms(0), REFRESH, vec![note, note]), [note]);
-    assert_eq!(told.placements(ms(400), REFRESH, vec![note]), []);
-    assert_eq!(told.placements(ms(600), REFRESH, vec![note]), [note]);
+    assert_eq!(
+        told.due_placements(ms(0), REFRESH, vec![note, note]),
+        [note]
+    );
+    assert_eq!(told.due_placements(ms(400), REFRESH, vec![note]), []);
+    assert_eq!(told.due_placements(ms(600), REFRESH, vec![note]), [note]);
 }
 
 fn address(port: u16) -> SocketAddr {
