--- a/src/peers/peer_table.rs
+++ b/src/peers/peer_table.rs
@@ -163,14 +163,14 @@
     }
 
     /// Routers to name to a router of `zone`: this one, the live ones of that zone, and up to
-    /// `each` live ones of every other zone. Live ones were seen within `age` and are not
+    /// `per_zone` live ones of every other zone. Live ones were seen within `age` and are not
     /// shutting down.
     pub fn contacts(
         &self,
         now: Moment,
         age: Duration,
         zone: u32,
-        each: usize,
+        per_zone: usize,
     ) -> Vec<RouterContact> {
         let mut counts: BTreeMap<u32, usize> = BTreeMap::new();
         let mut contacts = vec![self.own];
@@ -182,7 +182,7 @@
                 continue;
             };
             let count = counts.entry(peer_zone).or_default();
-            if peer_zone == zone || *count < each {
+            if peer_zone == zone || *count < per_zone {
                 *count += 1;
                 contacts.push(RouterContact {
                     address: *address,
