--- a/src/catalog/lapse_grace.rs
+++ b/src/catalog/lapse_grace.rs
@@ -6,16 +6,16 @@
 
 /// Grace period for entries that lapsed during an outage of the store. Upstreams write them
 /// anew within about 2 s of its return; entries still missing then are removed. It has to be
-/// below 2 s, the shortest time within which an upstream that shuts down must not get any
-/// new work.
-const GRACE: Duration = Duration::from_millis(1800);
+/// shorter than the time after which an upstream that shuts down must not get any new work,
+/// which is 2 s at the shortest.
+const GRACE_PERIOD: Duration = Duration::from_millis(1800);
 
 /// Tracks upstream entries that disappeared because of an outage of the store. Their leases
 /// expired without being renewed, which says nothing about the upstreams themselves, so they
 /// stay in use for a grace period, in which live upstreams write their entries again.
 #[derive(Debug, Default)]
 pub struct LapseGrace {
-    until: Option<Instant>, // end of the grace period; entries that vanish before it are kept
+    until: Option<Instant>, // end of the grace period; entries that vanish before it stay in use
     lapsed: BTreeMap<String, Instant>, // when each is removed, by id
 }
 
@@ -25,7 +25,7 @@
         &mut self,
         now: Instant,
     ) {
-        self.until = Some(now + GRACE);
+        self.until = Some(now + GRACE_PERIOD);
     }
 
     /// Records that an entry vanished. Returns whether it stays in use for now.
@@ -67,7 +67,7 @@
 
 /// Whether records remove more than half of the entries, and more than one, at once. No
 /// planned work does that; leases that expired during an outage of the store do.
-pub fn remove_most_entries(
+pub fn is_mass_removal(
     entries: &BTreeMap<String, Arc<UpstreamEntry>>,
     records: &[UpstreamRecord],
 ) -> bool {
--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -43,20 +43,20 @@
 fn only_changed_replicas_are_reported_at_once() {
     let mut sent_reports = SentReports::default();
     let all = vec![replica(1, 1), replica(2, 1)];
-    assert_eq!(sent_reports.replicas(ms(0), REFRESH, all.clone()), all);
-    assert_eq!(sent_reports.replicas(ms(100), REFRESH, all), []);
+    assert_eq!(sent_reports.due_replicas(ms(0), REFRESH, all.clone()), all);
+    assert_eq!(sent_reports.due_replicas(ms(100), REFRESH, all), []);
     let changed = vec![replica(1, 1), replica(2, 5)];
     assert_eq!(
-        sent_reports.replicas(ms(200), REFRESH, changed.clone()),
+        sent_reports.due_replicas(ms(200), REFRESH, changed.clone()),
         [replica(2, 5)]
     );
     // The first was sent longest ago: its turn comes first.
     assert_eq!(
-        sent_reports.replicas(ms(500), REFRESH, changed.clone()),
+        sent_reports.due_replicas(ms(500), REFRESH, changed.clone()),
         [replica(1, 1)]
     );
     assert_eq!(
-        sent_reports.replicas(ms(700), REFRESH, changed),
+        sent_reports.due_replicas(ms(700), REFRESH, changed),
         [replica(2, 5)]
     );
 }
@@ -72,7 +72,7 @@
     let mut times = 0;
     for step in 0..=10 {
         let now = ms(step * 100);
-        times += sent_reports.accounts(now, REFRESH, WINDOW, &at(now)).len();
+        times += sent_reports.due_accounts(now, REFRESH, WINDOW, &at(now)).len();
     }
     assert_eq!(times, 3, "at the start and after each refresh");
     let more = vec![(
@@ -84,7 +84,7 @@
     )];
     assert_eq!(
         sent_reports
-            .accounts(ms(1100), REFRESH, WINDOW, &more)
+            .due_accounts(ms(1100), REFRESH, WINDOW, &more)
             .len(),
         1
     );
@@ -99,15 +99,15 @@
         shared: true,
     };
     assert_eq!(
-        sent_reports.placements(ms(0), REFRESH, vec![placement, placement]),
+        sent_reports.due_placements(ms(0), REFRESH, vec![placement, placement]),
         [placement]
     );
     assert_eq!(
-        sent_reports.placements(ms(400), REFRESH, vec![placement]),
+        sent_reports.due_placements(ms(400), REFRESH, vec![placement]),
         []
     );
     assert_eq!(
-        sent_reports.placements(ms(600), REFRESH, vec![placement]),
+        sent_reports.due_placements(ms(600), REFRESH, vec![placement]),
         [placement]
     );
 }
