--- a/tests/peer_reports.rs
+++ b/tests/peer_reports.rs
@@ -72,7 +72,9 @@
     let mut times = 0;
     for step in 0..=10 {
         let now = ms(step * 100);
-        times += sent_reports.due_accounts(now, REFRESH, WINDOW, &at(now)).len();
+        times += sent_reports
+            .due_accounts(now, REFRESH, WINDOW, &at(now))
+            .len();
     }
     assert_eq!(times, 3, "at the start and after each refresh");
     let more = vec![(
