--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -516,12 +516,12 @@
 fn ended_requests_are_subtracted_from_the_load_once() {
     let mut replica_table = replica_table(&["a"]);
     let prompt = prompt(1, 2);
-    let number = replica_table
+    let in_flight_id = replica_table
         .start(NOW, &"a".into(), Some(sent_prompt(&prompt, 5000)))
         .expect("listed");
     let own = |replica_table: &ReplicaTable| replica_table.replica("a").expect("listed").own_load;
     assert_eq!(own(&replica_table).prefill_tokens, 5000);
-    replica_table.first_token(NOW + Duration::from_millis(200), number);
+    replica_table.first_token(NOW + Duration::from_millis(200), in_flight_id);
     assert_eq!(
         (
             own(&replica_table).prefill_tokens,
@@ -529,8 +529,8 @@
         ),
         (0, 1)
     );
-    replica_table.finish(number);
-    replica_table.finish(number);
+    replica_table.finish(in_flight_id);
+    replica_table.finish(in_flight_id);
     assert_eq!(own(&replica_table), Load::default());
 }
 
@@ -542,12 +542,12 @@
     for own in 0..200 {
         let prompt = prompt(own, own + 1000);
         let prefill_tokens = if own % 2 == 0 { 5000 } else { 1000 };
-        let number = replica_table
+        let in_flight_id = replica_table
             .start(now, &"a".into(), Some(sent_prompt(&prompt, prefill_tokens)))
             .expect("listed");
         now += Duration::from_millis(u64::from(prefill_tokens) / 5);
-        replica_table.first_token(now, number);
-        replica_table.finish(number);
+        replica_table.first_token(now, in_flight_id);
+        replica_table.finish(in_flight_id);
     }
     let estimated = replica_table.engine_latency("model").token_ms;
     assert!(estimated > initial * 4.0, "{estimated}");
@@ -884,7 +884,7 @@
         replica_table.record_plain_request(&replica, late);
     }
     let counts = place_until_refused(&mut replica_table, &plain("z"));
-    // One request now takes half of 30 ms, and 10 ms are kept for the usual error: of 30 ms that
+    // One request now takes half of 30 ms, and 10 ms are reserved for the usual error: of 30 ms that
     // leaves 5 ms, enough for two to wait beside eight that run.
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [10]);
 }
--- a/tests/restarted_replicas.rs
+++ b/tests/restarted_replicas.rs
@@ -8,8 +8,9 @@
         policy::{
             Reporter, ReporterScope,
             placement::{
-                CachedPart, Choice, Load, PartPlacement, PlacementRequest, PlacementSettings,
-                PromptPart, PromptShape, ReplicaReport, ReplicaTable, SentPrompt,
+                CachedPart, Choice, InFlightId, Load, PartPlacement, PlacementRequest,
+                PlacementSettings, PromptPart, PromptShape, ReplicaReport, ReplicaTable,
+                SentPrompt,
             },
             shares::ShareStatus,
         },
@@ -82,7 +83,7 @@
     }
 }
 
-fn send_prompt(replica_table: &mut ReplicaTable) -> u64 {
+fn send_prompt(replica_table: &mut ReplicaTable) -> InFlightId {
     let sent = SentPrompt {
         shape: &prompt(),
         engine: ENGINE,
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -146,11 +146,11 @@
         let Choice::Send { replica, .. } = router.replica_table.choose(now, &request) else {
             return None;
         };
-        let number = router
+        let in_flight_id = router
             .replica_table
             .start(now, &replica, None)
             .expect("listed");
-        Some((replica, number))
+        Some((replica, in_flight_id))
     }
 
     /// Places a request, sends it at once and ends it at once.
@@ -159,14 +159,14 @@
         now: Moment,
         index: usize,
     ) {
-        if let Some((replica, number)) = self.choose(now, index) {
+        if let Some((replica, in_flight_id)) = self.choose(now, index) {
             if self.routers[index]
                 .replica_table
-                .may_still_start(now, number)
+                .may_still_start(now, in_flight_id)
             {
                 self.starts_by_replica.entry(replica).or_default().push(now);
             }
-            self.routers[index].replica_table.finish(number);
+            self.routers[index].replica_table.finish(in_flight_id);
         }
     }
 
@@ -329,13 +329,17 @@
             fleet.update_membership(now, |_, _| true);
         }
         let index = step as usize % 10;
-        unsent.extend(fleet.choose(now, index).map(|(_, number)| (index, number)));
+        unsent.extend(
+            fleet
+                .choose(now, index)
+                .map(|(_, in_flight_id)| (index, in_flight_id)),
+        );
     }
     let late = START + Duration::from_millis(2999);
-    let allowed = unsent.iter().filter(|(index, number)| {
+    let allowed = unsent.iter().filter(|(index, in_flight_id)| {
         fleet.routers[*index]
             .replica_table
-            .may_still_start(late, *number)
+            .may_still_start(late, *in_flight_id)
     });
     assert!(allowed.count() as f64 <= PER_SECOND);
 }
@@ -347,11 +351,11 @@
         let entries = vec![entry("i-0", "z", Duration::ZERO)];
         router.replica_table.set_entries(START, entries);
     }
-    let (_, number) = fleet.choose(START, 0).expect("a replica");
+    let (_, in_flight_id) = fleet.choose(START, 0).expect("a replica");
     let replica_table = &mut fleet.routers[0].replica_table;
-    assert!(replica_table.may_still_start(START, number));
+    assert!(replica_table.may_still_start(START, in_flight_id));
     replica_table.set_entries(START, vec![entry("i-0", "z", SLOW_START)]);
-    assert!(!replica_table.may_still_start(START, number));
+    assert!(!replica_table.may_still_start(START, in_flight_id));
 }
 
 #[test]
