--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -260,7 +260,7 @@
     });
     let catalog = catalog();
     let mut changes = catalog.subscribe();
-    let pace = WatchPacing {
+    let pacing = WatchPacing {
         apply: Duration::from_secs(60),
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
@@ -269,7 +269,7 @@
         catalog.clone(),
         store.clone(),
         Arc::new(AlwaysReader),
-        pace,
+        pacing,
     ));
     let reached = changes.wait_for(|version| version.config == 5).await;
     assert!(reached.is_ok());
@@ -309,13 +309,13 @@
     });
     let catalog = catalog();
     let role = Arc::new(SwitchedRole::default());
-    let pace = WatchPacing {
+    let pacing = WatchPacing {
         apply: Duration::from_secs(60),
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
     };
     let source = store.clone();
-    let follower = tokio::spawn(follow_store(catalog.clone(), source, role.clone(), pace));
+    let follower = tokio::spawn(follow_store(catalog.clone(), source, role.clone(), pacing));
     assert_eq!(catalog.offer_config(&config(7), "peer"), Ok(true));
     offer(&catalog, Vec::new(), 40, "peer");
     let cordons = CordonSnapshot {
@@ -343,13 +343,13 @@
     let catalog = catalog();
     assert_eq!(catalog.offer_config(&config(7), "peer"), Ok(true));
     offer(&catalog, Vec::new(), 40, "peer");
-    let pace = WatchPacing {
+    let pacing = WatchPacing {
         apply: Duration::from_secs(60),
         pause: Duration::ZERO,
         retry_pause: Duration::from_millis(1),
     };
     let (source, role) = (store.clone(), Arc::new(AlwaysReader));
-    let follower = tokio::spawn(follow_store(catalog.clone(), source, role, pace));
+    let follower = tokio::spawn(follow_store(catalog.clone(), source, role, pacing));
     let calls = || store.calls.lock().expect("lock").clone();
     while calls().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
--- a/tests/catalog_updates.rs
+++ b/tests/catalog_updates.rs
@@ -51,7 +51,7 @@
         store
     }
 
-    fn at(&self) -> u64 {
+    fn revision(&self) -> u64 {
         self.events.len() as u64
     }
 
@@ -70,7 +70,7 @@
     ) {
         self.events.push(UpstreamRecord {
             id: id.to_owned(),
-            revision: self.at() + 1,
+            revision: self.revision() + 1,
             text,
         });
     }
@@ -82,16 +82,16 @@
     ) -> BTreeMap<&str, &UpstreamRecord> {
         let events = self.events.iter().take(revision as usize);
         let newest: BTreeMap<&str, _> = events.map(|event| (&*event.id, event)).collect();
-        let there = newest.into_iter().filter(|(_, event)| event.text.is_some());
-        there.collect()
+        let existing = newest.into_iter().filter(|(_, event)| event.text.is_some());
+        existing.collect()
     }
 
     /// The current content, as the answer to a list call.
     fn listing(&self) -> CatalogChange {
-        let held = self.held_at(self.at()).into_values().cloned();
+        let held = self.held_at(self.revision()).into_values().cloned();
         CatalogChange {
             items: held.map(CatalogItem::Upstream).collect(),
-            revision: self.at(),
+            revision: self.revision(),
         }
     }
 
@@ -103,7 +103,7 @@
         let events = self.events.iter().skip(revision as usize).cloned();
         CatalogChange {
             items: events.map(CatalogItem::Upstream).collect(),
-            revision: self.at(),
+            revision: self.revision(),
         }
     }
 
@@ -272,5 +272,5 @@
     store.list(&restarted);
     restarted.offer_upstreams(answer, "peer");
     assert!(!ids(&restarted).contains("leaves"));
-    assert_eq!(restarted.version().upstreams, store.at());
+    assert_eq!(restarted.version().upstreams, store.revision());
 }
--- a/tests/direct_settings.rs
+++ b/tests/direct_settings.rs
@@ -12,21 +12,21 @@
 /// The template of the settings file, filled in with all optional bounds.
 fn filled() -> String {
     let lines = include_str!("../deploy/router.ini").lines();
-    let kept = lines.map(|line| match line.strip_prefix("{{#") {
+    let filled_lines = lines.map(|line| match line.strip_prefix("{{#") {
         Some(rest) => {
             let (_, rest) = rest.split_once("}}").expect("the end of the condition");
             rest.rsplit_once("{{/").expect("the end of the section").0
         }
         None => line,
     });
-    fill(&kept.collect::<Vec<_>>().join("\n"))
+    fill(&filled_lines.collect::<Vec<_>>().join("\n"))
 }
 
 /// The same without the optional bounds.
 fn filled_without_optional_bounds() -> String {
     let lines = include_str!("../deploy/router.ini").lines();
-    let kept = lines.filter(|line| !line.starts_with("{{#"));
-    fill(&kept.collect::<Vec<_>>().join("\n"))
+    let unconditional = lines.filter(|line| !line.starts_with("{{#"));
+    fill(&unconditional.collect::<Vec<_>>().join("\n"))
 }
 
 fn fill(template: &str) -> String {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -64,14 +64,14 @@
 /// within 18 s.
 #[test]
 fn a_watch_that_gets_lost_costs_less_than_a_configuration_may_take() {
-    let pace = sidecar(SIDECAR).expect("good settings").platform.pacing;
-    assert_eq!(pace.apply, Duration::from_secs(18));
-    let waiting = pace.next_watch(false);
+    let pacing = sidecar(SIDECAR).expect("good settings").platform.pacing;
+    assert_eq!(pacing.apply, Duration::from_secs(18));
+    let waiting = pacing.next_watch(false);
     assert!(waiting.wait < waiting.limit);
-    assert!(pace.pause + waiting.limit < pace.apply);
-    let after_a_failure = pace.next_watch(true);
+    assert!(pacing.pause + waiting.limit < pacing.apply);
+    let after_a_failure = pacing.next_watch(true);
     assert_eq!(after_a_failure.wait, Duration::ZERO);
-    assert!(after_a_failure.limit + pace.retry_pause < pace.apply);
+    assert!(after_a_failure.limit + pacing.retry_pause < pacing.apply);
     let error =
         sidecar(&SIDECAR.replace("[platform]", "[platform]\napply = 2 s\nretry_pause = 2 s"));
     expect!["error 19: sidecar.ini:10 [platform] apply: apply leaves no time after retry_pause"]
--- a/tests/stores.rs
+++ b/tests/stores.rs
@@ -1,4 +1,5 @@
-//! A store notifies subscribers of values that it held before they subscribed.
+//! The stores of a process for its configuration and host list: they notify subscribers of values
+//! held before these subscribed, and an older or invalid configuration changes nothing.
 
 use {
     archmast::{
@@ -12,7 +13,7 @@
 const CONFIG: &str = "[class c]\npatience = 1 s\n";
 
 #[tokio::test]
-async fn a_late_follower_sees_what_is_known_already() {
+async fn a_late_subscriber_is_notified_of_the_value_held() {
     let hosts = HostStore::default();
     assert!(hosts.offer(Revision(1), HostList::default()));
     assert!(hosts.subscribe().has_changed().expect("the store lives"));
@@ -33,13 +34,13 @@
     assert!(!offer(4, CONFIG).await);
     assert!(!offer(6, "[class c]\npatience = 1\n").await);
     assert_eq!(config.current().map(|c| c.revision), Some(Revision(5)));
-    let whats: Vec<(String, Option<u8>)> = audit
+    let audited: Vec<(String, Option<u8>)> = audit
         .entries()
         .into_iter()
         .map(|e| (e.what, e.code))
         .collect();
     assert_eq!(
-        whats,
+        audited,
         [
             ("config_accepted".to_owned(), None),
             ("config_older_ignored".to_owned(), Some(26)),
