--- a/tests/announced_demand.rs
+++ b/tests/announced_demand.rs
@@ -1,4 +1,5 @@
-//! The demand that routers announce to sidecars: no more messages than needed.
+//! The demand that routers announce to sidecars: no more messages than needed, while the sidecars
+//! always know that requests wait.
 
 use {
     archmast::{
@@ -9,8 +10,11 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
+/// Largest count of requests that is announced.
 const CAP: u32 = 64;
-const SHARE: f64 = 1e9;
+
+/// A budget so large that it delays no announcement.
+const BYTES_PER_SECOND: f64 = 1e9;
 const ACCOUNT: AccountId = AccountId(1);
 
 fn ms(millis: u64) -> Duration {
@@ -35,14 +39,14 @@
     let mut messages = 0;
     for step in 0..10_000 {
         messages += announced
-            .take_due_lines(ms(step), CAP, SHARE, &current(1 + step as u32))
+            .take_due_lines(ms(step), CAP, BYTES_PER_SECOND, &current(1 + step as u32))
             .len();
     }
     assert!(messages <= 4, "{messages} messages");
     let mut announced = AnnouncedDemand::default();
     assert_eq!(
         announced
-            .take_due_lines(ms(0), CAP, SHARE, &current(9_000))
+            .take_due_lines(ms(0), CAP, BYTES_PER_SECOND, &current(9_000))
             .len(),
         1
     );
@@ -51,14 +55,14 @@
         announced.granted(now, ACCOUNT);
         assert!(
             announced
-                .take_due_lines(now, CAP, SHARE, &current(9_000))
+                .take_due_lines(now, CAP, BYTES_PER_SECOND, &current(9_000))
                 .is_empty()
         );
     }
     announced.granted(ms(60_000), ACCOUNT);
     assert_eq!(
         announced
-            .take_due_lines(ms(60_000), CAP, SHARE, &current(9_000))
+            .take_due_lines(ms(60_000), CAP, BYTES_PER_SECOND, &current(9_000))
             .len(),
         1
     );
@@ -69,31 +73,31 @@
     let mut announced = AnnouncedDemand::default();
     assert_eq!(
         announced
-            .take_due_lines(ms(0), CAP, SHARE, &current(1))
+            .take_due_lines(ms(0), CAP, BYTES_PER_SECOND, &current(1))
             .len(),
         1
     );
     assert!(
         announced
-            .take_due_lines(ms(10), CAP, SHARE, &current(0))
+            .take_due_lines(ms(10), CAP, BYTES_PER_SECOND, &current(0))
             .is_empty()
     );
     assert!(
         announced
-            .take_due_lines(ms(50), CAP, SHARE, &current(1))
+            .take_due_lines(ms(50), CAP, BYTES_PER_SECOND, &current(1))
             .is_empty()
     );
     assert!(
         announced
-            .take_due_lines(ms(60), CAP, SHARE, &current(0))
+            .take_due_lines(ms(60), CAP, BYTES_PER_SECOND, &current(0))
             .is_empty()
     );
     assert!(
         announced
-            .take_due_lines(ms(200), CAP, SHARE, &current(0))
+            .take_due_lines(ms(200), CAP, BYTES_PER_SECOND, &current(0))
             .is_empty()
     );
-    let ended = announced.take_due_lines(ms(300), CAP, SHARE, &current(0));
+    let ended = announced.take_due_lines(ms(300), CAP, BYTES_PER_SECOND, &current(0));
     assert_eq!(ended.iter().map(|line| line.count).collect::<Vec<_>>(), [0]);
 }
 
@@ -119,7 +123,7 @@
 fn a_decline_that_arrives_late_leaves_a_newer_announcement_alone() {
     let mut announced = AnnouncedDemand::default();
     let mut table = DemandTable::default();
-    let line = announced.take_due_lines(ms(0), CAP, SHARE, &current(1))[0];
+    let line = announced.take_due_lines(ms(0), CAP, BYTES_PER_SECOND, &current(1))[0];
     table.announce(1u32, ms(0), 0, &line);
     table.granted(ACCOUNT, 1, 7);
     // The router declines grant 7 and announces a new request, which overtakes the decline on
@@ -134,18 +138,18 @@
     let mut announced = AnnouncedDemand::default();
     assert_eq!(
         announced
-            .take_due_lines(ms(0), CAP, SHARE, &current(3))
+            .take_due_lines(ms(0), CAP, BYTES_PER_SECOND, &current(3))
             .len(),
         1
     );
     assert!(
         announced
-            .take_due_lines(ms(4_000), CAP, SHARE, &current(3))
+            .take_due_lines(ms(4_000), CAP, BYTES_PER_SECOND, &current(3))
             .is_empty()
     );
     assert_eq!(
         announced
-            .take_due_lines(ms(6_000), CAP, SHARE, &current(3))
+            .take_due_lines(ms(6_000), CAP, BYTES_PER_SECOND, &current(3))
             .len(),
         1
     );
@@ -156,19 +160,19 @@
     let mut announced = AnnouncedDemand::default();
     assert_eq!(
         announced
-            .take_due_lines(ms(0), CAP, SHARE, &current(3))
+            .take_due_lines(ms(0), CAP, BYTES_PER_SECOND, &current(3))
             .len(),
         1
     );
     announced.granted(ms(1_000), ACCOUNT);
     assert!(
         announced
-            .take_due_lines(ms(5_500), CAP, SHARE, &current(2))
+            .take_due_lines(ms(5_500), CAP, BYTES_PER_SECOND, &current(2))
             .is_empty()
     );
     assert_eq!(
         announced
-            .take_due_lines(ms(6_500), CAP, SHARE, &current(2))
+            .take_due_lines(ms(6_500), CAP, BYTES_PER_SECOND, &current(2))
             .len(),
         1
     );
@@ -184,7 +188,7 @@
         let (mut number, mut seen) = (0, 0);
         for (step, (count, grants)) in counts.into_iter().enumerate() {
             let now = ms(step as u64 * 7);
-            for line in announced.take_due_lines(now, CAP, SHARE, &current(count)) {
+            for line in announced.take_due_lines(now, CAP, BYTES_PER_SECOND, &current(count)) {
                 table.announce(1u32, now, seen, &line);
             }
             if count > 0 {
--- a/tests/exchange_model.rs
+++ b/tests/exchange_model.rs
@@ -1,5 +1,5 @@
-//! Explores every interleaving of the exchange of one request: when a caller is told that its
-//! request did not run, that is true, and a request that must not be repeated runs at most once.
+//! Explores every interleaving of the exchange of one request: an answer that the request did not
+//! run is always true, and a request that must not be repeated runs at most once.
 //!
 //! The model drives the state machines of the product. The network may lose or delay each message
 //! for ever, either process may crash at any step, a process that was suspended acts later on its
--- a/tests/foreign_text.rs
+++ b/tests/foreign_text.rs
@@ -146,7 +146,7 @@
     }
 
     #[test]
-    fn no_head_of_a_caller_or_list_of_a_replica_panics(
+    fn no_headers_of_a_caller_or_reply_of_a_replica_make_a_parser_panic(
         parts in prop::collection::vec(("[0-9a-fxyz]{0,17}", any::<u32>()), 0..40),
         counts in (any::<u32>(), any::<u32>()),
         text in "[ -~]{0,60}",
@@ -166,7 +166,7 @@
                 prop_assert!(all < 1 << 26, "{all} tokens");
             }
         }
-        let _kept = (dialect().cache.parse_list)(json.to_string().as_bytes());
+        let _cached_parts = (dialect().cache.parse_list)(json.to_string().as_bytes());
         let _events = (dialect().cache.parse_events)(7, json.to_string().as_bytes());
     }
 }
--- a/tests/hand_on.rs
+++ b/tests/hand_on.rs
@@ -1,4 +1,4 @@
-//! Which neighbour a connection of a caller is handed on to.
+//! Which neighbour (router of the same zone) a router hands a connection of a caller on to.
 
 use {
     archmast::policy::{Neighbour, choose_neighbour},
@@ -27,20 +27,23 @@
 
 #[test]
 fn connections_are_spread_by_the_spare_cores_of_neighbours() {
-    let fleet = [neighbour(1, 0.04), neighbour(2, 0.4), neighbour(3, 0.36)];
+    let neighbours = [neighbour(1, 0.04), neighbour(2, 0.4), neighbour(3, 0.36)];
     assert_eq!(
-        times_chosen(&fleet, 1) + times_chosen(&fleet, 2) + times_chosen(&fleet, 3),
+        times_chosen(&neighbours, 1) + times_chosen(&neighbours, 2) + times_chosen(&neighbours, 3),
         1000
     );
-    assert!(times_chosen(&fleet, 1).abs_diff(50) <= 1);
-    assert!(times_chosen(&fleet, 2).abs_diff(500) <= 1);
+    assert!(times_chosen(&neighbours, 1).abs_diff(50) <= 1);
+    assert!(times_chosen(&neighbours, 2).abs_diff(500) <= 1);
 }
 
 #[test]
 fn a_neighbour_without_spare_cores_gets_none() {
-    let fleet = [neighbour(1, 0.001), neighbour(2, 0.1)];
-    assert_eq!(times_chosen(&fleet, 2), 1000);
-    assert_eq!(choose_neighbour(&fleet[..1], 0.5), None);
+    let neighbours = [neighbour(1, 0.001), neighbour(2, 0.1)];
+    assert_eq!(times_chosen(&neighbours, 2), 1000);
+    assert_eq!(choose_neighbour(&neighbours[..1], 0.5), None);
     assert_eq!(choose_neighbour(&[], 0.5), None);
-    assert_eq!(choose_neighbour(&fleet, 1.0), Some(fleet[1].caller_address));
+    assert_eq!(
+        choose_neighbour(&neighbours, 1.0),
+        Some(neighbours[1].caller_address)
+    );
 }
--- a/tests/landed_messages.rs
+++ b/tests/landed_messages.rs
@@ -1,7 +1,7 @@
 //! Routers of the last released build and of this build run side by side during an upgrade. The
-//! messages of the released build are recorded in files: this build must read them, and must encode
-//! the same messages to the same bytes, since the released build refuses a message that is longer
-//! than it expects.
+//! messages of the released build are recorded in `messages/landed`: this build must read them, and
+//! must encode the same messages to the same bytes, since the released build refuses a message that
+//! is longer than it expects.
 //!
 //! How a message may change is described in docs/DEVELOPERS.md.
 
@@ -194,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn data_after_an_update_is_read_by_builds_that_know_it_only() {
+async fn data_after_an_update_is_read_only_by_builds_that_know_it() {
     let cordons = CordonSnapshot {
         cordons: vec![Cordon {
             zone: "z-1".to_owned(),
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_message_of_an_unknown_kind_or_with_more_in_it_is_refused_by_number() {
+fn a_message_of_an_unknown_kind_or_with_extra_bytes_is_refused_as_malformed() {
     let mut longer = include_bytes!("messages/landed/report").to_vec();
     longer.push(0);
     let mut unknown = include_bytes!("messages/landed/ask").to_vec();
--- a/tests/latency_model.rs
+++ b/tests/latency_model.rs
@@ -60,10 +60,10 @@
     ) {
         let engine = Engine { fixed_ms, tokens_per_ms: speed };
         let times = model_after(engine, 200, 5.0).times();
-        let whole = times.fixed_ms + times.prefill_ms(8000);
-        prop_assert!(is_near(whole, fixed_ms + 8000.0 / speed), "{times:?}");
-        let small = times.fixed_ms + times.prefill_ms(500);
-        prop_assert!((small - fixed_ms - 500.0 / speed).abs() < 20.0, "{times:?}");
+        let estimated_ms = times.fixed_ms + times.prefill_ms(8000);
+        prop_assert!(is_near(estimated_ms, fixed_ms + 8000.0 / speed), "{times:?}");
+        let estimated_short_ms = times.fixed_ms + times.prefill_ms(500);
+        prop_assert!((estimated_short_ms - fixed_ms - 500.0 / speed).abs() < 20.0, "{times:?}");
     }
 
     #[test]
@@ -77,8 +77,8 @@
             model.record(engine(after).first_token(200 + (sample * 2953) % 9000, 0.0));
         }
         let times = model.times();
-        let whole = times.fixed_ms + times.prefill_ms(8000);
-        prop_assert!(is_near(whole, 50.0 + 8000.0 / after), "{times:?}");
+        let estimated_ms = times.fixed_ms + times.prefill_ms(8000);
+        prop_assert!(is_near(estimated_ms, 50.0 + 8000.0 / after), "{times:?}");
     }
 }
 
@@ -90,8 +90,11 @@
             tokens_per_ms,
         };
         let times = model_after(engine, 12, 0.0).times();
-        let whole = times.fixed_ms + times.prefill_ms(8000);
-        assert!(is_near(whole, 50.0 + 8000.0 / tokens_per_ms), "{times:?}");
+        let estimated_ms = times.fixed_ms + times.prefill_ms(8000);
+        assert!(
+            is_near(estimated_ms, 50.0 + 8000.0 / tokens_per_ms),
+            "{times:?}"
+        );
     }
 }
 
@@ -137,8 +140,8 @@
         model.record(engine.first_token(1000, 0.0));
     }
     let times = model.times();
-    let whole = times.fixed_ms + times.prefill_ms(1000);
-    assert!(is_near(whole, 75.0), "{times:?}");
+    let estimated_ms = times.fixed_ms + times.prefill_ms(1000);
+    assert!(is_near(estimated_ms, 75.0), "{times:?}");
 }
 
 #[test]
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -69,12 +69,12 @@
 fn a_stuck_reader_loses_lines_and_blocks_no_writer() {
     let gate = Arc::new((Mutex::new(false), Condvar::new()));
     let mut pipe = LogPipe::start(StuckReader(gate.clone())).expect("a thread");
-    let lost = pipe.dropped_lines();
+    let dropped = pipe.dropped_lines();
     // Every write returns although nothing is read; if one blocked, this test would not end.
     for number in 0..20_000 {
         writeln!(pipe, "line {number} of many that nobody reads").expect("writing never fails");
     }
-    assert!(lost.load(Ordering::Relaxed) > 5000);
+    assert!(dropped.load(Ordering::Relaxed) > 5000);
     *gate.0.lock().expect("lock") = true;
     gate.1.notify_all();
 }
--- a/tests/overload_pause.rs
+++ b/tests/overload_pause.rs
@@ -25,7 +25,7 @@
         }
         now += STEP;
     }
-    panic!("never {paused}");
+    panic!("`observe` never returned {paused}");
 }
 
 #[test]
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_process_that_is_stopped_for_long_is_not_taken_as_busy() {
+fn a_process_that_was_suspended_is_not_taken_as_busy() {
     let mut gauge = BusyGauge::new(ms(500));
     gauge.sample(STEP, ms(2));
     gauge.sample(ms(3000), ms(4));
