--- a/tests/fair_shares.rs
+++ b/tests/fair_shares.rs
@@ -35,7 +35,7 @@
     tracker.record_requested(now, small, 1000.0);
     tracker.record_allocated(now, big, 1000.0);
     assert!(wait_if_over(&mut tracker, now, big).is_some());
-    // All engines together make 2,000 tokens per second, 8,000 per window.
+    // All engines together process 2,000 tokens per second, 8,000 per window.
     tracker.set_declared_capacity(Some(2000.0));
     assert_eq!(wait_if_over(&mut tracker, now, big), None);
     tracker.record_requested(now, big, 20_000.0);
--- a/tests/shares_under_strain.rs
+++ b/tests/shares_under_strain.rs
@@ -20,8 +20,8 @@
 /// Tokens per millisecond of all replicas together.
 const CAPACITY: f32 = 40.0;
 
-/// Longest queue at which replicas accept another request, in milliseconds of all of them; twice
-/// that for accounts under their share.
+/// Longest queue at which replicas accept another request, as the time that all of them together
+/// take for it; twice that for accounts under their share.
 const MAX_QUEUE_MS: f32 = 200.0;
 
 /// The window of shares in the shipped settings.
@@ -222,7 +222,7 @@
     }
 }
 
-/// The replicas make a third of the declared capacity; one account requests 150 times as much as
+/// The replicas process a third of the declared capacity; one account requests 150 times as much as
 /// each of four others, which request three times their share.
 #[test]
 fn an_account_keeps_its_share_beside_a_heavier_one_when_replicas_make_less_than_declared() {
--- a/tests/stream_pauses.rs
+++ b/tests/stream_pauses.rs
@@ -105,7 +105,7 @@
 
 struct Stream {
     kind: usize,
-    number: InFlightId,
+    in_flight_id: InFlightId,
     sent: Moment,
     first_event_at: Moment,
     watch: Option<PauseWatch>,
@@ -223,13 +223,13 @@
             prefill_tokens,
             queue_ms,
         };
-        let number = self.replica_table.start(self.now, &replica, Some(sent));
+        let in_flight_id = self.replica_table.start(self.now, &replica, Some(sent));
         let index: usize = replica.parse().expect("an index");
         self.sent_to.push(index);
         self.outcomes[kind].by_replica[index] += 1;
         let stream = Stream {
             kind,
-            number: number.expect("started"),
+            in_flight_id: in_flight_id.expect("started"),
             sent: self.now,
             first_event_at: self.now,
             watch: None,
@@ -256,7 +256,8 @@
                 return;
             }
             let (_, mut stream) = replica.prefill_queue.pop_front().expect("a queued stream");
-            self.replica_table.first_token(self.now, stream.number);
+            self.replica_table
+                .first_token(self.now, stream.in_flight_id);
             let late = self.now - stream.sent > self.kinds[stream.kind].target_latency;
             self.outcomes[stream.kind].late_first_events += u32::from(late);
             stream.first_event_at = self.now;
@@ -311,7 +312,7 @@
         for position in ended.into_iter().rev() {
             let stream = replica.running.swap_remove(position);
             let tokens = self.kinds[stream.kind].events * STEPS_PER_EVENT as u32;
-            self.replica_table.finish(stream.number);
+            self.replica_table.finish(stream.in_flight_id);
             self.replica_table.record_stream(
                 self.now,
                 &entry,
@@ -553,7 +554,7 @@
 /// request over its share is refused there, however short the prefill queue is; one within its
 /// share is accepted.
 #[test]
-fn requests_over_the_share_make_hardly_any_stream_late() {
+fn a_request_over_its_share_is_refused_where_it_would_make_streams_late() {
     let chats = Kind {
         per_s: 30.0,
         tokens: 50,
@@ -574,7 +575,7 @@
         }],
         output_tokens: 100,
     };
-    let standing = |share_status| PlacementRequest {
+    let with_status = |share_status| PlacementRequest {
         share_status,
         target_latency: Duration::from_secs(20),
         ..request(&long, Some(TARGET_PAUSE))
@@ -585,11 +586,11 @@
     };
     let choice = simulation
         .replica_table
-        .choose(simulation.now, &standing(ShareStatus::Within));
+        .choose(simulation.now, &with_status(ShareStatus::Within));
     assert!(matches!(choice, Choice::Send { pauses_ms, .. } if pauses_ms > 0.0));
     let choice = simulation
         .replica_table
-        .choose(simulation.now, &standing(over));
+        .choose(simulation.now, &with_status(over));
     let reason = RefusalReason::OverShare;
     assert!(matches!(choice, Choice::Refuse { reason: given, .. } if given == reason));
 }
--- a/tests/suspects.rs
+++ b/tests/suspects.rs
@@ -174,7 +174,7 @@
     assert!(is_held(&tracker, ms(14_000)));
     let flood: Vec<RequestDigest> = (1000..21_000).map(RequestDigest).collect();
     let updates = tracker.reports_for(ms(21_000), &flood);
-    assert!(updates.len() <= 512, "{} are kept", updates.len());
+    assert!(updates.len() <= 512, "{} reports", updates.len());
 }
 
 #[test]
