--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -884,8 +884,8 @@
         replica_table.record_plain_request(&replica, late);
     }
     let counts = place_until_refused(&mut replica_table, &plain("z"));
-    // One request now takes half of 30 ms, and 10 ms are reserved for the usual error: of 30 ms that
-    // leaves 5 ms, enough for two to wait beside eight that run.
+    // One request now takes half of 30 ms, and 10 ms are reserved for the usual error: of 30 ms
+    // that leaves 5 ms, enough for two to wait beside eight that run.
     assert_eq!(counts.into_values().collect::<Vec<_>>(), [10]);
 }
 
