--- a/src/conf/direct_settings.rs
+++ b/src/conf/direct_settings.rs
@@ -34,9 +34,9 @@
     pub request_memory: MemoryBudget,
     /// Busy fraction of the CPU, 0 to 1, above which the router reports itself as not ready.
     pub max_busy_share: f64,
-    /// Busy fraction of the CPU, 0 to 1, above which new connections of callers are passed on to
+    /// Busy fraction of the CPU, 0 to 1, above which new connections of callers are forwarded to
     /// routers of the same zone; 1 disables this.
-    pub hand_on_busy_share: f64,
+    pub forward_busy_share: f64,
     /// HTTP address for the balancer's readiness checks.
     pub ready_listen: SocketAddr,
     /// Path of the balancer's readiness checks.
@@ -89,7 +89,8 @@
     /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/direct.ini");
 
-    /// Reads a settings file; fails with codes 10 to 19.
+    /// Reads a settings file. Fails with a code from `ResultCode::SettingsFileMissing` (10) to
+    /// `SettingsContradict` (19).
     pub fn read(path: &str) -> Result<Self, ConfError> {
         let settings = Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)?;
         Ok(Self {
@@ -98,7 +99,8 @@
         })
     }
 
-    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
+    /// Reads a parsed settings file. Fails with a code from `ResultCode::UnknownSection` (12) to
+    /// `OutOfRange` (17), or with `SettingsContradict` (19).
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
@@ -142,7 +144,7 @@
                 total: memory / REQUESTS_DIVISOR,
             },
             max_busy_share: callers.number("most_busy", 0.01..=1.0)?,
-            hand_on_busy_share: callers.number("hand_on", 0.0..=1.0)?,
+            forward_busy_share: callers.number("hand_on", 0.0..=1.0)?,
             ready_listen: ready.parsed("listen", "an IP:port")?,
             ready_path: ready.text("path")?.to_owned(),
             peer_listen: peers.parsed("listen", "an IP:port")?,
--- a/src/direct/caller_connections.rs
+++ b/src/direct/caller_connections.rs
@@ -10,7 +10,7 @@
     },
     crate::{
         codes::ResultCode,
-        ops::{CONNECTIONS_HANDED_ON, UNREAD_ANSWERS},
+        ops::{CONNECTIONS_FORWARDED, UNREAD_ANSWERS},
     },
     hyper::{server::conn::http1, service::service_fn},
     hyper_util::rt::TokioTimer,
@@ -134,7 +134,7 @@
             match connect_to_neighbour(own_address, neighbour).await {
                 Ok(connection) => {
                     let connect_ms = (self.gateway.now() - started).as_millis() as u64;
-                    metrics::counter!(CONNECTIONS_HANDED_ON).increment(1);
+                    metrics::counter!(CONNECTIONS_FORWARDED).increment(1);
                     log::info!(
                         caller = from.to_string().as_str(), neighbour = neighbour.to_string().as_str(),
                         connect_ms = connect_ms;
--- a/src/direct/processor_watch.rs
+++ b/src/direct/processor_watch.rs
@@ -104,7 +104,7 @@
     ) {
         let settings = self.gateway.settings();
         let own_busy = self.short_term_busy.share();
-        if settings.hand_on_busy_share < 1.0 && own_busy >= settings.hand_on_busy_share {
+        if settings.forward_busy_share < 1.0 && own_busy >= settings.forward_busy_share {
             self.forwarding_until = now + MIN_FORWARDING_TIME;
         }
         let neighbours = if now < self.forwarding_until {
--- a/src/ops/metric_names.rs
+++ b/src/ops/metric_names.rs
@@ -10,8 +10,8 @@
 pub const GRANTS: &str = "archmast_grants_total";
 /// Bytes of control messages sent, by `kind` of message.
 pub const CONTROL_BYTES: &str = "archmast_control_bytes_total";
-/// Connections of callers that were passed on to another router, which had CPU to spare.
-pub const CONNECTIONS_HANDED_ON: &str = "archmast_connections_handed_on_total";
+/// Connections of callers that were forwarded to a router of the same zone, which had CPU to spare.
+pub const CONNECTIONS_FORWARDED: &str = "archmast_connections_handed_on_total";
 /// Requests sent again, by `why` the attempt before failed.
 pub const RETRIES: &str = "archmast_retries_total";
 /// Revision of the configuration in force.
@@ -35,7 +35,8 @@
 pub const ACCOUNTS: &str = "archmast_accounts";
 /// Tokens that are divided among the accounts in one window of the fair shares.
 pub const SHARE_DIVIDED_TOKENS: &str = "archmast_share_divided_tokens";
-/// Tokens of these that an account may use in a window; -1 if the capacity suffices for all.
+/// Tokens that an account may use in one window of the fair shares; -1 if the capacity suffices for
+/// all.
 pub const SHARE_LEVEL_TOKENS: &str = "archmast_share_level_tokens";
 /// Replicas that get no requests for now, since requests failed there.
 pub const EJECTED_REPLICAS: &str = "archmast_resting_replicas";
@@ -47,14 +48,15 @@
 pub const REPLICA_NOTICES: &str = "archmast_replica_notices_total";
 /// Bytes in memory, by `what`: `answers` that callers are slow to read, or bodies of `requests`.
 pub const HELD_BYTES: &str = "archmast_held_bytes";
-/// Answers that were cut off since their callers did not read them (code 48).
+/// Answers that were cut off since their callers did not read them (`ResultCode::AnswerUnread`,
+/// 48).
 pub const UNREAD_ANSWERS: &str = "archmast_unread_answers_total";
 /// Replicas whose prompt caches this router follows.
 pub const FOLLOWED_CACHES: &str = "archmast_kept_followed_replicas";
-/// Calls for the cache events of these replicas, by `outcome`: `answered`, `failed`.
+/// Calls for the cache events of followed replicas, by `outcome`: `answered`, `failed`.
 pub const CACHE_FOLLOW_CALLS: &str = "archmast_kept_calls_total";
-/// Cache events of these replicas, by `kind`: `heard` are new ones; of these, `taken` add a cached
-/// part that was not known, and `given_up` evict one that was.
+/// Cache events of followed replicas, by `kind`: `heard` are new ones; of these, `taken` add a
+/// cached part that was not known, and `given_up` evict one that was.
 pub const CACHE_EVENTS: &str = "archmast_kept_events_total";
 /// Event streams that ended, by `how`: `whole` for complete ones, `cut` for incomplete ones,
 /// `left` if the caller disconnected.
