--- a/src/conf/ini_document.rs
+++ b/src/conf/ini_document.rs
@@ -13,7 +13,8 @@
 }
 
 impl IniDocument {
-    /// Reads and parses a file; fails with codes 10, 11, 12 and 18.
+    /// Reads and parses a file. Fails with `ResultCode::SettingsFileMissing` (10),
+    /// `SettingsSyntax` (11), `UnknownSection` (12) or `DuplicateKey` (18).
     pub fn read(file: &str) -> Result<Self, ConfError> {
         let text = fs::read_to_string(file).map_err(|error| {
             ConfError::of_file(ResultCode::SettingsFileMissing, file, error.to_string())
@@ -21,7 +22,8 @@
         Self::parse(file, &text)
     }
 
-    /// Parses a text; fails with codes 11, 12 and 18.
+    /// Parses a text; `file` is its name for errors. Fails with `ResultCode::SettingsSyntax` (11),
+    /// `UnknownSection` (12) if a key stands before the first section, or `DuplicateKey` (18).
     pub fn parse(
         file: &str,
         text: &str,
--- a/src/conf/link_settings.rs
+++ b/src/conf/link_settings.rs
@@ -16,7 +16,8 @@
 }
 
 impl LinkSettings {
-    /// Reads the section; fails with codes 14 to 17.
+    /// Reads the section. Fails with `ResultCode::MissingKey` (14), `BadValue` (15),
+    /// `WrongUnit` (16) or `OutOfRange` (17).
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("link")?;
         let second = Duration::from_secs(1);
--- a/src/conf/operator_settings.rs
+++ b/src/conf/operator_settings.rs
@@ -11,7 +11,8 @@
 }
 
 impl OperatorSettings {
-    /// Reads the section; fails with codes 14 to 17.
+    /// Reads the section. Fails with `ResultCode::MissingKey` (14), `BadValue` (15) or
+    /// `OutOfRange` (17).
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("operator")?;
         Ok(Self {
--- a/src/conf/platform_settings.rs
+++ b/src/conf/platform_settings.rs
@@ -17,7 +17,8 @@
 }
 
 impl PlatformSettings {
-    /// Reads the section; fails with codes 14 to 17 and 19.
+    /// Reads the section. Fails with `ResultCode::MissingKey` (14), `BadValue` (15),
+    /// `WrongUnit` (16), `OutOfRange` (17) or `SettingsContradict` (19).
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("platform")?;
         let second = Duration::from_secs(1);
--- a/src/conf/process_settings.rs
+++ b/src/conf/process_settings.rs
@@ -6,7 +6,7 @@
 /// `[process]`: identity and resources of this process.
 #[derive(Debug, Clone)]
 pub struct ProcessSettings {
-    pub host: String, // name of this host, in the granted form that in the platform's host list
+    pub host: String, // name of this host; in the granted form, as in the platform's host list
     pub zone: String, // availability zone
     pub workers: usize, // worker threads
     pub cores: f64,   // CPU cores that the process may use; may be a fraction
@@ -14,7 +14,8 @@
 }
 
 impl ProcessSettings {
-    /// Reads the section; fails with codes 14 to 17.
+    /// Reads the section. Fails with `ResultCode::MissingKey` (14), `BadValue` (15),
+    /// `WrongUnit` (16) or `OutOfRange` (17).
     pub fn read(file: &SettingsFile) -> Result<Self, ConfError> {
         let section = file.section("process")?;
         Ok(Self {
--- a/src/conf/router_settings.rs
+++ b/src/conf/router_settings.rs
@@ -52,12 +52,14 @@
     /// The default settings file, with comments. `--print-defaults` prints it.
     pub const SHIPPED: &'static str = include_str!("../../conf/router.ini");
 
-    /// Reads a settings file; fails with codes 10 to 19.
+    /// Reads a settings file. Fails with a code from `ResultCode::SettingsFileMissing` (10) to
+    /// `SettingsContradict` (19).
     pub fn read(path: &str) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::read(path, Self::SHIPPED)?)
     }
 
-    /// Reads a parsed settings file; fails with codes 12 to 17 and 19.
+    /// Reads a parsed settings file. Fails with a code from `ResultCode::UnknownSection` (12) to
+    /// `OutOfRange` (17), or with `SettingsContradict` (19).
     pub fn from_document(document: IniDocument) -> Result<Self, ConfError> {
         Self::from_file(&SettingsFile::new(document, Self::SHIPPED)?)
     }
--- a/src/conf/section_reader.rs
+++ b/src/conf/section_reader.rs
@@ -40,7 +40,7 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// The value of a required key; fails with code 14.
+    /// The value of a required key. Fails with `ResultCode::MissingKey` (14).
     pub fn text(
         &self,
         key: &str,
@@ -49,8 +49,8 @@
             .ok_or_else(|| self.fault(ResultCode::MissingKey, key, "is required"))
     }
 
-    /// A value parsed from its text; fails with codes 14 and 15. `expected` says in the error what
-    /// the key takes.
+    /// A value parsed from its text. Fails with `ResultCode::MissingKey` (14) or `BadValue` (15);
+    /// `expected` says in that error what the key takes.
     pub fn parsed<T: FromStr>(
         &self,
         key: &str,
@@ -66,7 +66,8 @@
         })
     }
 
-    /// A number within a range; fails with codes 14, 15 and 17.
+    /// A number within a range. Fails with `ResultCode::MissingKey` (14), `BadValue` (15) or
+    /// `OutOfRange` (17).
     pub fn number<T>(
         &self,
         key: &str,
@@ -80,7 +81,7 @@
         Ok(number)
     }
 
-    /// A flag, `yes` or `no`; fails with codes 14 and 15.
+    /// A flag, `yes` or `no`. Fails with `ResultCode::MissingKey` (14) or `BadValue` (15).
     pub fn flag(
         &self,
         key: &str,
@@ -96,7 +97,8 @@
         }
     }
 
-    /// A duration with a unit, within a range; fails with codes 14 to 17.
+    /// A duration with a unit, within a range. Fails with `ResultCode::MissingKey` (14),
+    /// `BadValue` (15), `WrongUnit` (16) or `OutOfRange` (17).
     pub fn duration(
         &self,
         key: &str,
@@ -111,7 +113,8 @@
         Err(self.fault(ResultCode::OutOfRange, key, &detail))
     }
 
-    /// A size with a unit, in bytes, within a range; fails with codes 14 to 17.
+    /// A size with a unit, in bytes, within a range. Fails with `ResultCode::MissingKey` (14),
+    /// `BadValue` (15), `WrongUnit` (16) or `OutOfRange` (17).
     pub fn size(
         &self,
         key: &str,
@@ -136,7 +139,7 @@
             .collect()
     }
 
-    /// Fails with code 13 if the section has a key that was never read.
+    /// Fails with `ResultCode::UnknownKey` (13) if the section has a key that was never read.
     pub fn finish(&self) -> Result<(), ConfError> {
         let read_keys = self.read_keys.borrow();
         match self
--- a/src/conf/settings_file.rs
+++ b/src/conf/settings_file.rs
@@ -13,7 +13,8 @@
 }
 
 impl SettingsFile {
-    /// Reads `path` on top of the text `shipped`; fails with codes 10 to 13 and 18.
+    /// Reads `path` on top of the default settings, whose text is `shipped`. Fails with a code from
+    /// `ResultCode::SettingsFileMissing` (10) to `UnknownKey` (13), or with `DuplicateKey` (18).
     pub fn read(
         path: &str,
         shipped: &str,
@@ -21,7 +22,8 @@
         Self::new(IniDocument::read(path)?, shipped)
     }
 
-    /// Takes a parsed file on top of the text `shipped`; fails with codes 12 and 13.
+    /// Puts a parsed file on top of the default settings, whose text is `shipped`. Fails with
+    /// `ResultCode::UnknownSection` (12) or `UnknownKey` (13).
     pub fn new(
         mut user: IniDocument,
         shipped: &str,
@@ -40,7 +42,8 @@
         Ok(Self { user, defaults })
     }
 
-    /// Returns a reader of a section that the default settings have.
+    /// Returns a reader of a section. Fails with `ResultCode::UnknownSection` (12) if the default
+    /// settings do not have it.
     pub fn section(
         &self,
         name: &str,
