--- a/src/fleet/fleet_parser.rs
+++ b/src/fleet/fleet_parser.rs
@@ -18,7 +18,8 @@
 const PATIENCE_RANGE: RangeInclusive<Duration> =
     Duration::from_millis(1)..=Duration::from_secs(86_400);
 
-/// Parses and validates a configuration of one or more documents; fails with codes 11 to 24.
+/// Parses and validates a configuration of one or more documents. Fails with a code from
+/// `ResultCode::SettingsSyntax` (11) to `AccountIdCollision` (24).
 ///
 /// Classes are read in a first pass, so that sections may be in any order and in any document.
 /// `documents` are parsed one after another in each pass: all together would take several times
--- a/src/fleet/manifest.rs
+++ b/src/fleet/manifest.rs
@@ -26,8 +26,9 @@
 }
 
 impl Manifest {
-    /// Parses a published value; `None` if it is a whole configuration. Fails with codes 11, 12 and
-    /// 18. `file` is its name for errors.
+    /// Parses a published value; `None` if it is a whole configuration. `file` is its name for
+    /// errors. Fails with `ResultCode::SettingsSyntax` (11), `UnknownSection` (12) or
+    /// `DuplicateKey` (18).
     pub fn parse(
         file: &str,
         text: &str,
@@ -61,7 +62,8 @@
 }
 
 impl ManifestPart {
-    /// Compares a part's text with the digest in the manifest; fails with code 23.
+    /// Compares a part's text with the digest in the manifest. Fails with
+    /// `ResultCode::PartDigest` (23) if they differ.
     pub fn verify(
         &self,
         text: &str,
--- a/src/fleet/versioned_config.rs
+++ b/src/fleet/versioned_config.rs
@@ -10,8 +10,8 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// A validated configuration with its revision and its published texts, which are kept to be sent
-/// to peers.
+/// A validated configuration with its revision and its published texts, which are stored to be
+/// sent to peers.
 #[derive(Debug, Clone)]
 pub struct VersionedConfig {
     pub revision: Revision,
@@ -22,7 +22,8 @@
 }
 
 impl VersionedConfig {
-    /// Parses and validates a published value and its parts; fails with codes 11 to 24.
+    /// Parses and validates a published value and its parts. Fails with a code from
+    /// `ResultCode::SettingsSyntax` (11) to `AccountIdCollision` (24).
     ///
     /// The result depends on the texts alone, so that all processes accept or reject the same
     /// configurations.
