--- a/src/codes/fault.rs
+++ b/src/codes/fault.rs
@@ -35,7 +35,8 @@
         Self::new(code, texts.join(": "))
     }
 
-    /// Creates a fault for a connection to a peer that failed or was closed: code 74.
+    /// Creates a fault with `ResultCode::PeerUnreachable` (74), for a connection to a peer that
+    /// failed or was closed.
     pub fn unreachable(detail: impl fmt::Display) -> Self {
         Self::new(ResultCode::PeerUnreachable, detail)
     }
--- a/src/ctl/check.rs
+++ b/src/ctl/check.rs
@@ -40,7 +40,8 @@
     ))
 }
 
-/// Reads and validates a configuration; fails with codes 10 to 24.
+/// Reads and validates a configuration. Fails with `ResultCode::Usage` (90) if there is no file,
+/// else with a code from `SettingsFileMissing` (10) to `AccountIdCollision` (24).
 pub fn read_config(files: &[String]) -> Result<VersionedConfig, CtlError> {
     let (root, parts) = files
         .split_first()
--- a/src/ctl/errors.rs
+++ b/src/ctl/errors.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Creates an error about the command line: code 90.
+    /// Creates an error about the command line, with `ResultCode::Usage` (90).
     pub fn usage(detail: impl fmt::Display) -> Self {
         Self::new(ResultCode::Usage, detail)
     }
--- a/src/ctl/fleet_reader.rs
+++ b/src/ctl/fleet_reader.rs
@@ -24,8 +24,10 @@
 }
 
 impl FleetReader {
-    /// Reads the host list from the platform or a file; fails with codes 10, 80 to 82, 90, 93 and
-    /// 94.
+    /// Reads the host list from the platform or a file. Fails with
+    /// `ResultCode::SettingsFileMissing` (10) for the file, `Usage` (90), `StartFailed` (93),
+    /// `NothingFound` (94) if no list is published, or the code of the call to the platform's
+    /// service: `PlatformDown` (80), `PlatformBudget` (81) or `PlatformReply` (82).
     pub async fn connect(matches: &Matches) -> Result<Self, CtlError> {
         Ok(Self {
             hosts: read_hosts(matches).await?,
@@ -73,7 +75,7 @@
         match answer {
             Ok(answer) => Some(answer),
             Err(error) => {
-                log::debug!("{}: {error}", host.name);
+                log::debug!("no answer from the operator port of {}: {error}", host.name);
                 self.unreachable_hosts.borrow_mut().push(host.name.clone());
                 None
             }
--- a/src/ctl/log_lines.rs
+++ b/src/ctl/log_lines.rs
@@ -21,8 +21,8 @@
     "code",
 ];
 
-/// Reads the lines of these files whose text `wanted` accepts; fails with code 10. Anything before
-/// the JSON in a line is skipped, and so are lines without JSON.
+/// Reads the lines of these files whose text `wanted` accepts. Anything before the JSON in a line
+/// is skipped, and so are lines without JSON. Fails with `ResultCode::SettingsFileMissing` (10).
 pub fn read_lines(
     files: &[String],
     wanted: impl Fn(&str) -> bool,
--- a/src/directory/platform_client.rs
+++ b/src/directory/platform_client.rs
@@ -22,7 +22,7 @@
 }
 
 impl PlatformClient {
-    /// Creates a client of the service at this address; fails with code 93.
+    /// Creates a client of the service at this address. Fails with `ResultCode::StartFailed` (93).
     pub fn new(address: SocketAddr) -> Result<Self, Fault> {
         let http = Client::builder()
             .retry(retry::never())
@@ -38,7 +38,8 @@
     }
 
     /// Waits until a value is newer than `after`. Returns `None` if the wait ends first or the key
-    /// has no value. Fails with codes 80 to 82.
+    /// has no value. Fails with `ResultCode::PlatformDown` (80), `PlatformBudget` (81) or
+    /// `PlatformReply` (82).
     pub async fn watch(
         &self,
         key: &str,
@@ -68,7 +69,7 @@
         Ok(Some(WatchedValue { revision, text }))
     }
 
-    /// Reads a value; `None` if the key has none. Fails with codes 80 to 82.
+    /// Reads a value; `None` if the key has none. Fails as `watch` does.
     pub async fn read(
         &self,
         key: &str,
@@ -81,7 +82,7 @@
     }
 
     /// Reads a part of the configuration by its digest; `None` if the service does not have it.
-    /// Fails with codes 80 to 82.
+    /// Fails with `ResultCode::PlatformDown` (80), `PlatformBudget` (81) or `PlatformReply` (82).
     pub async fn part(
         &self,
         digest: &str,
--- a/src/keys/errors.rs
+++ b/src/keys/errors.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyError {
     pub code: ResultCode,
-    pub file: String,   // path, or `command line`
+    pub file: String,   // path, or `command line`, `authority` or `certificate`
     pub detail: String, // never key material
 }
 
--- a/src/keys/identity.rs
+++ b/src/keys/identity.rs
@@ -22,7 +22,8 @@
 }
 
 impl Identity {
-    /// Reads the files that the settings name; fails with codes 10 and 15.
+    /// Reads the files that the settings name. Fails with `ResultCode::SettingsFileMissing` (10) or
+    /// `BadValue` (15).
     pub fn read(settings: &LinkSettings) -> Result<Self, KeyError> {
         let mut roots = RootCertStore::empty();
         for certificate in read_certificates(&settings.authority)? {
