--- a/src/node/background.rs
+++ b/src/node/background.rs
@@ -15,7 +15,7 @@
 const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Starts the watches of the platform's configuration and host list, and dials the seeds. Fails
-/// with code 93 if the HTTP client cannot be built.
+/// with `ResultCode::StartFailed` (93) if the HTTP client cannot be built.
 pub fn start_watches<H: LinkHandler>(
     node: &Arc<Node>,
     settings: &PlatformSettings,
@@ -37,13 +37,13 @@
     peers: HostRole,
     bound: Duration,
 ) {
-    let mut first_config = None;
+    let mut first_config_at = None;
     loop {
         tokio::time::sleep(READINESS_CHECK_INTERVAL).await;
         if node.config.current().is_none() {
             continue;
         }
-        let since = *first_config.get_or_insert(node.now());
+        let since = *first_config_at.get_or_insert(node.now());
         let listed = node.hosts.current().live(peers).count();
         let waited = node.now().saturating_sub(since);
         let may_decide = node.hosts.revision().0 > 0 || waited >= bound;
--- a/src/node/config_store.rs
+++ b/src/node/config_store.rs
@@ -15,7 +15,7 @@
 /// Holds the configuration in force. It is never replaced by an older revision, and an invalid
 /// configuration is rejected as a whole.
 pub struct ConfigStore {
-    gate: Mutex<ConfigGate>, // a leaf lock
+    gate: Mutex<ConfigGate>, // a leaf lock: no other lock is taken under it
     current: watch::Sender<Option<Arc<VersionedConfig>>>,
     audit: Arc<AuditTrail>,
 }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -140,7 +140,8 @@
     }
 
     /// Fetches the configuration and host list of a peer, in a task, if its configuration is newer
-    /// or this process has no host list yet.
+    /// or this process has no host list yet. Records the confirmation of a peer whose own
+    /// configuration is confirmed, if that is not newer or has been fetched.
     pub fn fetch_if_newer(
         self: Arc<Self>,
         peer: &Arc<Peer>,
--- a/src/node/readiness.rs
+++ b/src/node/readiness.rs
@@ -14,7 +14,8 @@
 /// newer, or the time to ask them has passed.
 #[derive(Default)]
 pub struct Readiness {
-    confirmed_by: Mutex<HashSet<Arc<str>>>, // hosts without a newer configuration; a leaf lock
+    /// Hosts without a newer configuration. A leaf lock: no other lock is taken under it.
+    confirmed_by: Mutex<HashSet<Arc<str>>>,
     confirmed: AtomicBool,
 }
 
--- a/src/node/watches.rs
+++ b/src/node/watches.rs
@@ -115,7 +115,7 @@
 async fn pause_if_failed(
     outcome: Result<(), Fault>,
     key: &str,
-    pace: &WatchPacing,
+    pacing: &WatchPacing,
     started_at: Instant,
 ) -> bool {
     let Err(error) = outcome else {
@@ -126,6 +126,6 @@
         code = error.code.number(), key = key, call_ms = call_time.as_millis() as u64;
         "watch failed: {error}"
     );
-    sleep(pace.pause_after_failure(call_time, rand::random())).await;
+    sleep(pacing.pause_after_failure(call_time, rand::random())).await;
     true
 }
