--- a/src/ops/log_pipe.rs
+++ b/src/ops/log_pipe.rs
@@ -24,7 +24,7 @@
 /// are dropped and requests are not delayed.
 pub struct LogPipe {
     buffer: Arc<Buffer>,
-    dropped: Arc<AtomicU64>, // lines, since the buffer was full
+    dropped: Arc<AtomicU64>, // lines dropped because the buffer was full
 }
 
 #[derive(Default)]
@@ -54,7 +54,8 @@
         })
     }
 
-    /// The number of lines that were dropped, since the buffer was full.
+    /// The counter of lines that were dropped because the buffer was full. Whoever reports the
+    /// number resets it.
     pub fn dropped_lines(&self) -> Arc<AtomicU64> {
         self.dropped.clone()
     }
