--- a/src/router/link_events.rs
+++ b/src/router/link_events.rs
@@ -29,14 +29,14 @@
         &self,
         peer: &Arc<Peer>,
     ) -> bool {
-        let sighting = self.node.observe_peer(peer);
-        if sighting == PeerObservation::Stale {
+        let observation = self.node.observe_peer(peer);
+        if observation == PeerObservation::Stale {
             return false;
         }
         if peer.role() == HostRole::Sidecar {
             let mut sidecars = self.sidecars.lock().expect("sidecar lock");
             match sidecars.get_mut(&peer.host) {
-                Some(view) if sighting == PeerObservation::Same => view.reconnect(peer.leaving),
+                Some(view) if observation == PeerObservation::Same => view.reconnect(peer.leaving),
                 _ => {
                     sidecars.insert(peer.host.clone(), SidecarView::new(peer.leaving));
                 }
--- a/src/sidecar/sidecar.rs
+++ b/src/sidecar/sidecar.rs
@@ -141,7 +141,8 @@
             .number_of(host)
     }
 
-    /// Decides on a request; see [`DispatchTable::admit`].
+    /// Decides on a request, then starts waiting ones and sends new grants. A request that must
+    /// wait for a slot gets a receiver for the decision.
     pub fn admit(
         &self,
         arrival: &Arrival<RouterNumber>,
