--- a/testbed/src/soak/callers.rs
+++ b/testbed/src/soak/callers.rs
@@ -14,7 +14,7 @@
 const DEADLINE_MS: &str = "4000";
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Pause of a caller whose connection was refused.
+/// Delay of a caller whose connection was refused.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// Callers that send one request after the other until `end`.
@@ -56,7 +56,7 @@
     pub async fn end(self) -> Vec<CallerRequest> {
         self.stop.send_replace(true);
         self.tasks.join_all().await;
-        std::mem::take(&mut *self.requests.lock().expect("attempts lock"))
+        std::mem::take(&mut *self.requests.lock().expect("requests lock"))
     }
 }
 
@@ -85,8 +85,8 @@
             };
             sent += 1;
             client = self.call(connected, sent).await;
-            let pause = self.random.random_range(2..20);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let delay_ms = self.random.random_range(2..20);
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
     }
 
@@ -115,7 +115,7 @@
             ended: Instant::now(),
             answer,
         };
-        self.requests.lock().expect("attempts lock").push(request);
+        self.requests.lock().expect("requests lock").push(request);
         is_reusable.then_some(client)
     }
 }
--- a/testbed/src/soak/checks.rs
+++ b/testbed/src/soak/checks.rs
@@ -143,7 +143,7 @@
 }
 
 /// Whether a router refused for lack of processor while the machine gave it none. Such a
-/// refusal is what the product promises.
+/// refusal breaks no guarantee.
 fn is_starved(
     record: &Record,
     request: &CallerRequest,
@@ -157,7 +157,11 @@
 }
 
 fn unsent_requests(record: &Record) -> Vec<String> {
-    let known: HashSet<&str> = record.requests.iter().map(|a| a.id.as_str()).collect();
+    let known: HashSet<&str> = record
+        .requests
+        .iter()
+        .map(|request| request.id.as_str())
+        .collect();
     let runs = record.runs.keys();
     runs.filter(|id| !known.contains(id.as_str()) && !id.starts_with("probe"))
         .map(|id| format!("unasked: {id:?} ran, and nobody sent it"))
--- a/testbed/src/soak/crash_run.rs
+++ b/testbed/src/soak/crash_run.rs
@@ -25,10 +25,10 @@
 const FATAL_PROMPT: &str = "a prompt that no engine survives";
 const FATAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Callers of each router that send harmless requests, and their pause between two, in
+/// Callers of each router that send harmless requests, and their delay between two, in
 /// milliseconds: about 80 requests a second in all.
 const CALLERS_PER_ROUTER: usize = 4;
-const PAUSE_MS: std::ops::Range<u64> = 150..350;
+const DELAY_MS: std::ops::Range<u64> = 150..350;
 
 /// Time in which a replica answers a request.
 const SERVICE_TIME: Duration = Duration::from_millis(50);
@@ -203,20 +203,21 @@
                 waiting.push((now, running.remove(index)));
             }
         }
-        let time = if keeps_ids {
+        let restart_delay = if keeps_ids {
             SHORT_RESTART_DELAY
         } else {
             RESTART_DELAY
         };
         for index in (0..waiting.len()).rev() {
-            if waiting[index].0.elapsed() >= time {
-                let (_, place) = waiting.remove(index);
-                seen.record(&place.replica);
+            if waiting[index].0.elapsed() >= restart_delay {
+                let (_, crashed) = waiting.remove(index);
+                seen.record(&crashed.replica);
                 if !keeps_ids {
-                    fleet.store.remove(&place.replica.id);
+                    fleet.store.remove(&crashed.replica.id);
                 }
                 let next =
-                    PlacedReplica::start(fleet, scenario, place.number, place.generation + 1).await;
+                    PlacedReplica::start(fleet, scenario, crashed.number, crashed.generation + 1)
+                        .await;
                 running.push(next);
             }
         }
@@ -233,9 +234,9 @@
         }
         sleep(Duration::from_millis(5)).await;
     }
-    let gone = waiting.iter().map(|(_, place)| place);
-    for place in running.iter().chain(gone) {
-        seen.record(&place.replica);
+    let crashed = waiting.iter().map(|(_, crashed)| crashed);
+    for placed in running.iter().chain(crashed) {
+        seen.record(&placed.replica);
     }
     seen
 }
@@ -244,7 +245,7 @@
 struct HarmlessCounts {
     sent: usize,
     served: usize,
-    held_back: usize,
+    held_back: usize, // answered with result code 44
 }
 
 /// Sends harmless requests until `stop` is set. Requests to a router that is down are not
@@ -272,7 +273,7 @@
                 counts.held_back += usize::from(answer.code() == Some(44));
             }
         }
-        sleep(Duration::from_millis(random.random_range(PAUSE_MS))).await;
+        sleep(Duration::from_millis(random.random_range(DELAY_MS))).await;
     }
 }
 
--- a/testbed/src/soak/crash_run_result.rs
+++ b/testbed/src/soak/crash_run_result.rs
@@ -1,6 +1,6 @@
 use super::CrashScenario;
 
-/// Outcome of a run.
+/// Outcome of a run in which a request crashes the replicas that run it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CrashRunResult {
     pub scenario: CrashScenario,
--- a/testbed/src/soak/crash_scenario.rs
+++ b/testbed/src/soak/crash_scenario.rs
@@ -1,4 +1,5 @@
-/// What happens in a run beside the harmless requests.
+/// What happens in a run, while callers send harmless requests and, if not stated otherwise, a
+/// request that crashes each replica that runs it.
 ///
 /// The variants are printed by name in the result line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/testbed/src/soak/fault.rs
+++ b/testbed/src/soak/fault.rs
@@ -32,7 +32,8 @@
     UnlistReplica(usize),
     /// A replica becomes unreachable without notice, and is replaced.
     CrashReplica(usize),
-    /// A replica runs its next requests, but loses or spoils their answers.
+    /// A replica runs its next requests, but sends no answer, or one that is cut, invalid,
+    /// unsigned or for another request.
     SpoilAnswers(usize),
     /// Traffic to and from a replica is delayed.
     SlowLink(usize),
--- a/testbed/src/soak/fault_injection.rs
+++ b/testbed/src/soak/fault_injection.rs
@@ -58,7 +58,7 @@
             Fault::DrainReplica(slot) => self.retire(slot, ReplicaSlot::drain).await,
             Fault::UnlistReplica(slot) => self.retire(slot, ReplicaSlot::unlist).await,
             Fault::CrashReplica(slot) => self.crash(slot, lasts).await,
-            Fault::SpoilAnswers(slot) => self.spoil(slot, lasts).await,
+            Fault::SpoilAnswers(slot) => self.send_faulty_answers(slot, lasts).await,
             Fault::SlowLink(slot) => self.slow(slot, lasts).await,
             Fault::CutLink(slot) => self.cut(slot, lasts).await,
             Fault::ResetLink(slot) => {
@@ -232,14 +232,14 @@
         began
     }
 
-    async fn spoil(
+    async fn send_faulty_answers(
         &self,
         slot: usize,
         lasts: Duration,
     ) -> Instant {
         let slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.spoil_answers();
+        slot.send_faulty_answers();
         sleep(lasts).await;
         slot.replica.forget_script();
         began
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -140,7 +140,7 @@
     ) {
         for line in log.lines().filter(|line| line.contains(SENT_MESSAGE)) {
             let Ok(line) = serde_json::from_str::<Value>(line) else {
-                continue; // truncated when the router ended
+                continue; // truncated when the router exited
             };
             let text = |name: &str| line[name].as_str().unwrap_or("").to_owned();
             self.sent
--- a/testbed/src/soak/replica_slot.rs
+++ b/testbed/src/soak/replica_slot.rs
@@ -16,8 +16,8 @@
 /// Body of the answers of plain replicas.
 pub const PLAIN_BODY: &str = "a plain answer";
 
-/// How many answers in a row are spoilt.
-const SPOILT_ANSWERS: usize = 24;
+/// How many answers in a row are faulty.
+const FAULTY_ANSWERS: usize = 24;
 
 /// Duration of the slow start of a replica.
 const SLOW_START: Duration = Duration::from_secs(3);
@@ -106,9 +106,10 @@
         store.remove(&self.replica.id);
     }
 
-    /// Lets the next requests run, but loses or spoils their answers.
-    pub fn spoil_answers(&self) {
-        let mut spoilt = vec![
+    /// Lets the next requests run, but sends no answers, or such that are cut, invalid, unsigned
+    /// or for another request.
+    pub fn send_faulty_answers(&self) {
+        let mut faulty = vec![
             ReplicaAnswer::Close,
             ReplicaAnswer::Cut,
             ReplicaAnswer::Garbage,
@@ -117,11 +118,11 @@
         ];
         if self.service == "plain" {
             // A surplus answer with a plain body is no stream of events.
-            spoilt.push(ReplicaAnswer::Surplus {
+            faulty.push(ReplicaAnswer::Surplus {
                 body: PLAIN_BODY.to_owned(),
             });
         }
-        for answer in spoilt.iter().cycle().take(SPOILT_ANSWERS) {
+        for answer in faulty.iter().cycle().take(FAULTY_ANSWERS) {
             self.replica.next(answer.clone());
         }
     }
