--- a/testbed/tests/configuration.rs
+++ b/testbed/tests/configuration.rs
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_in_parts_comes_into_force_and_a_change_fetches_one_part() {
+async fn a_configuration_in_parts_and_a_change_to_one_part_come_into_force_everywhere() {
     let fleet = Fleet::start(plan()).await;
     let base = with_share(&fleet, 1.0);
     let accounts = |prefix: &str, share: f64| {
--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -1,4 +1,6 @@
-//! Routers read the lists of cached parts of replicas.
+//! Replicas list the parts of prompts that they have in their caches. A router that starts reads
+//! the lists and sends prompts where their parts are cached; a replica that does not answer gets
+//! requests all the same.
 
 use {
     archmast_testbed::{
@@ -8,6 +10,7 @@
     std::time::Duration,
 };
 
+/// Ids of prompt parts that one of the replicas has in its cache.
 const SHARED: &[&str] = &["a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8"];
 
 fn prompt(
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -1,5 +1,6 @@
-//! Fleets of routers of the direct form: configuration, list of replicas, planned stops and
-//! settings, also while the store fails and routers restart.
+//! Fleets of routers that send requests to replicas themselves, without sidecars (the direct
+//! form). Changes of the configuration, the list of replicas and the settings come into force,
+//! also while the store fails and routers restart; a planned stop cuts nothing.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/direct_requests.rs
+++ b/testbed/tests/direct_requests.rs
@@ -1,5 +1,5 @@
-//! Single requests through a router of the direct form: where they go, what the replica and the
-//! client receive, and what "not run" means.
+//! Single requests through a router that sends them to replicas itself, without sidecars (the
+//! direct form): where they go, what the replica and the client receive, and how often they run.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/direct_streams.rs
+++ b/testbed/tests/direct_streams.rs
@@ -24,7 +24,8 @@
         .collect()
 }
 
-fn starts(replicas: &[Replica]) -> Vec<String> {
+/// The header `Last-Event-Id` of each request that the replicas received.
+fn last_event_ids(replicas: &[Replica]) -> Vec<String> {
     let seen = replicas.iter().flat_map(Replica::seen);
     seen.map(|request| request.header("last-event-id").to_owned())
         .collect()
@@ -57,9 +58,9 @@
         let answer = Client::ask(fleet.callers[0], &first).await;
         assert!(answer.status == 200 && answer.whole, "{failure:?}");
         assert_eq!(answer.text(), events(1..=9), "{failure:?}");
-        let mut starts = starts(&replicas);
-        starts.sort();
-        assert_eq!(starts, ["", "4"], "{failure:?}");
+        let mut last_event_ids = last_event_ids(&replicas);
+        last_event_ids.sort();
+        assert_eq!(last_event_ids, ["", "4"], "{failure:?}");
         // The head is that of the first replica.
         let first_replica = replicas.iter().find(|replica| {
             replica
@@ -80,7 +81,7 @@
     assert_eq!(answer.status, 200);
     assert!(!answer.whole);
     assert_eq!(answer.text(), events(1..=4));
-    assert_eq!(starts(&replicas).len(), 1);
+    assert_eq!(last_event_ids(&replicas).len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -89,7 +90,7 @@
     let request = ClientRequest::post("/digest/", "id-1", "prompt");
     let answer = Client::ask(fleet.callers[0], &request).await;
     assert_eq!((answer.status, answer.code()), (502, Some(51)));
-    assert_eq!(starts(&replicas).len(), 1);
+    assert_eq!(last_event_ids(&replicas).len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -98,7 +99,7 @@
     let request = ClientRequest::post("/chat/", "id-1", "prompt").header("Last-Event-Id", "3");
     let answer = Client::ask(fleet.callers[0], &request).await;
     assert_eq!(answer.text(), events(4..=6));
-    assert_eq!(starts(&replicas), ["3"]);
+    assert_eq!(last_event_ids(&replicas), ["3"]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/testbed/tests/early_signals.rs
+++ b/testbed/tests/early_signals.rs
@@ -1,5 +1,5 @@
 //! A router gets the signal that its settings changed right after its start. Without a handler
-//! the signal ends the process, so it must be installed before the router listens.
+//! the signal ends the process, so the handler must be installed before the router listens.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -1,4 +1,5 @@
-//! Trust boundaries, invalid input and overload.
+//! Invalid input, strangers and overload are refused, each with its own result code, and nothing
+//! refused runs; no input stops a process. Callers and upstreams see the same request id.
 
 use {
     archmast_testbed::{
@@ -190,7 +191,11 @@
     .await;
     let body = ChatBody::new("drafter", "p", &nonce(), 1, false);
     let outcome = stranger.caller(0, "hasty").chat(&body).await;
-    assert_eq!(outcome.code(), Some(38), "nobody takes it: {outcome:?}");
+    assert_eq!(
+        outcome.code(),
+        Some(38),
+        "no sidecar of the other fleet accepts it: {outcome:?}"
+    );
     assert!(fleet.run_counts().is_empty());
     let status = fleet
         .status(fleet.sidecars[0].operator)
--- a/testbed/tests/ending.rs
+++ b/testbed/tests/ending.rs
@@ -1,6 +1,6 @@
 //! A request that crashes each replica that begins to run it is sent again and again to routers
-//! of three zones. Where routers do not hold it back, it reaches replicas on and on (95 times
-//! in 24 s), and only 73 % of the harmless requests beside it are served.
+//! of three zones. Where routers do not hold it back, it keeps reaching replicas (95 times in
+//! 24 s), and only 73 % of the harmless requests beside it are served.
 
 use {
     archmast_testbed::soak::{CrashScenario, MAX_LATE_ARRIVALS, crash_run},
--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -190,9 +190,9 @@
     })
     .await;
     // While a router is down, the accounts of its callers are not backlogged.
-    let away = 4.0 * MAX_GAP_TOKENS;
+    let max_gap_after_restarts = 4.0 * MAX_GAP_TOKENS;
     assert!(
-        once <= MAX_GAP_TOKENS && twice <= away,
+        once <= MAX_GAP_TOKENS && twice <= max_gap_after_restarts,
         "{once} then {twice}"
     );
 }
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -1,4 +1,6 @@
-//! Connections of callers that a busy router forwards to a neighbour, a router of its zone.
+//! Connections of callers that a busy router forwards to a neighbour, a router of its zone. Their
+//! requests are served there, once; no planned stop cuts them, and one whose neighbour is killed
+//! gets an error that does not claim that it did not run.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -1,5 +1,6 @@
-//! Routers follow the cache events of replicas: when the router that follows a replica dies,
-//! another one takes over.
+//! Routers follow the cache events of replicas: when the router that follows a replica is killed,
+//! another one takes over, and a part that the replica evicts counts as prefill again. A replica
+//! without cache events is used all the same.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -110,6 +110,8 @@
     assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
 }
 
+/// A sidecar is told to stop while the platform is down and a router is suspended. When the router
+/// resumes with grants from before, it must start nothing at the upstream of that sidecar.
 #[tokio::test(flavor = "multi_thread")]
 async fn it_holds_while_the_platform_is_down_and_a_router_wakes_with_old_grants() {
     let mut fleet = Fleet::start(plan()).await;
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -1,5 +1,6 @@
-//! Guarantee 4: a request answered as not run did not run; guarantee 5: at most once. What
-//! callers were told is checked against the run counts of the stand-ins.
+//! Guarantee 4: a request answered as not run did not run. Guarantee 5: a request that must run
+//! at most once does. The answers that callers got are checked against the run counts of the
+//! stand-ins.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/odd_answers.rs
+++ b/testbed/tests/odd_answers.rs
@@ -1,4 +1,6 @@
-//! Answers that arrive before the request was read, or that end with their connection.
+//! A replica may answer before it has read the whole request: what it reads afterwards is still
+//! that request. It may also end an answer by closing its connection: only a reset makes the
+//! answer incomplete.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/path.rs
+++ b/testbed/tests/path.rs
@@ -1,4 +1,5 @@
-//! Requests through caller, router, sidecar and upstream, as separate processes.
+//! Requests from caller through router and sidecar to the upstream, as separate processes, are
+//! served, and on an idle fleet without waiting for a grant.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -115,10 +115,10 @@
     ask_often(&fleet).await;
     assert_eq!(leaves.seen().len(), before);
     leaves.says(&[]);
-    let born = Uptime::unix_millis() + 2_000;
+    let started_ms = Uptime::unix_millis() + 2_000;
     fleet
         .store
-        .list_start("z", "i-a", born, "s", leaves.address);
+        .list_start("z", "i-a", started_ms, "s", leaves.address);
     until_asked(&fleet, &leaves, before).await;
 }
 
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -62,7 +62,7 @@
     Client::ask(fleet.callers[router], &request).await
 }
 
-fn ended(replicas: &[Replica]) -> usize {
+fn crashed(replicas: &[Replica]) -> usize {
     replicas
         .iter()
         .filter(|replica| replica.has_ended())
@@ -84,8 +84,8 @@
     let lines: Vec<String> = texts
         .flat_map(|text| text.lines().map(str::to_owned).collect::<Vec<_>>())
         .filter(|line| {
-            let ended = line.contains("\"replica_ended\":\"true\"");
-            ended || line.contains("request held back") || line.contains("no longer counted")
+            let has_crashed = line.contains("\"replica_ended\":\"true\"");
+            has_crashed || line.contains("request held back") || line.contains("no longer counted")
         })
         .collect();
     lines.join("\n")
@@ -102,11 +102,11 @@
             let answer = post(fleet, router, FATAL_PROMPT).await;
             holding += usize::from(answer.code() == Some(HELD_BACK));
         }
-        let ended = ended(replicas);
+        let crashed = crashed(replicas);
         let max_crashes = CRASHES_UNTIL_KNOWN * fleet.routers.len();
         assert!(
-            ended <= max_crashes,
-            "{ended} replicas ended under one request"
+            crashed <= max_crashes,
+            "{crashed} replicas crashed under one request"
         );
         if holding == fleet.routers.len() {
             return remove_crashed(fleet, replicas).await;
@@ -248,7 +248,7 @@
     until_async("the crash of the replica is noticed", async || {
         let logs = fleet.routers.iter().map(|router| router.log_text());
         let noticed = logs.map(|log| log.matches("whose runs were left").count());
-        ended(replicas) == tries && noticed.sum::<usize>() >= tries
+        crashed(replicas) == tries && noticed.sum::<usize>() >= tries
     })
     .await;
 }
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// The record with a fault that lasts from a second before now until a second after.
 fn during(
     mut record: Record,
     fault: Fault,
@@ -524,7 +525,7 @@
     assert!(result.statuses.contains_key(&200), "{}", result.summary());
 }
 
-/// Replicas leave unannounced while routers restart. Where routers do not tell their peers
+/// Replicas leave unannounced while routers restart. Where routers do not report to their peers
 /// which entries are gone, requests reach such replicas too late with this seed (8 and 32 of
 /// them in two runs).
 #[tokio::test(flavor = "multi_thread")]
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -10,7 +10,7 @@
 /// Result code while a router has not confirmed its configuration after a suspension.
 const UNCONFIRMED_CODE: u64 = 45;
 
-/// Log text of a process that notices a suspension; the setting is 1500 ms.
+/// Log text of a process that notices a suspension: these routers notice one of 1500 ms.
 const SUSPENSION_LOGGED: &str = "the process stood still";
 
 fn route(prefix: &'static str) -> RouteText {
--- a/testbed/tests/unproved_refusals.rs
+++ b/testbed/tests/unproved_refusals.rs
@@ -27,8 +27,7 @@
     replicas.iter().map(|replica| replica.got(id)).sum()
 }
 
-/// A request that must run at most once may have run, and the caller must not be told
-/// otherwise.
+/// A request that must run at most once may have run, and its answer must not claim otherwise.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unproved_refusal_is_not_relayed_as_not_run() {
     let (fleet, replicas) = fleet(ReplicaAnswer::ok("")).await;
