--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -1,6 +1,7 @@
 //! Fault soak: routers run as real processes, callers keep their connections, and faults are
 //! injected at times drawn from a seed. What callers and replicas observed is then checked
-//! against the guarantees that the product documents.
+//! against the guarantees that the product documents. A run of its own is [`crash_run`], in which
+//! a request crashes the replicas that run it.
 
 mod caller_request;
 mod callers;
--- a/testbed/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command-line tools, as an operator runs them.
+//! The command-line tools, as an operator runs them: output, exit codes and created files.
 
 use {
     archmast::conf::{RouterSettings, SidecarSettings},
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -1,5 +1,5 @@
-//! Invalid input, strangers and overload are refused, each with its own result code, and nothing
-//! refused runs; no input stops a process. Callers and upstreams see the same request id.
+//! Invalid input, unauthenticated callers, processes of another fleet and overload are refused, and
+//! nothing refused runs; no input stops a process. Callers and upstreams see the same request id.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -171,6 +171,8 @@
     );
 }
 
+/// Routers sum the service of accounts over the fleet, each account at one of them. Two of the three
+/// routers are killed and restarted in turn, then a sidecar.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_keeper_and_a_restarted_sidecar_keep_accounts_level() {
     let (once, twice) = gaps(bound_plan(), async |fleet| {
@@ -197,6 +199,8 @@
     );
 }
 
+/// Each packet is lost with probability 0.3, in either direction: so is half of the exchanges of a
+/// message and its reply.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_of_the_packets_lost_for_a_while_keeps_accounts_level() {
     let (once, twice) = gaps(bound_plan(), async |fleet| {
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forwarded_request_whose_neighbour_dies_gets_an_unknown_outcome() {
+async fn a_forwarded_request_whose_neighbour_is_killed_gets_an_unknown_outcome() {
     let (mut fleet, replica) = forwarding_fleet().await;
     replica.usually(ReplicaAnswer::Silent);
     let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn when_the_router_that_follows_a_replica_dies_another_takes_over() {
+async fn when_the_router_that_follows_a_replica_is_killed_another_takes_over() {
     let mut fleet = DirectFleet::start(3, "").await;
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
     let routes = [RouteText::new("/events/", "s", "streaming")];
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -88,6 +88,7 @@
     .await;
 }
 
+/// Waits until the upstream of the second sidecar has begun more than 40 further requests.
 async fn until_other_serves(fleet: &Fleet) {
     let before = fleet.sidecars[1].upstream.log().runs().len();
     until("the other serves", || {
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -206,7 +206,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_reported_as_not_run_did_not_run_when_all_sidecars_are_dead() {
+async fn a_request_reported_as_not_run_did_not_run_when_all_sidecars_are_killed() {
     let mut fleet = Fleet::start(plan()).await;
     for sidecar in &mut fleet.sidecars {
         sidecar.process.kill();
--- a/testbed/tests/odd_answers.rs
+++ b/testbed/tests/odd_answers.rs
@@ -1,6 +1,6 @@
-//! A replica may answer before it has read the whole request: what it reads afterwards is still
-//! that request. It may also end an answer by closing its connection: only a reset makes the
-//! answer incomplete.
+//! A replica may answer before it has read the whole request: it then reads the rest of that
+//! request and nothing else. It may also end an answer by closing its connection: only a reset
+//! makes the answer incomplete.
 
 use {
     archmast_testbed::{
--- a/testbed/tests/slow_readers.rs
+++ b/testbed/tests/slow_readers.rs
@@ -50,7 +50,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_is_read_to_its_end_while_its_caller_pauses() {
     let (fleet, _replica) = fleet("128 MB", 24_000).await;
-    let mut pauses = started_stream(&fleet).await;
+    let mut slow_caller = started_stream(&fleet).await;
     until("the replica's stream is read to its end", || {
         log(&fleet).contains("stream ended")
     })
@@ -58,7 +58,7 @@
     assert!(log(&fleet).contains(r#""how":"whole""#));
     // Longer than the kernel keeps a connection to a replica that accepts no data.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let answer = pauses.answer().await;
+    let answer = slow_caller.answer().await;
     assert!(answer.whole);
     assert!(answer.text().ends_with("id: 24000\ndata: piece 24000\n\n"));
 }
--- a/testbed/tests/upstream_notices.rs
+++ b/testbed/tests/upstream_notices.rs
@@ -101,7 +101,7 @@
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let arrived = arrivals(&fleet, 0);
     let [.., first, second] = arrived[..] else {
-        panic!("two calls came");
+        panic!("fewer than two calls reached the upstream");
     };
     let gap = second.duration_since(first);
     assert!(gap >= BACKOFF, "{gap:?}");
