--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -1,5 +1,6 @@
-//! Routers follow the cache events of replicas: when the router that follows a replica dies,
-//! another one takes over.
+//! Routers follow the cache events of replicas: when the router that follows a replica is killed,
+//! another one takes over, and a part that the replica evicts counts as prefill again. A replica
+//! without cache events is used all the same.
 
 use {
     archmast_testbed::{
@@ -68,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn when_the_router_that_follows_a_replica_dies_another_takes_over() {
+async fn when_the_router_that_follows_a_replica_is_killed_another_takes_over() {
     let mut fleet = DirectFleet::start(3, "").await;
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
     let routes = [RouteText::new("/events/", "s", "streaming")];
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -1,5 +1,6 @@
-//! Guarantee 4: a request answered as not run did not run; guarantee 5: at most once. What
-//! callers were told is checked against the run counts of the stand-ins.
+//! Guarantee 4: a request answered as not run did not run. Guarantee 5: a request that must run
+//! at most once does. The answers that callers got are checked against the run counts of the
+//! stand-ins.
 
 use {
     archmast_testbed::{
@@ -205,7 +206,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_reported_as_not_run_did_not_run_when_all_sidecars_are_dead() {
+async fn a_request_reported_as_not_run_did_not_run_when_all_sidecars_are_killed() {
     let mut fleet = Fleet::start(plan()).await;
     for sidecar in &mut fleet.sidecars {
         sidecar.process.kill();
