--- a/testbed/src/fleet/caller.rs
+++ b/testbed/src/fleet/caller.rs
@@ -15,7 +15,8 @@
 
 static NEXT_NONCE: AtomicU64 = AtomicU64::new(1);
 
-/// One client for all callers: making one is slow, copies share connections.
+/// One HTTP client for all callers, since building one is slow. Copies share its
+/// connections.
 fn client() -> &'static Client {
     static CLIENT: OnceLock<Client> = OnceLock::new();
     CLIENT.get_or_init(|| {
@@ -27,23 +28,23 @@
     })
 }
 
-/// A mark that no other request of this run has.
+/// A nonce that identifies a request, unique within this process.
 pub fn nonce() -> String {
     format!("n{}", NEXT_NONCE.fetch_add(1, Ordering::Relaxed))
 }
 
-/// A caller with one account's key.
+/// An HTTP caller that uses the key of one client account.
 #[derive(Clone)]
 pub struct Caller {
     http: Client,
     base: String,
     account: String,
     key: String,
-    header: Option<(String, String)>, // sent with each request
+    header: Option<(String, String)>, // added to each request
 }
 
 impl Caller {
-    /// A caller of the router, or of the stand-in, at this address.
+    /// A caller of the router or stand-in at this address.
     pub fn new(
         address: SocketAddr,
         account: &str,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The same caller with another key.
+    /// Replaces the account's key.
     pub fn with_key(
         mut self,
         key: &str,
@@ -66,7 +67,7 @@
         self
     }
 
-    /// The same caller with a header on each request.
+    /// Adds a header to each request, in place of one added before.
     pub fn with_header(
         mut self,
         name: &str,
@@ -76,7 +77,7 @@
         self
     }
 
-    /// A request of this caller, for whoever wants to add to it.
+    /// A request with this caller's key and headers, to be completed and sent.
     pub fn request(
         &self,
         method: Method,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Sends a chat request and checks every token's mark.
+    /// Sends a chat request and checks that every token contains its nonce.
     pub async fn chat(
         &self,
         body: &ChatBody,
@@ -107,7 +108,7 @@
             Err(_) => return Outcome::NoAnswer,
         };
         if !response.status().is_success() {
-            return refused(response, started).await;
+            return read_refusal(response, started).await;
         }
         if body.stream {
             read_stream(response, body, started).await
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Sends a plain call and checks that the answer echoes it.
+    /// Sends a plain call and checks that the answer echoes its nonce and body. `key` is
+    /// its idempotency key.
     pub async fn plain(
         &self,
         method: Method,
@@ -134,7 +136,7 @@
             Err(_) => return Outcome::NoAnswer,
         };
         if !response.status().is_success() {
-            return refused(response, started).await;
+            return read_refusal(response, started).await;
         }
         match response.text().await {
             Ok(text) if text == format!("{nonce}:{nonce}") => Outcome::Whole {
@@ -148,7 +150,8 @@
     }
 }
 
-async fn refused(
+/// The outcome of an answer with an error status.
+async fn read_refusal(
     response: Response,
     started: Instant,
 ) -> Outcome {
@@ -186,7 +189,7 @@
     let answer: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
     let content = answer["choices"][0]["message"]["content"].as_str();
     match content {
-        Some(content) if content == expected(body) => Outcome::Whole {
+        Some(content) if content == expected_content(body) => Outcome::Whole {
             tokens: body.max_tokens,
             first: total,
             total,
@@ -212,14 +215,14 @@
         }
     }
     let text = String::from_utf8_lossy(&text);
-    if ends_in_error(&text) {
+    if ends_with_error(&text) {
         return Outcome::Cut;
     }
     if !text.ends_with("data: [DONE]\n\n") {
-        return Outcome::Wrong(format!("ended without its end mark: {text}"));
+        return Outcome::Wrong(format!("stream ended without its [DONE] event: {text}"));
     }
-    let content: String = text.lines().filter_map(token).collect();
-    if content != expected(body) {
+    let content: String = text.lines().filter_map(token_of_event).collect();
+    if content != expected_content(body) {
         return Outcome::Wrong(content);
     }
     Outcome::Whole {
@@ -229,9 +232,9 @@
     }
 }
 
-/// Whether the last event is the product's error, as clients of the
-/// interface look for it.
-fn ends_in_error(text: &str) -> bool {
+/// Whether the last event is a router's error with a result code, by which clients
+/// detect that a stream is incomplete.
+fn ends_with_error(text: &str) -> bool {
     let last = text.trim_end().rsplit("\n\n").next().unwrap_or("");
     let event: Option<Value> = last
         .strip_prefix("data: ")
@@ -239,14 +242,15 @@
     event.is_some_and(|event| event["error"]["code"].is_u64())
 }
 
-fn token(line: &str) -> Option<String> {
+fn token_of_event(line: &str) -> Option<String> {
     let event: Value = serde_json::from_str(line.strip_prefix("data: ")?).ok()?;
     event["choices"][0]["delta"]["content"]
         .as_str()
         .map(str::to_owned)
 }
 
-fn expected(body: &ChatBody) -> String {
+/// The text that a stand-in engine generates for this request.
+fn expected_content(body: &ChatBody) -> String {
     (1..=body.max_tokens)
         .map(|number| format!("{}#{number} ", body.nonce()))
         .collect()
--- a/testbed/src/fleet/deployments.rs
+++ b/testbed/src/fleet/deployments.rs
@@ -4,32 +4,32 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What a class of a trace calls.
+/// What the requests of a traffic class call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Work {
-    Model(&'static str),
-    Plain(&'static str), // a path
+    Model(&'static str), // name of the model
+    Plain(&'static str), // path of a plain service
 }
 
-/// One of the brief's two deployments, with its recorded trace.
+/// An example deployment with a trace of its traffic.
 #[derive(Debug, Clone)]
 pub struct Deployment {
     pub name: &'static str,
     pub plan: FleetPlan,
     pub shares: BTreeMap<String, f64>,
-    pub patience: BTreeMap<String, Duration>, // by class
+    pub patience: BTreeMap<String, Duration>, // longest wait for a first byte, by class
     pub work: BTreeMap<String, Work>,         // by class
-    pub trace: &'static str,                  // recorded
-    pub sources: &'static [TraceSource],      // that the trace was made from
-    pub seed: u64,                            // that the trace was made with
+    pub trace: &'static str,                  // text of the committed trace file
+    pub sources: &'static [TraceSource],      // from which the trace was generated
+    pub seed: u64,                            // with which the trace was generated
 }
 
-/// The key of an account in the testbed, made from its name.
+/// The secret key of a client account in the testbed, derived from its name.
 pub fn account_key(name: &str) -> String {
     format!("key-of-{name}")
 }
 
-/// Engines as both users have them, sped up so that a demonstration is short.
+/// Engines of both deployments, faster than real ones to keep demonstrations short.
 const ENGINE: EngineSettings = EngineSettings {
     slots: 4,
     token_time: Duration::from_millis(8),
@@ -37,7 +37,6 @@
     cached_prefixes: 4,
 };
 
-/// One source of a trace.
 const fn source(
     account: &'static str,
     class: &'static str,
@@ -52,8 +51,8 @@
     }
 }
 
-/// Ten client accounts of the parking operator, a few of them large; one lot
-/// asks for far more than its share.
+/// Traffic of the parking operator's ten client accounts, a few of them large.
+/// `lot-yvr` asks for far more than its share.
 const PARKING_SOURCES: &[TraceSource] = &[
     source("lot-yvr", "draft", 60.0, 90.0),
     source("lot-yyj", "draft", 12.0, 90.0),
@@ -68,7 +67,7 @@
     source("gates", "gate", 120.0, 0.0),
 ];
 
-/// Ten members of the brokers' association, a few of them large.
+/// Traffic of the ten members of a brokers' association, a few of them large.
 const ASSOCIATION_SOURCES: &[TraceSource] = &[
     source("member-1", "digest", 45.0, 80.0),
     source("member-2", "digest", 20.0, 80.0),
@@ -82,8 +81,8 @@
     source("member-10", "quote", 60.0, 0.0),
 ];
 
-/// The airport parking operator: three availability zones, 20 model replicas,
-/// 3 gate replicas, ten client accounts.
+/// An airport parking operator: three availability zones, 20 model replicas,
+/// 3 gate-service replicas, ten client accounts.
 pub fn parking() -> Deployment {
     let shares = [
         ("lot-yvr", 3.0),
@@ -118,8 +117,8 @@
     }
 }
 
-/// The brokers' association: four availability zones, 20 model replicas, 4
-/// data-service replicas, ten client accounts.
+/// A brokers' association: four routers, 20 model replicas, 4 data-service
+/// replicas, ten client accounts.
 pub fn association() -> Deployment {
     let shares = [
         ("member-1", 3.0),
@@ -155,7 +154,7 @@
 }
 
 type Shares = [(&'static str, f64)];
-type Classes = [(&'static str, u64, Work)]; // name, patience in ms, what it calls
+type Classes = [(&'static str, u64, Work)]; // name, patience in ms, target
 
 fn plan(
     text: FleetText,
--- a/testbed/src/fleet/fleet.rs
+++ b/testbed/src/fleet/fleet.rs
@@ -15,23 +15,24 @@
     std::{fs, net::SocketAddr, path::PathBuf},
 };
 
-/// One router's process.
+/// One router's process and its addresses.
 pub struct RouterHost {
     pub host: String,
     pub process: Process,
-    pub callers: SocketAddr,
-    pub source: SocketAddr, // from which its packets come
-    pub link: UdpProxy,     // in front of it, for sidecars that dial a keeper
-    pub operator: SocketAddr,
+    pub callers: SocketAddr,  // HTTP address for callers
+    pub source: SocketAddr,   // source address of its UDP packets
+    pub link: UdpProxy,       // in front of its UDP port, for sidecars that connect to it
+    pub operator: SocketAddr, // HTTP address for operators
 }
 
-/// A running fleet. Its processes end when this is dropped.
+/// A running fleet of routers and sidecars. Its processes are killed when this is
+/// dropped.
 pub struct Fleet {
     pub platform: Platform,
-    pub platform_link: TcpProxy, // between every process and the platform
+    pub platform_link: TcpProxy, // between all processes and the platform
     pub routers: Vec<RouterHost>,
     pub sidecars: Vec<SidecarHost>,
-    pub hosts: HostList, // as published last
+    pub hosts: HostList, // the list published last
     pub plan: FleetPlan,
     http: Client,
     folder: PathBuf,
@@ -44,20 +45,21 @@
         if std::thread::panicking() {
             eprintln!("logs are in {}", self.folder.display());
         } else if let Err(error) = fs::remove_dir_all(&self.folder) {
-            log::debug!("folder not removed: {error}");
+            log::debug!("temporary folder not removed: {error}");
         }
     }
 }
 
 impl Fleet {
-    /// Starts everything and waits until every process is ready.
+    /// Starts the stand-ins and all processes, and waits until every process is ready.
     pub async fn start(plan: FleetPlan) -> Self {
         let fleet = Self::start_unready(plan).await;
         fleet.all_ready().await;
         fleet
     }
 
-    /// Starts everything, with configuration and host list published.
+    /// Starts the stand-ins and all processes and publishes configuration and host list,
+    /// without waiting for readiness.
     pub async fn start_unready(plan: FleetPlan) -> Self {
         install_crypto();
         let loopback = Loopback::new();
@@ -121,14 +123,14 @@
         }
     }
 
-    /// Every operator port.
+    /// The operator addresses of all processes.
     pub fn operators(&self) -> Vec<SocketAddr> {
         let routers = self.routers.iter().map(|router| router.operator);
         let sidecars = self.sidecars.iter().map(|sidecar| sidecar.operator);
         routers.chain(sidecars).collect()
     }
 
-    /// Whether a process says that it is ready.
+    /// Whether a process reports that it is ready.
     pub async fn is_ready(
         &self,
         operator: SocketAddr,
@@ -137,7 +139,7 @@
         response.await.is_ok_and(|r| r.status().is_success())
     }
 
-    /// What a process says of itself, if it answers.
+    /// A process's status report, none if it does not answer.
     pub async fn status(
         &self,
         operator: SocketAddr,
@@ -146,7 +148,7 @@
         response.await.ok()?.json().await.ok()
     }
 
-    /// A process's audit trail, empty if it does not answer.
+    /// A process's audit log, empty if it does not answer.
     pub async fn audit(
         &self,
         operator: SocketAddr,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// The revision that a process has in force, 0 if it says none.
+    /// The configuration revision that a process uses, 0 if it reports none.
     pub async fn revision(
         &self,
         operator: SocketAddr,
@@ -167,7 +169,7 @@
         status.and_then(|s| s.revision).map_or(0, |r| r.0)
     }
 
-    /// Waits until a revision is in force at these processes.
+    /// Waits until these processes use a revision of the configuration.
     pub async fn in_force(
         &self,
         operators: &[SocketAddr],
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A caller of one router.
+    /// A caller of the router with this index.
     pub fn caller(
         &self,
         router: usize,
@@ -190,7 +192,7 @@
         Caller::new(self.routers[router].callers, account)
     }
 
-    /// How often each marked request ran, on all upstreams together.
+    /// How often each request reached an upstream, by nonce, over all upstreams.
     pub fn run_counts(&self) -> std::collections::HashMap<String, usize> {
         let mut counts = std::collections::HashMap::new();
         for sidecar in &self.sidecars {
@@ -201,7 +203,7 @@
         counts
     }
 
-    /// Requests that run on the upstreams now.
+    /// Number of requests that are running on the upstreams now.
     pub fn open_runs(&self) -> usize {
         self.sidecars
             .iter()
@@ -209,7 +211,7 @@
             .sum()
     }
 
-    /// Publishes a host list with this host's state changed.
+    /// Changes one host's state in the host list and publishes it.
     pub fn publish_state(
         &mut self,
         host: &str,
@@ -223,7 +225,7 @@
         self.platform.publish_hosts(&self.hosts);
     }
 
-    /// Cuts a router off from a sidecar, or joins them again.
+    /// Blocks all packets between a router and a sidecar, or lets them through again.
     pub fn cut(
         &self,
         router: usize,
--- a/testbed/src/fleet/ini_text.rs
+++ b/testbed/src/fleet/ini_text.rs
@@ -1,8 +1,8 @@
 use archmast::fleet::KeyDigest;
 
-/// Lays `section.key = value` settings over a shipped settings file.
-///
-/// Every key is in the shipped file, so its line is replaced.
+/// Replaces values in the text of a settings file. `values` holds pairs of
+/// `section.key` and value; the last pair of a key applies. Keys that the file does not
+/// contain are ignored: the shipped files list every key.
 pub fn overlay(
     shipped: &str,
     values: &[(String, String)],
@@ -23,7 +23,7 @@
     text
 }
 
-/// Builds a fleet configuration's text.
+/// Builder of a fleet configuration's INI text.
 #[derive(Debug, Clone, Default)]
 pub struct FleetText(String);
 
@@ -42,7 +42,7 @@
         self
     }
 
-    /// Adds a class of patience.
+    /// Adds a traffic class with its patience (how long a request may wait).
     pub fn class(
         self,
         name: &str,
@@ -51,7 +51,7 @@
         self.section(&format!("class {name}"), &[("patience", patience)])
     }
 
-    /// Adds a client account whose key is [`super::account_key`].
+    /// Adds a client account whose key is the one of [`super::account_key`].
     pub fn account(
         self,
         name: &str,
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Adds a group of model engines on the hosts with `kind=model`.
+    /// Adds a group of model engines on the hosts that have the label `kind=model`.
     pub fn models(
         self,
         name: &str,
@@ -90,7 +90,7 @@
         )
     }
 
-    /// Adds a group of plain services on the hosts with `kind=plain`.
+    /// Adds a group of plain services on the hosts that have the label `kind=plain`.
     pub fn plain(
         self,
         name: &str,
@@ -117,7 +117,7 @@
         self.section(&format!("host {name}"), &[("labels", labels)])
     }
 
-    /// Adds a rule.
+    /// Adds a routing rule.
     pub fn rule(
         self,
         name: &str,
@@ -126,7 +126,6 @@
         self.section(&format!("rule {name}"), lines)
     }
 
-    /// The text.
     pub fn text(&self) -> &str {
         &self.0
     }
--- a/testbed/src/fleet/loopback.rs
+++ b/testbed/src/fleet/loopback.rs
@@ -8,16 +8,18 @@
     },
 };
 
-static NEXT: AtomicU8 = AtomicU8::new(0);
+/// Last byte of the next fleet's addresses.
+static NEXT_NUMBER: AtomicU8 = AtomicU8::new(0);
 
-/// A fleet's loopback addresses: one where stand-ins and proxies bind whatever
-/// port is free, and one for the product's processes, whose ports must be known
-/// before they start. Apart from each other, and from the address that
-/// outgoing connections come from, nothing takes a port found free.
+/// The two loopback IP addresses of a fleet: one on which stand-ins and proxies bind
+/// any free port, and one for the fleet's processes, whose ports must be known before
+/// they start. The addresses differ from each other and from the source address of
+/// outgoing connections, so that nothing else takes a port between the time it is found
+/// free and the time a process binds it.
 pub struct Loopback {
     pub standins: IpAddr,
     processes: IpAddr,
-    given: Mutex<HashSet<u16>>, // ports found free before
+    given: Mutex<HashSet<u16>>, // ports already handed out
 }
 
 impl Default for Loopback {
@@ -27,10 +29,11 @@
 }
 
 impl Loopback {
-    /// Addresses that no other fleet of this machine has at this time.
+    /// Addresses derived from the process id and a counter, so that fleets that run at
+    /// the same time do not share them.
     pub fn new() -> Self {
         let process = std::process::id();
-        let number = NEXT.fetch_add(2, Ordering::SeqCst);
+        let number = NEXT_NUMBER.fetch_add(2, Ordering::SeqCst);
         let (high, low) = ((1 + (process >> 8) % 250) as u8, (process % 256) as u8);
         let address = |last| IpAddr::V4(Ipv4Addr::new(127, high, low, last));
         Self {
@@ -40,17 +43,17 @@
         }
     }
 
-    /// A port for TCP that no process of the fleet has yet.
+    /// A free TCP port that was not handed out before, with the processes' IP address.
     pub fn free_tcp(&self) -> io::Result<SocketAddr> {
-        self.fresh(|any| TcpListener::bind(any)?.local_addr())
+        self.unused_port(|any| TcpListener::bind(any)?.local_addr())
     }
 
-    /// A port for UDP that no process of the fleet has yet.
+    /// A free UDP port that was not handed out before, with the processes' IP address.
     pub fn free_udp(&self) -> io::Result<SocketAddr> {
-        self.fresh(|any| UdpSocket::bind(any)?.local_addr())
+        self.unused_port(|any| UdpSocket::bind(any)?.local_addr())
     }
 
-    fn fresh(
+    fn unused_port(
         &self,
         bind: impl Fn(SocketAddr) -> io::Result<SocketAddr>,
     ) -> io::Result<SocketAddr> {
--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the product's real processes on free loopback ports, with stand-ins
-//! around them and proxies between them.
+//! Runs the router and sidecar programs of the granted form on free loopback ports,
+//! with stand-ins for the platform and the upstreams and proxies between all of them.
 
 mod caller;
 mod deployments;
--- a/testbed/src/fleet/outcome.rs
+++ b/testbed/src/fleet/outcome.rs
@@ -1,42 +1,42 @@
 use std::time::Duration;
 
-/// What a caller saw of one request.
+/// The result of one request as its caller saw it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
-    /// The whole answer, all of it marked as this request's.
+    /// A complete answer in which every token belongs to this request.
     Whole {
         tokens: u32,
-        first: Duration,
+        first: Duration, // until the first bytes of the body
         total: Duration,
     },
-    /// An error answer with the product's own code.
+    /// An error answer with a result code of a router.
     Refused {
         status: u16,
         code: u64,
-        ran: String,
-        retry_after: Option<u64>,
+        ran: String,              // whether an upstream ran it: yes, no or unknown
+        retry_after: Option<u64>, // seconds
         total: Duration,
     },
-    /// A transfer that broke off, visibly.
+    /// An answer that broke off in a way that the caller can detect.
     Cut,
-    /// An answer that ended as if whole, and is not, or is another request's.
+    /// An answer that seems complete but has missing or foreign content: its text.
     Wrong(String),
-    /// No connection to the router, or it closed before answering.
+    /// The connection could not be opened, or was closed before an answer.
     NoAnswer,
 }
 
 impl Outcome {
-    /// Whether the whole answer came.
+    /// Whether the answer was complete and correct.
     pub fn is_whole(&self) -> bool {
         matches!(self, Self::Whole { .. })
     }
 
-    /// Whether the caller was told that the request did not run.
+    /// Whether the router answered that no upstream ran the request.
     pub fn is_not_run(&self) -> bool {
         matches!(self, Self::Refused { ran, .. } if ran == "no")
     }
 
-    /// The product's result code, if it gave one.
+    /// The result code of a router's error answer.
     pub fn code(&self) -> Option<u64> {
         match self {
             Self::Refused { code, .. } => Some(*code),
--- a/testbed/src/fleet/plan.rs
+++ b/testbed/src/fleet/plan.rs
@@ -1,6 +1,6 @@
 use {super::FleetText, crate::standin::EngineSettings, std::time::Duration};
 
-/// What stands behind a sidecar.
+/// The stand-in upstream behind a sidecar.
 #[derive(Debug, Clone, Copy)]
 pub enum UpstreamPlan {
     Engine(EngineSettings),
@@ -8,7 +8,7 @@
 }
 
 impl UpstreamPlan {
-    /// Requests run at once.
+    /// Number of requests that it runs at once.
     pub fn slots(&self) -> usize {
         match self {
             Self::Engine(settings) => settings.slots,
@@ -33,7 +33,7 @@
     pub upstream: UpstreamPlan,
 }
 
-/// A fleet to run.
+/// Description of a fleet to start.
 #[derive(Debug, Clone, Default)]
 pub struct FleetPlan {
     pub routers: Vec<(String, String)>, // host and zone
@@ -41,11 +41,12 @@
     pub config: FleetText,                       // without the hosts' labels
     pub router_settings: Vec<(String, String)>,  // section.key and value
     pub sidecar_settings: Vec<(String, String)>, // section.key and value
-    pub one_way: Duration,                       // between routers and sidecars
+    pub one_way: Duration, // delay added to each packet between routers and sidecars
 }
 
 impl FleetPlan {
-    /// A fleet with this configuration and no hosts yet.
+    /// A plan with this configuration, without hosts. Some waiting times are set shorter
+    /// than shipped, to speed tests up.
     pub fn new(config: FleetText) -> Self {
         Self {
             config,
@@ -78,7 +79,8 @@
         self.upstreams(count, "m", UpstreamPlan::Engine(settings))
     }
 
-    /// Adds `count` plain services with their sidecars.
+    /// Adds `count` plain services with their sidecars, spread over three zones. Each
+    /// runs `slots` requests at once and takes `time` for each.
     pub fn plains(
         self,
         count: usize,
@@ -88,7 +90,7 @@
         self.upstreams(count, "p", UpstreamPlan::Plain { slots, time })
     }
 
-    /// Sets one of the routers' settings.
+    /// Sets a setting (`section.key`) of all routers.
     pub fn set_router(
         mut self,
         key: &str,
@@ -99,7 +101,7 @@
         self
     }
 
-    /// Sets one of the sidecars' settings.
+    /// Sets a setting (`section.key`) of all sidecars.
     pub fn set_sidecar(
         mut self,
         key: &str,
@@ -110,7 +112,7 @@
         self
     }
 
-    /// Sets a setting that routers and sidecars both have.
+    /// Sets a setting (`section.key`) of all routers and sidecars.
     pub fn set_both(
         self,
         key: &str,
@@ -128,7 +130,7 @@
         self
     }
 
-    /// The configuration with the hosts' labels.
+    /// The fleet configuration including the hosts' labels.
     pub fn config_text(&self) -> FleetText {
         self.sidecars
             .iter()
--- a/testbed/src/fleet/process.rs
+++ b/testbed/src/fleet/process.rs
@@ -9,10 +9,10 @@
     },
 };
 
-/// One process of the product, which can be stopped, frozen and killed.
+/// A process of one of the archmast programs. It is killed when this is dropped.
 pub struct Process {
     program: PathBuf,
-    words: Vec<String>, // of its command line, before the settings
+    arguments: Vec<String>, // before `--settings`
     settings: PathBuf,
     log: PathBuf,
     child: Child,
@@ -28,7 +28,7 @@
 }
 
 impl Process {
-    /// Starts a program of the product.
+    /// Starts a program with a settings file, appending its output to `log`.
     pub fn start(
         program: &str,
         settings: &Path,
@@ -37,19 +37,19 @@
         Self::start_with(program, &[], settings, log)
     }
 
-    /// Starts a program of the product with words before its settings.
+    /// Starts a program with further arguments before `--settings`.
     pub fn start_with(
         program: &str,
-        words: &[&str],
+        arguments: &[&str],
         settings: &Path,
         log: &Path,
     ) -> io::Result<Self> {
         let program = program_path(program);
-        let words: Vec<String> = words.iter().map(|word| (*word).to_owned()).collect();
-        let child = spawn(&program, &words, settings, log)?;
+        let arguments: Vec<String> = arguments.iter().map(|text| (*text).to_owned()).collect();
+        let child = spawn(&program, &arguments, settings, log)?;
         Ok(Self {
             program,
-            words,
+            arguments,
             settings: settings.to_owned(),
             log: log.to_owned(),
             child,
@@ -57,14 +57,15 @@
         })
     }
 
-    /// Starts it again after its end, with the same settings and no memory.
+    /// Starts a new process with the same program, arguments and settings file, after
+    /// the last one exited.
     pub fn restart(&mut self) -> io::Result<()> {
-        self.child = spawn(&self.program, &self.words, &self.settings, &self.log)?;
+        self.child = spawn(&self.program, &self.arguments, &self.settings, &self.log)?;
         self.started = Instant::now();
         Ok(())
     }
 
-    /// Starts as another build of the program from now on.
+    /// Sets the program file that the next restart uses.
     pub fn become_build(
         &mut self,
         program: &Path,
@@ -72,49 +73,49 @@
         self.program = program.to_owned();
     }
 
-    /// When it was last started.
+    /// When the process was last started.
     pub fn started(&self) -> Instant {
         self.started
     }
 
-    /// The process's number.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends it at once, and waits until it is gone.
+    /// Sends SIGKILL and waits until the process has exited.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         let gone = self.child.wait();
         debug_assert!(gone.is_ok(), "a killed process can be waited for");
     }
 
-    /// Asks it to stop.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Tells it that its settings file changed.
+    /// Sends SIGHUP, upon which the program reads its settings file again.
     pub fn hang_up(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Freezes it.
+    /// Sends SIGSTOP, which suspends the process.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Sends SIGCONT, which resumes the process.
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// How it ended, if it has.
+    /// Its exit status, none while it runs.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Its log so far.
+    /// The content of its log file, including earlier processes with the same log.
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
@@ -130,7 +131,8 @@
     }
 }
 
-/// The product's programs lie beside the testbed's, or above its tests.
+/// The path of a built program: in the folder of the running executable (the testbed)
+/// or in one above it (test executables).
 pub fn program_path(program: &str) -> PathBuf {
     let own = std::env::current_exe().expect("a running program has a path");
     own.ancestors()
@@ -142,13 +144,13 @@
 
 fn spawn(
     program: &Path,
-    words: &[String],
+    arguments: &[String],
     settings: &Path,
     log: &Path,
 ) -> io::Result<Child> {
     let log = File::options().create(true).append(true).open(log)?;
     Command::new(program)
-        .args(words)
+        .args(arguments)
         .arg("--settings")
         .arg(settings)
         .stdin(Stdio::null())
--- a/testbed/src/fleet/sidecar_host.rs
+++ b/testbed/src/fleet/sidecar_host.rs
@@ -10,14 +10,14 @@
     },
 };
 
-/// A stand-in behind a sidecar.
+/// The stand-in upstream behind a sidecar.
 pub enum Upstream {
     Engine(Engine),
     Plain(PlainService),
 }
 
 impl Upstream {
-    /// Starts what the plan says.
+    /// Starts the upstream that the plan describes.
     pub async fn start(
         ip: IpAddr,
         plan: &UpstreamPlan,
@@ -30,7 +30,6 @@
         }
     }
 
-    /// Its address.
     pub fn address(&self) -> SocketAddr {
         match self {
             Self::Engine(engine) => engine.address,
@@ -38,7 +37,7 @@
         }
     }
 
-    /// What ran here.
+    /// The log of requests that reached it.
     pub fn log(&self) -> &Arc<RunLog> {
         match self {
             Self::Engine(engine) => &engine.log,
@@ -46,19 +45,19 @@
         }
     }
 
-    /// The engine, where it is one.
+    /// The engine. Panics if it is a plain service.
     pub fn engine(&self) -> &Engine {
         match self {
             Self::Engine(engine) => engine,
-            Self::Plain(_) => panic!("a plain service is no engine"),
+            Self::Plain(_) => panic!("the upstream is a plain service, not an engine"),
         }
     }
 
-    /// The plain service, where it is one.
+    /// The plain service. Panics if it is an engine.
     pub fn plain(&self) -> &PlainService {
         match self {
             Self::Plain(service) => service,
-            Self::Engine(_) => panic!("an engine is no plain service"),
+            Self::Engine(_) => panic!("the upstream is an engine, not a plain service"),
         }
     }
 }
@@ -70,6 +69,6 @@
     pub upstream: Upstream,
     pub link: UdpProxy,          // between routers and the sidecar
     pub upstream_link: TcpProxy, // between the sidecar and its upstream
-    pub operator: SocketAddr,
-    pub source: SocketAddr, // from which its packets come
+    pub operator: SocketAddr,    // HTTP address for operators
+    pub source: SocketAddr,      // source address of its UDP packets
 }
--- a/testbed/src/fleet/starter.rs
+++ b/testbed/src/fleet/starter.rs
@@ -16,7 +16,7 @@
     },
 };
 
-/// Starts a fleet's processes, each with its settings and keys.
+/// Starts a fleet's processes, each with its own settings file, certificate and key.
 pub(super) struct Starter {
     pub loopback: Loopback,
     pub ip: IpAddr, // of the stand-ins
@@ -46,7 +46,8 @@
         let listen = self.loopback.free_udp().expect("a port is free");
         let link = self.proxy(listen).await;
         let operator = self.loopback.free_tcp().expect("a port is free");
-        let mut values = self.common(&plan.host, &plan.zone, HostRole::Sidecar, listen, operator);
+        let mut values =
+            self.common_settings(&plan.host, &plan.zone, HostRole::Sidecar, listen, operator);
         values.push(("upstream.address".into(), upstream_link.address.to_string()));
         values.push(("upstream.slots".into(), plan.upstream.slots().to_string()));
         values.extend(self.plan.sidecar_settings.iter().cloned());
@@ -81,7 +82,7 @@
         let listen = self.loopback.free_udp().expect("a port is free");
         let link = self.proxy(listen).await;
         let operator = self.loopback.free_tcp().expect("a port is free");
-        let mut values = self.common(host, zone, HostRole::Router, listen, operator);
+        let mut values = self.common_settings(host, zone, HostRole::Router, listen, operator);
         values.push(("callers.listen".into(), callers.to_string()));
         values.extend(self.plan.router_settings.iter().cloned());
         let text = overlay(RouterSettings::SHIPPED, &values);
@@ -116,7 +117,9 @@
         proxy
     }
 
-    fn common(
+    /// Writes a process's certificate and key, and returns the settings that routers and
+    /// sidecars have in common.
+    fn common_settings(
         &self,
         host: &str,
         zone: &str,
--- a/testbed/src/fleet/wait.rs
+++ b/testbed/src/fleet/wait.rs
@@ -1,13 +1,13 @@
 use std::time::{Duration, Instant};
 
-/// How often a condition is looked at.
-const POLL: Duration = Duration::from_millis(10);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// After this long a condition counts as never met. It bounds a failing run
-/// and says nothing about speed.
-const NEVER: Duration = Duration::from_secs(60);
+/// Time after which a wait panics. It only bounds failing runs, so that it is far longer
+/// than any condition should take.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until a condition holds.
+/// Waits until a condition holds. Panics with `what` if it does not within a minute.
 pub async fn until(
     what: &str,
     mut condition: impl FnMut() -> bool,
@@ -15,14 +15,18 @@
     until_async(what, async || condition()).await;
 }
 
-/// Waits until a condition holds that itself must wait to be known.
+/// Waits until an asynchronous condition holds. Panics with `what` if it does not within
+/// a minute.
 pub async fn until_async(
     what: &str,
     mut condition: impl AsyncFnMut() -> bool,
 ) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < NEVER, "never came true: {what}");
-        tokio::time::sleep(POLL).await;
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "condition not met within {WAIT_TIMEOUT:?}: {what}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what archmast serves and needs, a fault-injecting proxy, a
-//! harness that runs the product's real processes, trace replay and reports.
+//! Stand-ins for the services around archmast, fault-injecting proxies, a
+//! harness that runs the archmast programs, trace replay, measurements and reports.
 
 pub mod command;
 pub mod direct;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,5 @@
-//! Experiments with the product's real processes.
+//! Command-line program for demonstrations, measurements and fault tests with the
+//! archmast programs.
 
 use std::process::ExitCode;
 
--- a/testbed/src/proxy/faults.rs
+++ b/testbed/src/proxy/faults.rs
@@ -1,12 +1,12 @@
 use std::{collections::HashSet, net::SocketAddr, time::Duration};
 
-/// What a proxy does to what passes.
+/// The network faults that a proxy injects.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    pub cut: bool,                        // lets nothing through
-    pub cut_sources: HashSet<SocketAddr>, // lets nothing of these clients through
-    pub delay: Duration,                  // one way
-    pub drop: f64,                        // share of packets lost (UDP)
-    pub duplicate: f64,                   // share of packets sent twice (UDP)
-    pub reorder: f64,                     // share of packets held back 10 ms more (UDP)
+    pub cut: bool, // closes new TCP connections at once, drops all UDP packets
+    pub cut_sources: HashSet<SocketAddr>, // clients whose packets are dropped (UDP)
+    pub delay: Duration, // in each direction
+    pub drop: f64, // probability that a packet is lost (UDP)
+    pub duplicate: f64, // probability that a packet is sent twice (UDP)
+    pub reorder: f64, // probability that a packet is delayed by a further 10 ms (UDP)
 }
--- a/testbed/src/proxy/mod.rs
+++ b/testbed/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! Proxies that break what passes through them.
+//! TCP and UDP proxies that inject network faults.
 
 mod faults;
 mod tcp_proxy;
--- a/testbed/src/proxy/tcp_proxy.rs
+++ b/testbed/src/proxy/tcp_proxy.rs
@@ -16,10 +16,9 @@
     },
 };
 
-/// Bytes read at once.
-const CHUNK: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// A TCP proxy in front of one server.
+/// A fault-injecting TCP proxy in front of one server.
 pub struct TcpProxy {
     pub address: SocketAddr,
     connections: Connections,
@@ -44,8 +43,8 @@
         let connections = Connections {
             target,
             faults: Arc::default(),
-            cuts: watch::Sender::new(0),
-            silences: watch::Sender::new(0),
+            closings: watch::Sender::new(0),
+            stalls: watch::Sender::new(0),
         };
         let task = tokio::spawn(connections.clone().accept(listener));
         Ok(Self {
@@ -55,23 +54,23 @@
         })
     }
 
-    /// Ends every connection, and refuses new ones: what is behind it has ended.
+    /// Closes every connection and the listening socket, as if the server had exited.
     pub async fn stop(&mut self) {
         self.task.abort();
         if let Err(error) = (&mut self.task).await {
-            log::debug!("no longer listens: {error}");
+            log::debug!("proxy has stopped listening: {error}");
         }
         self.cut_connections();
     }
 
-    /// Listens again at its address after a stop.
+    /// Listens again at the same address after a stop.
     pub async fn restart(&mut self) -> io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
         self.task = tokio::spawn(self.connections.clone().accept(listener));
         Ok(())
     }
 
-    /// Changes what the proxy breaks.
+    /// Changes the injected faults.
     pub fn set(
         &self,
         change: impl FnOnce(&mut Faults),
@@ -79,25 +78,25 @@
         change(&mut self.connections.faults.lock().expect("fault lock"));
     }
 
-    /// Nothing passes any more on the connections that are open now, which stay open;
-    /// new ones work.
+    /// Stops forwarding on the connections that are open now, without closing them.
+    /// New connections work.
     pub fn silence_connections(&self) {
-        self.connections.silences.send_modify(|count| *count += 1);
+        self.connections.stalls.send_modify(|count| *count += 1);
     }
 
-    /// Ends every connection now.
+    /// Closes every connection that is open now.
     pub fn cut_connections(&self) {
-        self.connections.cuts.send_modify(|count| *count += 1);
+        self.connections.closings.send_modify(|count| *count += 1);
     }
 }
 
-/// What every connection of a proxy shares.
+/// The state that all connections of a proxy share.
 #[derive(Clone)]
 struct Connections {
     target: SocketAddr,
     faults: Arc<Mutex<Faults>>,
-    cuts: watch::Sender<u64>,     // counts cuts; each ends all connections
-    silences: watch::Sender<u64>, // counts silences; each silences all connections
+    closings: watch::Sender<u64>, // each change closes all open connections
+    stalls: watch::Sender<u64>,   // each change stalls all open connections
 }
 
 impl Connections {
@@ -107,31 +106,31 @@
     ) {
         while let Ok((client, _)) = listener.accept().await {
             if self.faults.lock().expect("fault lock").cut {
-                continue; // dropped: the client sees its connection close
+                continue; // drops the stream, which closes the client's connection
             }
             let (faults, target) = (self.faults.clone(), self.target);
-            let (mut cut, mut silenced) = (self.cuts.subscribe(), self.silences.subscribe());
+            let (mut closed, mut stalled) = (self.closings.subscribe(), self.stalls.subscribe());
             tokio::spawn(async move {
                 let Ok(server) = TcpStream::connect(target).await else {
                     return;
                 };
                 let (client_read, client_write) = client.into_split();
                 let (server_read, server_write) = server.into_split();
-                let passing = async {
+                let copying = async {
                     tokio::join!(
                         copy(client_read, server_write, &faults),
                         copy(server_read, client_write, &faults),
                     );
                 };
-                tokio::pin!(passing);
+                tokio::pin!(copying);
                 tokio::select! {
-                    _ = cut.changed() => return,
-                    () = &mut passing => return,
-                    _ = silenced.changed() => {}
+                    _ = closed.changed() => return,
+                    () = &mut copying => return,
+                    _ = stalled.changed() => {}
                 }
-                // Both ends stay open, and hear nothing of each other.
-                if cut.changed().await.is_err() {
-                    log::debug!("the proxy is gone");
+                // Both sockets stay open, and nothing is forwarded between them.
+                if closed.changed().await.is_err() {
+                    log::debug!("proxy was dropped");
                 }
             });
         }
@@ -143,7 +142,7 @@
     mut to: OwnedWriteHalf,
     faults: &Mutex<Faults>,
 ) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     while let Ok(length @ 1..) = from.read(&mut buffer).await {
         let delay = faults.lock().expect("fault lock").delay;
         if !delay.is_zero() {
--- a/testbed/src/proxy/udp_proxy.rs
+++ b/testbed/src/proxy/udp_proxy.rs
@@ -10,13 +10,13 @@
     tokio::{net::UdpSocket, task::JoinHandle},
 };
 
-/// The largest packet.
-const MAX_PACKET: usize = 65_536;
+/// The largest UDP packet, in bytes.
+const MAX_PACKET_BYTES: usize = 65_536;
 
-/// How much longer a reordered packet takes.
-const HELD_BACK: Duration = Duration::from_millis(10);
+/// The further delay of a packet that is to be reordered.
+const REORDER_DELAY: Duration = Duration::from_millis(10);
 
-/// A UDP proxy in front of one server.
+/// A fault-injecting UDP proxy in front of one server.
 pub struct UdpProxy {
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -27,8 +27,8 @@
     target: SocketAddr,
     front: Arc<UdpSocket>,
     faults: Mutex<Faults>,
-    clients: Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>, // a back socket each
-    returns: Mutex<Vec<JoinHandle<()>>>,
+    clients: Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>, // the socket towards the server, by client
+    returns: Mutex<Vec<JoinHandle<()>>>, // tasks that forward the server's packets to clients
 }
 
 impl Drop for UdpProxy {
@@ -54,7 +54,7 @@
             clients: Mutex::default(),
             returns: Mutex::default(),
         });
-        let task = tokio::spawn(forward(shared.clone()));
+        let task = tokio::spawn(forward_requests(shared.clone()));
         Ok(Self {
             address,
             shared,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Changes what the proxy breaks.
+    /// Changes the injected faults.
     pub fn set(
         &self,
         change: impl FnOnce(&mut Faults),
@@ -71,17 +71,17 @@
     }
 }
 
-async fn forward(shared: Arc<Shared>) {
-    let mut buffer = vec![0; MAX_PACKET];
+async fn forward_requests(shared: Arc<Shared>) {
+    let mut buffer = vec![0; MAX_PACKET_BYTES];
     loop {
         let Ok((length, client)) = shared.front.recv_from(&mut buffer).await else {
-            continue; // an earlier packet was refused at its target
+            continue; // the error belongs to an earlier packet that could not be delivered
         };
         let Ok(back) = back_socket(&shared, client).await else {
             continue;
         };
         let packet = buffer[..length].to_vec();
-        pass(&shared, client, packet, back, shared.target);
+        forward_packet(&shared, client, packet, back, shared.target);
     }
 }
 
@@ -100,27 +100,27 @@
         Arc::new(UdpSocket::bind(SocketAddr::new(shared.front.local_addr()?.ip(), 0)).await?);
     let mut clients = shared.clients.lock().expect("client lock");
     clients.insert(client, back.clone());
-    let task = tokio::spawn(send_back(shared.clone(), client, back.clone()));
+    let task = tokio::spawn(forward_answers(shared.clone(), client, back.clone()));
     shared.returns.lock().expect("task lock").push(task);
     Ok(back)
 }
 
-async fn send_back(
+async fn forward_answers(
     shared: Arc<Shared>,
     client: SocketAddr,
     back: Arc<UdpSocket>,
 ) {
-    let mut buffer = vec![0; MAX_PACKET];
+    let mut buffer = vec![0; MAX_PACKET_BYTES];
     loop {
         if let Ok((length, _)) = back.recv_from(&mut buffer).await {
             let packet = buffer[..length].to_vec();
-            pass(&shared, client, packet, shared.front.clone(), client);
+            forward_packet(&shared, client, packet, shared.front.clone(), client);
         }
     }
 }
 
-/// Sends a packet on, as the faults have it.
-fn pass(
+/// Forwards a packet of a client's flow, subject to the faults.
+fn forward_packet(
     shared: &Shared,
     client: SocketAddr,
     packet: Vec<u8>,
@@ -135,7 +135,7 @@
     let copies = if chance(faults.duplicate) { 2 } else { 1 };
     let mut delay = faults.delay;
     if chance(faults.reorder) {
-        delay += HELD_BACK;
+        delay += REORDER_DELAY;
     }
     if delay.is_zero() && copies == 1 && socket.try_send_to(&packet, to).is_ok() {
         return;
@@ -146,7 +146,7 @@
         }
         for _ in 0..copies {
             if socket.send_to(&packet, to).await.is_err() {
-                return; // the target is down: lost, as on a network
+                return; // the target is down, so that the packet is lost
             }
         }
     });
--- a/testbed/src/standin/call_count.rs
+++ b/testbed/src/standin/call_count.rs
@@ -1,16 +1,16 @@
 use std::time::{Duration, Instant};
 
-/// Calls of the platform's service, and which were over the rate.
+/// Counts calls and refuses those over a rate limit, in windows of one second.
 #[derive(Default)]
 pub struct CallCount {
     pub total: u64,
     pub refused: u64,
-    window: Option<Instant>, // start of the present second
-    in_window: u32,
+    window: Option<Instant>, // start of the current one-second window
+    in_window: u32,          // calls in the current window
 }
 
 impl CallCount {
-    /// Counts a call. False if it is over the rate.
+    /// Counts a call. Returns false if it exceeds the rate limit; `None` is no limit.
     pub fn allow(
         &mut self,
         calls_per_second: Option<u32>,
--- a/testbed/src/standin/chat_body.rs
+++ b/testbed/src/standin/chat_body.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// A request of the chat-completions interface, as far as the stand-in cares.
+/// The fields of a chat-completions request that the stand-in engine reads.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatBody {
     pub model: String,
@@ -11,7 +11,8 @@
     pub stream: bool,
 }
 
-/// One message. The first is the prompt's prefix, the last marks the request.
+/// One message. The first holds the prompt's prefix, the last the nonce that
+/// identifies the request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatMessage {
     pub role: String,
@@ -19,7 +20,7 @@
 }
 
 impl ChatBody {
-    /// A request marked with `nonce`, for `tokens` generated tokens.
+    /// A request identified by `nonce` that asks for `tokens` generated tokens.
     pub fn new(
         model: &str,
         prefix: &str,
@@ -39,17 +40,17 @@
         }
     }
 
-    /// What the caller marked the request with.
+    /// The nonce with which the caller identifies the request.
     pub fn nonce(&self) -> &str {
         self.messages.last().map_or("", |message| &message.content)
     }
 
-    /// The shared beginning of the prompt.
+    /// The part of the prompt that other requests may share and engines cache.
     pub fn prefix(&self) -> &str {
         self.messages.first().map_or("", |message| &message.content)
     }
 
-    /// Prompt tokens, four bytes each.
+    /// Length of the prompt in tokens, at four bytes per token.
     pub fn prompt_tokens(&self) -> u32 {
         let bytes: usize = self.messages.iter().map(|m| m.content.len()).sum();
         (bytes / 4) as u32
--- a/testbed/src/standin/engine.rs
+++ b/testbed/src/standin/engine.rs
@@ -21,11 +21,12 @@
     tokio_util::io::StreamReader,
 };
 
-/// The largest prompt the stand-in reads.
+/// The largest request body that the stand-in accepts.
 const MAX_BODY: ByteUnit = ByteUnit::Mebibyte(64);
 
-/// A model engine: batches, streams tokens at a pace, caches prefixes, stops
-/// when its caller is gone. Each token carries the request's mark.
+/// A model engine: runs a batch of requests, generates tokens at a fixed pace,
+/// caches prompt prefixes and cancels a request whose caller has disconnected. Each
+/// token contains the request's nonce, so that mixed-up answers are detected.
 pub struct Engine {
     pub address: SocketAddr,
     pub log: Arc<RunLog>,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Misbehaves from now on.
+    /// Applies `fault` to every request that starts to run after this call.
     pub fn set_fault(
         &self,
         fault: EngineFault,
@@ -74,7 +75,7 @@
         *self.shared.fault.lock().expect("fault lock") = fault;
     }
 
-    /// Prefix cache hits and misses so far.
+    /// Prefix cache hits and misses since the start.
     pub fn cache_counts(&self) -> (u64, u64) {
         let cache = self.shared.cache.lock().expect("cache lock");
         (cache.hits, cache.misses)
@@ -104,13 +105,13 @@
     }
 }
 
-/// One request in the batch. Dropping it frees its slot.
+/// A request that occupies a slot of the batch. Dropping it frees the slot.
 struct GeneratingRun {
     shared: Arc<Shared>,
     body: ChatBody,
     fault: EngineFault,
     request_id: String,
-    number: usize, // in the log
+    number: usize, // index in the run log
     sent: u32,     // tokens
     finished: bool,
     _slot: OwnedSemaphorePermit,
--- a/testbed/src/standin/engine_fault.rs
+++ b/testbed/src/standin/engine_fault.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
-/// How an engine stand-in misbehaves.
+/// A fault of the stand-in engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EngineFault {
     #[default]
     None,
     Late(Duration), // waits before it answers
-    Crossed,        // answers with another request's name
-    CutAfter(u32),  // closes the connection after this many tokens
-    Never,          // takes the request and says nothing
+    Crossed,        // returns the id of another request in x-request-id
+    CutAfter(u32),  // closes a stream after this many tokens
+    Never,          // accepts the request and never answers
 }
--- a/testbed/src/standin/engine_settings.rs
+++ b/testbed/src/standin/engine_settings.rs
@@ -1,12 +1,12 @@
 use std::time::Duration;
 
-/// How a model engine stand-in behaves.
+/// Capacity and speed of a stand-in engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSettings {
-    pub slots: usize,           // requests batched at once; more wait
-    pub token_time: Duration,   // between generated tokens
-    pub prefill_time: Duration, // for a prompt whose prefix is not cached
-    pub cached_prefixes: usize, // kept, least recently used goes first
+    pub slots: usize,           // requests run at once; further ones wait
+    pub token_time: Duration,   // per generated token
+    pub prefill_time: Duration, // of a prompt whose prefix is not cached
+    pub cached_prefixes: usize, // capacity; the least recently used one is evicted
 }
 
 impl Default for EngineSettings {
--- a/testbed/src/standin/mod.rs
+++ b/testbed/src/standin/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins: the platform's service, a model engine, a plain service.
+//! In-process stand-ins for the granted form: the platform's configuration service,
+//! a model engine and a plain HTTP service.
 
 mod call_count;
 mod chat_body;
--- a/testbed/src/standin/plain_service.rs
+++ b/testbed/src/standin/plain_service.rs
@@ -15,16 +15,16 @@
     tokio::sync::Semaphore,
 };
 
-/// The largest body the stand-in reads.
+/// The largest request body that the stand-in reads.
 const MAX_BODY: ByteUnit = ByteUnit::Mebibyte(64);
 
-/// A plain service that counts how often each marked request ran. It answers
-/// with the mark and the body it got.
+/// A plain HTTP service that logs every request by the nonce in its `x-nonce`
+/// header. It answers with the nonce and the request's body.
 pub struct PlainService {
     pub address: SocketAddr,
     pub log: Arc<RunLog>,
     service_time: Arc<Mutex<Duration>>,
-    manner: Arc<Mutex<AnswerManner>>,
+    answer_mode: Arc<Mutex<AnswerMode>>,
     _server: BoundServer,
 }
 
@@ -32,15 +32,15 @@
 struct Call {
     slots: Arc<Semaphore>,
     service_time: Arc<Mutex<Duration>>,
-    manner: Arc<Mutex<AnswerManner>>,
+    answer_mode: Arc<Mutex<AnswerMode>>,
     log: Arc<RunLog>,
 }
 
-/// How calls are answered.
+/// How all calls are answered.
 #[derive(Debug, Clone, Default)]
-struct AnswerManner {
-    turns_away: bool,               // with 503, without running them
-    headers: Vec<(String, String)>, // in all answers
+struct AnswerMode {
+    is_refusing: bool,              // with 503, without running the call
+    headers: Vec<(String, String)>, // added to every answer
 }
 
 impl PlainService {
@@ -52,11 +52,11 @@
     ) -> Self {
         let log = Arc::new(RunLog::default());
         let service_time = Arc::new(Mutex::new(service_time));
-        let manner: Arc<Mutex<AnswerManner>> = Arc::default();
+        let answer_mode: Arc<Mutex<AnswerMode>> = Arc::default();
         let call = Call {
             slots: Arc::new(Semaphore::new(slots)),
             service_time: service_time.clone(),
-            manner: manner.clone(),
+            answer_mode: answer_mode.clone(),
             log: log.clone(),
         };
         let methods = [Method::Get, Method::Post, Method::Put, Method::Delete];
@@ -69,12 +69,12 @@
             address: server.address,
             log,
             service_time,
-            manner,
+            answer_mode,
             _server: server,
         }
     }
 
-    /// From now on all its answers have these headers too.
+    /// Adds these headers to all further answers, in place of those set before.
     pub fn says(
         &self,
         headers: &[(&str, &str)],
@@ -82,18 +82,21 @@
         let headers = headers
             .iter()
             .map(|(name, value)| (name.to_string(), value.to_string()));
-        self.manner.lock().expect("manner lock").headers = headers.collect();
+        self.answer_mode.lock().expect("answer mode lock").headers = headers.collect();
     }
 
-    /// Whether it turns calls away from now on.
+    /// Sets whether further calls are refused with status 503.
     pub fn turns_away(
         &self,
-        turns_away: bool,
+        is_refusing: bool,
     ) {
-        self.manner.lock().expect("manner lock").turns_away = turns_away;
+        self.answer_mode
+            .lock()
+            .expect("answer mode lock")
+            .is_refusing = is_refusing;
     }
 
-    /// Changes how long a call takes.
+    /// Sets how long each further call takes to run.
     pub fn set_service_time(
         &self,
         time: Duration,
@@ -112,12 +115,12 @@
         let header = |name: &str| request.headers().get_one(name).unwrap_or("").to_owned();
         let (request_id, nonce) = (header("x-request-id"), header("x-nonce"));
         let number = self.log.start(&request_id, &nonce, &header("x-account"));
-        let manner = self.manner.lock().expect("manner lock").clone();
+        let answer_mode = self.answer_mode.lock().expect("answer mode lock").clone();
         let mut response = Response::build();
-        for (name, value) in manner.headers {
+        for (name, value) in answer_mode.headers {
             response.raw_header(name, value);
         }
-        if manner.turns_away {
+        if answer_mode.is_refusing {
             return Outcome::Success(response.status(Status::ServiceUnavailable).finalize());
         }
         let body = data.open(MAX_BODY).into_bytes().await;
--- a/testbed/src/standin/platform.rs
+++ b/testbed/src/standin/platform.rs
@@ -20,11 +20,11 @@
     tokio::sync::watch,
 };
 
-/// The largest value.
+/// The largest value that may be published, in bytes.
 pub const MAX_VALUE: usize = 1_000_000;
 
-/// The platform's service: values with revisions that can be watched, and a
-/// way for operators to publish, which the product never uses.
+/// The platform's configuration service: values with revisions that clients watch by
+/// long polling over HTTP. Tests publish values as an operator would, by methods.
 pub struct Platform {
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Publishes a value. With `expect`, only if that is the key's revision.
+    /// Publishes a value and returns its revision. With `expect`, fails unless the key
+    /// is at that revision (0: not published yet).
     pub fn publish(
         &self,
         key: &str,
@@ -87,7 +88,7 @@
         Ok(revision)
     }
 
-    /// Publishes a configuration.
+    /// Publishes a fleet configuration of one part and returns its revision.
     pub fn publish_fleet(
         &self,
         text: &str,
@@ -96,7 +97,8 @@
             .expect("the configuration fits one value")
     }
 
-    /// Publishes a configuration in parts, with its manifest.
+    /// Publishes a fleet configuration in parts (name and text), with the manifest that
+    /// lists their digests.
     pub fn publish_parts(
         &self,
         parts: &[(String, String)],
@@ -119,7 +121,7 @@
         self.publish(FLEET_KEY, &manifest.to_text(), None)
     }
 
-    /// Publishes a host list.
+    /// Publishes a host list and returns its revision.
     pub fn publish_hosts(
         &self,
         hosts: &HostList,
@@ -129,7 +131,7 @@
             .expect("the host list fits one value")
     }
 
-    /// Misbehaves from now on.
+    /// Replaces the faults that are injected into all further answers.
     pub fn set_switches(
         &self,
         switches: PlatformSwitches,
@@ -142,7 +144,7 @@
         self.shared.values.lock().expect("value lock").last
     }
 
-    /// Calls so far, and how many of them were refused over the rate.
+    /// Number of calls since the start, and how many of them exceeded the rate limit.
     pub fn calls(&self) -> (u64, u64) {
         let calls = self.shared.calls.lock().expect("call lock");
         (calls.total, calls.refused)
@@ -158,7 +160,7 @@
         let bound = self.switches.borrow().stale_at.unwrap_or(u64::MAX);
         let values = self.values.lock().expect("value lock");
         let (revision, text) = values.newest_up_to(key, bound)?;
-        // A stale service serves what it has, even to one who has more.
+        // A stale service returns its old value also to a client that has a newer one.
         let serves = revision > after || (bound < after);
         serves.then(|| (revision, text.to_owned()))
     }
@@ -195,7 +197,7 @@
     revision: Header<'static>,
 }
 
-/// What a watch gives.
+/// The answer to a watch.
 #[derive(Responder)]
 enum Watched {
     Value(Value),
@@ -237,6 +239,7 @@
     values.parts.get(digest).cloned().ok_or(Status::NotFound)
 }
 
+/// Applies the faults to a call: refuses it or delays it.
 async fn admit(shared: &Shared) -> Result<(), Status> {
     let switches = *shared.switches.borrow();
     let allowed = {
--- a/testbed/src/standin/platform_switches.rs
+++ b/testbed/src/standin/platform_switches.rs
@@ -1,10 +1,10 @@
 use std::time::Duration;
 
-/// How the platform's stand-in misbehaves.
+/// The faults of the stand-in platform service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PlatformSwitches {
-    pub down: bool,                    // answers 503 at once
+    pub down: bool,                    // answers 503 at once, also to waiting watches
     pub stale_at: Option<u64>,         // serves nothing newer than this revision
-    pub slow: Duration,                // waits before each answer
-    pub calls_per_second: Option<u32>, // over it: 429
+    pub slow: Duration,                // delay before each answer
+    pub calls_per_second: Option<u32>, // rate limit, above which it answers 429
 }
--- a/testbed/src/standin/prefix_cache.rs
+++ b/testbed/src/standin/prefix_cache.rs
@@ -1,6 +1,6 @@
 use std::collections::VecDeque;
 
-/// The prompt prefixes an engine has in memory.
+/// The prompt prefixes that a stand-in engine has cached.
 #[derive(Default)]
 pub struct PrefixCache {
     prefixes: VecDeque<String>, // least recently used first
@@ -9,7 +9,8 @@
 }
 
 impl PrefixCache {
-    /// Uses a prefix. True if it was cached.
+    /// Marks a prefix as just used, adding it if needed. Returns whether it was cached.
+    /// Keeps at most `bound` prefixes, evicting the least recently used.
     pub fn touch(
         &mut self,
         prefix: &str,
--- a/testbed/src/standin/publish_error.rs
+++ b/testbed/src/standin/publish_error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PublishError {
     TooLarge,
-    Raced, // another operator published first
+    Raced, // the key is not at the expected revision
 }
 
 impl fmt::Display for PublishError {
--- a/testbed/src/standin/run_log.rs
+++ b/testbed/src/standin/run_log.rs
@@ -10,20 +10,21 @@
 /// One request that reached a stand-in.
 #[derive(Debug, Clone)]
 pub struct Run {
-    pub request_id: String, // as the product named it
-    pub nonce: String,      // as the caller marked it
-    pub account: String,    // as the caller marked it
+    pub request_id: String, // set by the router
+    pub nonce: String,      // set by the caller
+    pub account: String,    // set by the caller
     pub started: Instant,
     pub tokens: u32,   // sent so far
-    pub ended: bool,   // whole
-    pub dropped: bool, // the connection closed first
+    pub ended: bool,   // answered completely
+    pub dropped: bool, // the connection closed before the answer was complete
 }
 
-/// What ran, as the stand-in itself saw it: the truth to hold answers against.
+/// Every request that reached a stand-in, as the stand-in itself recorded it. Tests
+/// compare it with what callers and routers report.
 pub struct RunLog {
     begun: Instant,
     runs: Mutex<Vec<Run>>,
-    slots: Mutex<(SlotClock, usize)>, // and how many are taken now
+    slots: Mutex<(SlotClock, usize)>, // the clock of busy slots, and how many are busy now
 }
 
 impl Default for RunLog {
@@ -37,7 +38,7 @@
 }
 
 impl RunLog {
-    /// Notes that a slot was taken, or given back.
+    /// Records that a slot was taken, or freed.
     pub fn slot(
         &self,
         taken: bool,
@@ -48,7 +49,7 @@
         slots.0.observe(self.begun.elapsed(), used, false);
     }
 
-    /// Busy slot time so far.
+    /// Time that slots were busy since the start, summed over all slots.
     pub fn busy(&self) -> Duration {
         let mut slots = self.slots.lock().expect("slot lock");
         let used = slots.1;
@@ -56,7 +57,7 @@
         slots.0.busy()
     }
 
-    /// Tokens sent so far, and requests whole, by account.
+    /// Tokens sent and requests answered completely since the start, by account.
     pub fn service(&self) -> HashMap<String, (u64, u64)> {
         let mut service: HashMap<String, (u64, u64)> = HashMap::new();
         for run in self.runs.lock().expect("run lock").iter() {
@@ -67,7 +68,7 @@
         service
     }
 
-    /// Notes a start and gives its number.
+    /// Records a request and returns its index in the log.
     pub fn start(
         &self,
         request_id: &str,
@@ -87,7 +88,7 @@
         runs.len() - 1
     }
 
-    /// Changes a run.
+    /// Changes the entry with this index.
     pub fn update(
         &self,
         number: usize,
@@ -96,12 +97,12 @@
         change(&mut self.runs.lock().expect("run lock")[number]);
     }
 
-    /// Every run so far.
+    /// All entries, in order of arrival.
     pub fn runs(&self) -> Vec<Run> {
         self.runs.lock().expect("run lock").clone()
     }
 
-    /// How often each marked request ran.
+    /// How many entries each nonce has.
     pub fn counts(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for run in self.runs.lock().expect("run lock").iter() {
@@ -110,7 +111,7 @@
         counts
     }
 
-    /// Runs that are neither whole nor dropped.
+    /// Number of requests that are neither answered completely nor cancelled.
     pub fn open(&self) -> usize {
         let runs = self.runs.lock().expect("run lock");
         runs.iter().filter(|run| !run.ended && !run.dropped).count()
--- a/testbed/src/standin/server.rs
+++ b/testbed/src/standin/server.rs
@@ -11,7 +11,7 @@
     tokio::{sync::oneshot, task::JoinHandle},
 };
 
-/// A running stand-in server; it ends when this is dropped.
+/// A running stand-in server, stopped when this is dropped.
 pub struct BoundServer {
     pub address: SocketAddr,
     task: JoinHandle<()>,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Rocket's settings for a stand-in. Port 0 lets the system choose.
+/// Rocket's settings for a stand-in. With port 0 the system chooses the port.
 pub fn standin_config(address: SocketAddr) -> Config {
     Config {
         address: address.ip(),
@@ -44,21 +44,22 @@
     }
 }
 
-/// Serves in the background on a port that the system chooses.
+/// Starts a server in the background on a port that the system chooses, and waits
+/// until it listens.
 pub async fn bind_server(
     ip: IpAddr,
     build: impl FnOnce(Config) -> Rocket<Build>,
 ) -> BoundServer {
     let (sender, receiver) = oneshot::channel();
     let sender = Arc::new(Mutex::new(Some(sender)));
-    let told = AdHoc::on_liftoff("address", move |rocket: &Rocket<Orbit>| {
+    let send_address = AdHoc::on_liftoff("address", move |rocket: &Rocket<Orbit>| {
         let address = SocketAddr::new(rocket.config().address, rocket.config().port);
         if let Some(sender) = sender.lock().expect("sender lock").take() {
             sender.send(address).expect("the starter waits");
         }
         Box::pin(async {})
     });
-    let rocket = build(standin_config(SocketAddr::new(ip, 0))).attach(told);
+    let rocket = build(standin_config(SocketAddr::new(ip, 0))).attach(send_address);
     let task = tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
             panic!("a stand-in cannot serve: {error}");
--- a/testbed/src/standin/values.rs
+++ b/testbed/src/standin/values.rs
@@ -1,15 +1,15 @@
 use std::collections::HashMap;
 
-/// The published values, with all their revisions.
+/// The published values with all their past revisions.
 #[derive(Default)]
 pub struct Values {
-    pub last: u64,                                    // revision
-    pub history: HashMap<String, Vec<(u64, String)>>, // by key, oldest first
-    pub parts: HashMap<String, String>,               // by digest
+    pub last: u64,                                    // highest revision given out
+    pub history: HashMap<String, Vec<(u64, String)>>, // revisions of each key, oldest first
+    pub parts: HashMap<String, String>,               // parts of configurations by SHA-256 digest
 }
 
 impl Values {
-    /// A key's newest value.
+    /// A key's newest revision and value.
     pub fn newest(
         &self,
         key: &str,
@@ -17,7 +17,7 @@
         self.newest_up_to(key, u64::MAX)
     }
 
-    /// A key's newest value of a revision up to this one.
+    /// A key's newest revision that is not above `bound`, and its value.
     pub fn newest_up_to(
         &self,
         key: &str,
