--- a/testbed/src/direct/client.rs
+++ b/testbed/src/direct/client.rs
@@ -7,21 +7,22 @@
     },
 };
 
-/// A client's connection to a router, byte by byte.
+/// An HTTP client on one connection. It writes requests as given, also invalid ones.
 pub struct Client {
     stream: TcpStream,
-    rest: Vec<u8>,
+    received: Vec<u8>, // bytes that are not consumed yet
 }
 
-/// A request as a client writes it.
+/// The text of a client's HTTP request.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
-    text: String,
+    head: String, // request line and headers
     body: String,
 }
 
 impl ClientRequest {
-    /// A POST for the host `app.example` with the key `key-1`.
+    /// A POST request to the host `app.example` with the attempt id `id` and the key
+    /// `key-1`.
     pub fn post(
         path: &str,
         id: &str,
@@ -30,7 +31,7 @@
         Self::new("POST", path, id).body(body)
     }
 
-    /// A GET of the same kind.
+    /// The same as [`Self::post`], as a GET request without a body.
     pub fn get(
         path: &str,
         id: &str,
@@ -43,28 +44,28 @@
         path: &str,
         id: &str,
     ) -> Self {
-        let text = format!(
+        let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: app.example\r\nArchmast-Attempt-Id: {id}\r\nArchmast-Credential: key-1\r\n"
         );
         Self {
-            text,
+            head,
             body: String::new(),
         }
     }
 
-    /// Adds a header, or replaces the one of that name.
+    /// Adds a header, in place of one of the same name.
     pub fn header(
         mut self,
         name: &str,
         value: &str,
     ) -> Self {
         let start = format!("{}:", name.to_ascii_lowercase());
-        let kept: Vec<&str> = self
-            .text
+        let others: Vec<&str> = self
+            .head
             .lines()
             .filter(|line| !line.to_ascii_lowercase().starts_with(&start))
             .collect();
-        self.text = kept.join("\r\n") + "\r\n" + &format!("{name}: {value}\r\n");
+        self.head = others.join("\r\n") + "\r\n" + &format!("{name}: {value}\r\n");
         self
     }
 
@@ -76,9 +77,9 @@
         self.header("Content-Length", &body.len().to_string())
     }
 
-    /// The bytes of it.
+    /// The request as it is sent.
     pub fn bytes(&self) -> Vec<u8> {
-        format!("{}\r\n{}", self.text, self.body).into_bytes()
+        format!("{}\r\n{}", self.head, self.body).into_bytes()
     }
 }
 
@@ -89,33 +90,32 @@
         stream.set_nodelay(true)?;
         Ok(Self {
             stream,
-            rest: Vec::new(),
+            received: Vec::new(),
         })
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a new connection and reads its answer.
     pub async fn ask(
         address: SocketAddr,
         request: &ClientRequest,
     ) -> ClientAnswer {
         match Self::connect(address).await {
             Ok(mut client) => client.call(request).await,
-            Err(_) => nothing(),
+            Err(_) => no_answer(),
         }
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads its answer.
     pub async fn call(
         &mut self,
         request: &ClientRequest,
     ) -> ClientAnswer {
         if self.send(&request.bytes()).await.is_err() {
-            return nothing();
+            return no_answer();
         }
         self.answer().await
     }
 
-    /// Sends bytes as they are.
     pub async fn send(
         &mut self,
         bytes: &[u8],
@@ -123,40 +123,45 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Waits until some bytes of an answer came that hold `text`.
+    /// Waits until the received bytes contain `text`. Returns false if the connection
+    /// ends first.
     pub async fn wait_for(
         &mut self,
         text: &str,
     ) -> bool {
         loop {
-            let held = String::from_utf8_lossy(&self.rest).contains(text);
-            if held {
+            let found = String::from_utf8_lossy(&self.received).contains(text);
+            if found {
                 return true;
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return false;
             }
         }
     }
 
-    /// Whether the router ends the connection without another byte.
+    /// Waits for the next event on the connection: true if the router closes it without
+    /// sending another byte.
     pub async fn is_closed_by_router(&mut self) -> bool {
-        self.rest.is_empty() && !self.more().await
+        self.received.is_empty() && !self.read_more().await
     }
 
     /// Reads one answer.
     pub async fn answer(&mut self) -> ClientAnswer {
         let head_end = loop {
-            let found = self.rest.windows(4).position(|bytes| bytes == b"\r\n\r\n");
+            let found = self
+                .received
+                .windows(4)
+                .position(|bytes| bytes == b"\r\n\r\n");
             if let Some(at) = found {
                 break at;
             }
-            if !self.more().await {
-                return nothing();
+            if !self.read_more().await {
+                return no_answer();
             }
         };
-        let head = String::from_utf8_lossy(&self.rest[..head_end]).into_owned();
-        self.rest.drain(..head_end + 4);
+        let head = String::from_utf8_lossy(&self.received[..head_end]).into_owned();
+        self.received.drain(..head_end + 4);
         let mut lines = head.lines();
         let status = lines
             .next()
@@ -170,8 +175,8 @@
             .is_some_and(|te| te == "chunked");
         let length: Option<usize> = headers.get("content-length").and_then(|t| t.parse().ok());
         let (body, whole) = match (chunked, length) {
-            (true, _) => self.chunks().await,
-            (_, Some(length)) => self.exactly(length).await,
+            (true, _) => self.read_chunks().await,
+            (_, Some(length)) => self.read_exactly(length).await,
             _ => (Vec::new(), true),
         };
         ClientAnswer {
@@ -182,35 +187,37 @@
         }
     }
 
-    async fn exactly(
+    /// Reads this many bytes. The flag is false if the connection ended first.
+    async fn read_exactly(
         &mut self,
         length: usize,
     ) -> (Vec<u8>, bool) {
-        while self.rest.len() < length {
-            if !self.more().await {
-                return (std::mem::take(&mut self.rest), false);
+        while self.received.len() < length {
+            if !self.read_more().await {
+                return (std::mem::take(&mut self.received), false);
             }
         }
-        (self.rest.drain(..length).collect(), true)
+        (self.received.drain(..length).collect(), true)
     }
 
-    async fn chunks(&mut self) -> (Vec<u8>, bool) {
+    /// Reads a chunked body. The flag is false if it ended before its last chunk.
+    async fn read_chunks(&mut self) -> (Vec<u8>, bool) {
         let mut body = Vec::new();
         loop {
             let line_end = loop {
-                if let Some(at) = self.rest.windows(2).position(|bytes| bytes == b"\r\n") {
+                if let Some(at) = self.received.windows(2).position(|bytes| bytes == b"\r\n") {
                     break at;
                 }
-                if !self.more().await {
+                if !self.read_more().await {
                     return (body, false);
                 }
             };
-            let size = String::from_utf8_lossy(&self.rest[..line_end]).into_owned();
+            let size = String::from_utf8_lossy(&self.received[..line_end]).into_owned();
             let Ok(size) = usize::from_str_radix(&size, 16) else {
                 return (body, false);
             };
-            self.rest.drain(..line_end + 2);
-            let (chunk, whole) = self.exactly(size + 2).await;
+            self.received.drain(..line_end + 2);
+            let (chunk, whole) = self.read_exactly(size + 2).await;
             if !whole {
                 return (body, false);
             }
@@ -221,12 +228,13 @@
         }
     }
 
-    async fn more(&mut self) -> bool {
-        matches!(self.stream.read_buf(&mut self.rest).await, Ok(count) if count > 0)
+    /// Reads the next bytes. Returns false at the end of the connection.
+    async fn read_more(&mut self) -> bool {
+        matches!(self.stream.read_buf(&mut self.received).await, Ok(count) if count > 0)
     }
 }
 
-fn nothing() -> ClientAnswer {
+fn no_answer() -> ClientAnswer {
     ClientAnswer {
         status: 0,
         headers: HashMap::new(),
--- a/testbed/src/direct/client_answer.rs
+++ b/testbed/src/direct/client_answer.rs
@@ -1,16 +1,16 @@
 use std::{collections::HashMap, time::Duration};
 
-/// What a client got for one request.
+/// A router's answer to one request, as the client received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientAnswer {
-    pub status: u16,                      // 0: the connection ended before a head
+    pub status: u16,                      // 0 if the connection ended before the head did
     pub headers: HashMap<String, String>, // names in lower case
     pub body: Vec<u8>,
-    pub whole: bool, // the body came to its stated end
+    pub whole: bool, // the body was received up to its declared end
 }
 
 impl ClientAnswer {
-    /// A header's text; empty if there is none.
+    /// A header's value, empty if there is none. The name is in lower case.
     pub fn header(
         &self,
         name: &str,
@@ -18,18 +18,17 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The number of the product's own error; none for a replica's answer.
+    /// The result code of an error answer of the router, none for a replica's answer.
     pub fn code(&self) -> Option<u64> {
         let body: serde_json::Value = serde_json::from_slice(&self.body).ok()?;
         body["error"]["code"].as_u64()
     }
 
-    /// When to come back, if it says so.
+    /// The time of the `Retry-After` header.
     pub fn retry_after(&self) -> Option<Duration> {
         let seconds = self.header("retry-after").parse().ok()?;
         Duration::try_from_secs_f64(seconds).ok()
--- a/testbed/src/direct/config_text.rs
+++ b/testbed/src/direct/config_text.rs
@@ -3,18 +3,18 @@
     serde_json::{Value, json},
 };
 
-/// A configuration as the operator writes it, for the host `app.example` and the account
-/// `lot`.
+/// The operator's configuration as JSON text, for the host `app.example` and the client
+/// account `lot`.
 pub struct ConfigText<'c> {
     pub version: u64,
     pub routes: &'c [RouteText],
-    pub keys: &'c [&'c str], // of the account
-    pub details: Value,      // fields of each service besides the usual ones
-    pub max_body: usize,     // bytes
+    pub keys: &'c [&'c str], // API keys of the account
+    pub details: Value,      // JSON object of fields that are added to each service
+    pub max_body: usize,     // bytes of a request's body
 }
 
 impl<'c> ConfigText<'c> {
-    /// One in which the account has the key `key-1`.
+    /// A configuration in which the account has the key `key-1`.
     pub fn new(
         version: u64,
         routes: &'c [RouteText],
@@ -28,7 +28,7 @@
         }
     }
 
-    /// As the store holds it.
+    /// The JSON document that the store holds.
     pub fn to_json(&self) -> Value {
         let services: Vec<Value> = self
             .routes
--- a/testbed/src/direct/direct_fleet.rs
+++ b/testbed/src/direct/direct_fleet.rs
@@ -7,22 +7,23 @@
     },
 };
 
-/// Routers that carry requests themselves, their replicas and their store.
+/// Router processes of the direct form and the stand-in store that they read. The
+/// vectors are indexed by router.
 pub struct DirectFleet {
     pub store: Store,
-    pub ports: Vec<StorePort>, // one for each router
+    pub ports: Vec<StorePort>, // each router has its own
     pub routers: Vec<Process>,
-    pub callers: Vec<SocketAddr>,
-    pub ready: Vec<SocketAddr>,
-    pub settings: Vec<PathBuf>,
+    pub callers: Vec<SocketAddr>, // HTTP addresses for callers
+    pub ready: Vec<SocketAddr>,   // addresses of the readiness check
+    pub settings: Vec<PathBuf>,   // settings files
     loopback: Loopback,
     _folder: Folder,
 }
 
-/// Routers that are named as seeds to all.
+/// How many of the routers are listed as seeds in every router's settings.
 const SEEDS: usize = 3;
 
-/// The name of a zone by its number.
+/// The name of the availability zone with this index.
 pub fn zone_name(number: usize) -> String {
     match number {
         0 => "z".to_owned(),
@@ -30,20 +31,20 @@
     }
 }
 
-/// A folder of a test's own, removed with it.
+/// A temporary folder, removed when this is dropped.
 struct Folder(PathBuf);
 
 impl Drop for Folder {
     fn drop(&mut self) {
         if let Err(error) = std::fs::remove_dir_all(&self.0) {
-            log::debug!("folder left behind: {error}");
+            log::debug!("temporary folder not removed: {error}");
         }
     }
 }
 
 impl DirectFleet {
-    /// Starts this many routers of one zone before a store that is empty yet.
-    /// `callers` goes into that section of their settings.
+    /// Starts `count` routers in one zone, with a store that is still empty.
+    /// `callers_text` is added to the section `[callers]` of their settings.
     pub async fn start(
         count: usize,
         callers_text: &str,
@@ -51,7 +52,7 @@
         Self::start_in_zones(&[count], callers_text).await
     }
 
-    /// The same with so many routers in each zone.
+    /// The same as [`Self::start`], with this number of routers in each zone.
     pub async fn start_in_zones(
         counts: &[usize],
         callers_text: &str,
@@ -86,11 +87,11 @@
             let port = StorePort::start(fleet.loopback.standins, store.clone()).await;
             let free = || fleet.loopback.free_tcp().expect("a free port");
             let (callers, ready, operator) = (free(), free(), free());
-            let news = fleet.loopback.free_udp().expect("a free port");
+            let update_listen = fleet.loopback.free_udp().expect("a free port");
             let text = format!(
                 "[process]\nhost = router-{index}\nzone = {}\n[callers]\nlisten = {callers}\n{callers_text}\
                  [ready]\nlisten = {ready}\npath = /v1/ready\n[operator]\nlisten = {operator}\n\
-                 [peers]\nlisten = {peer}\nnews = {news}\nseeds = {}\n[catalog]\naddress = {}\npause = 20 ms\n\
+                 [peers]\nlisten = {peer}\nnews = {update_listen}\nseeds = {}\n[catalog]\naddress = {}\npause = 20 ms\n\
                  retry_pause = 50 ms\n[stop]\ngrace = 20 s\nbalancer_lag = 300 ms\n",
                 zone_name(zones[index]),
                 seeds.join(","),
@@ -109,16 +110,16 @@
         fleet
     }
 
-    /// Starts one router before two replicas of service `s`, which it knows, with
-    /// these routes.
+    /// Starts one router and two replicas of service `s`, publishes these routes, and
+    /// waits until the router is ready and knows both replicas.
     pub async fn with_two_replicas(
-        usual: ReplicaAnswer,
+        default_answer: ReplicaAnswer,
         routes: &[RouteText],
     ) -> (Self, [Replica; 2]) {
         let fleet = Self::start(1, "").await;
         let replicas = [
-            fleet.replica("i-a", "s", usual.clone()).await,
-            fleet.replica("i-b", "s", usual).await,
+            fleet.replica("i-a", "s", default_answer.clone()).await,
+            fleet.replica("i-b", "s", default_answer).await,
         ];
         fleet.store.publish(1, routes);
         fleet.all_ready().await;
@@ -130,24 +131,24 @@
         (fleet, replicas)
     }
 
-    /// The address at which stand-ins listen.
+    /// The IP address on which stand-ins listen.
     pub fn standins(&self) -> IpAddr {
         self.loopback.standins
     }
 
-    /// Starts a replica and lists it as ready.
+    /// Starts a replica and lists it as ready in the store, in the first zone.
     pub async fn replica(
         &self,
         id: &str,
         service: &str,
-        usual: ReplicaAnswer,
+        default_answer: ReplicaAnswer,
     ) -> Replica {
-        let replica = Replica::start(self.loopback.standins, id, usual).await;
+        let replica = Replica::start(self.loopback.standins, id, default_answer).await;
         self.store.list(id, service, replica.address, "ready");
         replica
     }
 
-    /// Whether a router says that it is ready.
+    /// Whether a router reports that it is ready.
     pub async fn is_ready(
         &self,
         router: usize,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Waits until a path is answered by a router with this status.
+    /// Waits until a router answers requests for a path with this status.
     pub async fn serves(
         &self,
         router: usize,
--- a/testbed/src/direct/mod.rs
+++ b/testbed/src/direct/mod.rs
@@ -1,5 +1,5 @@
-//! Routers that carry requests themselves, as real processes, with stand-ins
-//! that speak the users' platform: its store, its replicas, its clients.
+//! Runs router processes of the direct form, with stand-ins for the users' platform:
+//! the store, the replicas and the clients.
 
 mod client;
 mod client_answer;
--- a/testbed/src/direct/replica.rs
+++ b/testbed/src/direct/replica.rs
@@ -15,8 +15,7 @@
     tokio::{net::TcpListener, sync::watch, task::JoinHandle},
 };
 
-/// A stand-in replica: it does as it is told, request by request, and keeps
-/// what it got.
+/// A stand-in replica that answers requests as scripted and records them.
 pub struct Replica {
     pub id: String,
     pub address: SocketAddr,
@@ -31,32 +30,32 @@
 }
 
 impl Replica {
-    /// Starts one on a free port.
+    /// Starts a replica on a free port.
     pub async fn start(
         ip: IpAddr,
         id: &str,
-        usual: ReplicaAnswer,
+        default_answer: ReplicaAnswer,
     ) -> Self {
         let listener = TcpListener::bind((ip, 0)).await.expect("a free port");
         let address = listener.local_addr().expect("a bound address");
         let state = Arc::new(ReplicaState {
             id: Mutex::new(id.to_owned()),
             script: Mutex::default(),
-            usual: Mutex::new(usual),
+            default_answer: Mutex::new(default_answer),
             seen: Mutex::default(),
-            kept: Mutex::default(),
-            list_after: Mutex::default(),
-            events: watch::Sender::default(),
-            events_asked: AtomicUsize::new(0),
-            open: AtomicUsize::new(0),
-            opened: AtomicUsize::new(0),
-            fatal: Mutex::default(),
-            ended: watch::Sender::new(false),
-            cuts_one_in: AtomicUsize::new(0),
+            cached_parts: Mutex::default(),
+            list_delay: Mutex::default(),
+            cache_events: watch::Sender::default(),
+            event_requests: AtomicUsize::new(0),
+            open_connections: AtomicUsize::new(0),
+            total_connections: AtomicUsize::new(0),
+            crash_trigger: Mutex::default(),
+            exited: watch::Sender::new(false),
+            close_one_in: AtomicUsize::new(0),
             runs: AtomicUsize::new(0),
-            rest_seconds: Mutex::default(),
-            list_refused: AtomicBool::new(false),
-            said: Mutex::default(),
+            backoff_seconds: Mutex::default(),
+            refuses_cache_requests: AtomicBool::new(false),
+            extra_headers: Mutex::default(),
         });
         let task = tokio::spawn(accept(state.clone(), listener));
         Self {
@@ -67,7 +66,7 @@
         }
     }
 
-    /// What it does with the next request that is not told already.
+    /// Appends an answer to the script, whose answers apply to one request each.
     pub fn next(
         &self,
         answer: ReplicaAnswer,
@@ -75,20 +74,20 @@
         self.state.script.lock().expect("lock").push_back(answer);
     }
 
-    /// Forgets what it was told for requests to come.
+    /// Removes all remaining answers from the script.
     pub fn forget_script(&self) {
         self.state.script.lock().expect("lock").clear();
     }
 
-    /// What it does with all requests that nothing else is told for.
+    /// Sets the answer to all requests for which the script is empty.
     pub fn usually(
         &self,
         answer: ReplicaAnswer,
     ) {
-        *self.state.usual.lock().expect("lock") = answer;
+        *self.state.default_answer.lock().expect("lock") = answer;
     }
 
-    /// The parts of prompts that it says it keeps: their ids and tokens.
+    /// Sets the list of cached prompt parts that it reports: their ids and tokens.
     pub fn keeps(
         &self,
         parts: &[(&str, u32)],
@@ -96,51 +95,54 @@
         let parts = parts
             .iter()
             .map(|(id, tokens)| json!(["", id, tokens, "m"]));
-        *self.state.kept.lock().expect("lock") = parts.collect();
+        *self.state.cached_parts.lock().expect("lock") = parts.collect();
     }
 
-    /// It takes a part in or gives it up, and tells so to those that ask from now on.
+    /// Adds a cache event: a prompt part was cached (`kind` is "+") or evicted ("-"), and
+    /// `tokens` of it are cached now.
     pub fn tells(
         &self,
-        sign: &str,
+        kind: &str,
         part: &str,
         tokens: u32,
     ) {
-        self.state.events.send_modify(|events| {
+        self.state.cache_events.send_modify(|events| {
             let number = events.len() + 1;
-            events.push(json!([number, sign, "", part, tokens, "m"]));
+            events.push(json!([number, kind, "", part, tokens, "m"]));
         });
     }
 
-    /// How often it was asked for that.
+    /// How many requests for cache events it received.
     pub fn events_asked(&self) -> usize {
-        self.state.events_asked.load(Ordering::SeqCst)
+        self.state.event_requests.load(Ordering::SeqCst)
     }
 
-    /// How long it takes to say what it keeps.
+    /// Sets how long it takes to answer a request for its list of cached parts.
     pub fn list_after(
         &self,
         time: Duration,
     ) {
-        *self.state.list_after.lock().expect("lock") = time;
+        *self.state.list_delay.lock().expect("lock") = time;
     }
 
-    /// From now on it turns all requests away and asks for so much rest; with none it
-    /// answers again.
+    /// Refuses all further requests with this time in `Retry-After`; with none, it answers
+    /// again.
     pub fn turns_away(
         &self,
-        rest_seconds: Option<f64>,
+        backoff_seconds: Option<f64>,
     ) {
-        *self.state.rest_seconds.lock().expect("lock") = rest_seconds;
+        *self.state.backoff_seconds.lock().expect("lock") = backoff_seconds;
     }
 
-    /// From now on it turns the question for what it keeps away.
+    /// Refuses all further requests for its list of cached parts and for cache events.
     pub fn turns_list_away(&self) {
-        self.state.list_refused.store(true, Ordering::SeqCst);
+        self.state
+            .refuses_cache_requests
+            .store(true, Ordering::SeqCst);
     }
 
-    /// From now on it ends when it begins to run a request whose body has this text:
-    /// its connections break off and new ones are refused.
+    /// Crashes when it starts to run a request whose body contains this text: its
+    /// connections are closed and new ones are refused.
     pub fn ends_under(
         &self,
         text: &str,
@@ -148,24 +150,25 @@
         self.ends_after(text, EndManner::AtOnce);
     }
 
-    /// The same, in another manner.
+    /// The same as [`Self::ends_under`], with another timing.
     pub fn ends_after(
         &self,
         text: &str,
-        manner: EndManner,
+        timing: EndManner,
     ) {
-        *self.state.fatal.lock().expect("lock") = Some((text.to_owned(), manner));
+        *self.state.crash_trigger.lock().expect("lock") = Some((text.to_owned(), timing));
     }
 
-    /// From now on it breaks off the connection of one in so many requests, and lives on.
+    /// Closes the connection on one in `count` of the requests instead of answering; 0
+    /// is none.
     pub fn cuts_one_in(
         &self,
         count: usize,
     ) {
-        self.state.cuts_one_in.store(count, Ordering::SeqCst);
+        self.state.close_one_in.store(count, Ordering::SeqCst);
     }
 
-    /// From now on all its answers have these headers too.
+    /// Adds these headers to all further answers, in place of those set before.
     pub fn says(
         &self,
         headers: &[(&str, &str)],
@@ -173,15 +176,15 @@
         let lines = headers
             .iter()
             .map(|(name, value)| format!("{name}: {value}\r\n"));
-        *self.state.said.lock().expect("lock") = lines.collect();
+        *self.state.extra_headers.lock().expect("lock") = lines.collect();
     }
 
-    /// Whether it has ended.
+    /// Whether it has crashed.
     pub fn has_ended(&self) -> bool {
-        *self.state.ended.borrow()
+        *self.state.exited.borrow()
     }
 
-    /// From now on another replica runs at its address.
+    /// Changes the replica's id, as if another replica now used its address.
     pub fn become_another(
         &self,
         id: &str,
@@ -189,12 +192,13 @@
         *self.state.id.lock().expect("lock") = id.to_owned();
     }
 
-    /// What it got, but for requests that were meant for another replica.
+    /// The requests that it received, without those that were meant for a replica with
+    /// another id.
     pub fn seen(&self) -> Vec<SeenRequest> {
         self.state.seen.lock().expect("lock").clone()
     }
 
-    /// How often it got a request with this id.
+    /// How many requests with this attempt id it received.
     pub fn got(
         &self,
         id: &str,
@@ -203,13 +207,13 @@
         seen.iter().filter(|request| request.id() == id).count()
     }
 
-    /// Connections that are open.
+    /// Number of connections that are open now.
     pub fn open(&self) -> usize {
-        self.state.open.load(Ordering::SeqCst)
+        self.state.open_connections.load(Ordering::SeqCst)
     }
 
-    /// Connections that were opened so far.
+    /// Number of connections that were opened since the start.
     pub fn opened(&self) -> usize {
-        self.state.opened.load(Ordering::SeqCst)
+        self.state.total_connections.load(Ordering::SeqCst)
     }
 }
--- a/testbed/src/direct/replica_answer.rs
+++ b/testbed/src/direct/replica_answer.rs
@@ -3,37 +3,39 @@
 /// What a stand-in replica does with one request.
 #[derive(Debug, Clone)]
 pub enum ReplicaAnswer {
-    /// A whole answer with a signature.
+    /// A complete answer with the replica's signature.
     Whole { status: u16, body: String },
-    /// The same, after a time.
+    /// A complete answer of status 200, after a delay.
     Slow { body: String, after: Duration },
-    /// Says that it does not run the request.
+    /// An answer that states that the request was not run.
     NotExecuted { status: u16 },
-    /// Closes the connection without a word.
+    /// Closes the connection without answering.
     Close,
     /// Never answers.
     Silent,
-    /// Declares more bytes than it sends, then closes.
+    /// Declares more bytes than it sends, then closes the connection.
     Cut,
-    /// Answers another request.
+    /// An answer with the attempt id of another request.
     WrongId,
-    /// A success without a signature.
+    /// An answer of status 200 without a signature.
     Unsigned,
-    /// Bytes that are no answer.
+    /// Bytes that are not HTTP.
     Garbage,
-    /// A whole answer, and a second one that nobody asked for.
+    /// A complete answer, followed by a second one to no request.
     Surplus { body: String },
-    /// Events from the one asked for up to `last`, at this pace.
+    /// A stream of events up to number `last`, with `pause` before each. It starts
+    /// after the event in `Last-Event-ID`.
     Events { last: u32, pause: Duration },
-    /// Events up to `after`, a part of one more, and the end of the connection.
-    /// A stream that is taken up again is whole up to `last`.
+    /// A stream that breaks off in the event after number `after`, with the connection
+    /// closed. A resumed stream (with `Last-Event-ID`) is complete up to `last`.
     EventsCut { after: u32, last: u32 },
-    /// The same with silence in place of the end.
+    /// A stream that stops after event `after` with the connection left open. A resumed
+    /// stream is complete up to `last`.
     EventsStall { after: u32, last: u32 },
 }
 
 impl ReplicaAnswer {
-    /// A success with this body.
+    /// A complete answer of status 200 with this body.
     pub fn ok(body: &str) -> Self {
         Self::Whole {
             status: 200,
@@ -41,7 +43,7 @@
         }
     }
 
-    /// All events at once.
+    /// A stream of events without pauses.
     pub fn events(last: u32) -> Self {
         Self::Events {
             last,
--- a/testbed/src/direct/replica_answering.rs
+++ b/testbed/src/direct/replica_answering.rs
@@ -1,4 +1,4 @@
-//! What a stand-in replica writes.
+//! The answers that a stand-in replica writes.
 
 use {
     super::{ReplicaAnswer, SeenRequest, replica_state::ReplicaState},
@@ -11,39 +11,42 @@
     },
 };
 
-/// The answer where it does not say what it keeps.
-const REFUSAL: &str = "HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n";
+/// The answer to cache requests while they are refused.
+const CACHE_REFUSAL: &str = "HTTP/1.1 503 Not Now\r\nContent-Length: 0\r\n\r\n";
 
-/// What it keeps, as an answer.
-pub(super) fn list(state: &ReplicaState) -> String {
-    if state.list_refused.load(Ordering::SeqCst) {
-        return REFUSAL.to_owned();
+/// The answer to a request for the list of cached parts.
+pub(super) fn cache_list(state: &ReplicaState) -> String {
+    if state.refuses_cache_requests.load(Ordering::SeqCst) {
+        return CACHE_REFUSAL.to_owned();
     }
-    let kept = state.kept.lock().expect("lock").clone();
-    let body = json!({"epoch": 1, "next_token": 1, "held": kept}).to_string();
+    let parts = state.cached_parts.lock().expect("lock").clone();
+    let body = json!({"epoch": 1, "next_token": 1, "held": parts}).to_string();
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// What it took in and gave up, as soon as there is something that the asker does not know.
-pub(super) async fn events(
+/// The answer to a long poll for cache events: the events after the number at the end of
+/// the request's target, as soon as there are any or the request's waiting time is over.
+pub(super) async fn cache_events(
     state: &ReplicaState,
     request: &SeenRequest,
 ) -> String {
-    state.events_asked.fetch_add(1, Ordering::SeqCst);
-    if state.list_refused.load(Ordering::SeqCst) {
-        return REFUSAL.to_owned();
+    state.event_requests.fetch_add(1, Ordering::SeqCst);
+    if state.refuses_cache_requests.load(Ordering::SeqCst) {
+        return CACHE_REFUSAL.to_owned();
     }
     let since = request.target.rsplit_once('=');
     let since: usize = since.map_or(0, |(_, number)| number.parse().expect("a number"));
     let wait = request.header("wait-ms").parse().expect("milliseconds");
-    let mut told = state.events.subscribe();
-    let news = told.wait_for(|events| events.len() > since);
-    let is_quiet = timeout(Duration::from_millis(wait), news).await.is_err();
-    if is_quiet {
-        log::debug!("nothing to tell within {wait} ms");
+    let mut changes = state.cache_events.subscribe();
+    let new_event = changes.wait_for(|events| events.len() > since);
+    let is_timeout = timeout(Duration::from_millis(wait), new_event)
+        .await
+        .is_err();
+    if is_timeout {
+        log::debug!("no new cache event within {wait} ms");
     }
-    let all = state.events.borrow().clone();
+    let all = state.cache_events.borrow().clone();
     let (last, events) = (all.len(), &all[since.min(all.len())..]);
     let body = json!({"epoch": 1, "next_token": last, "lost": false, "events": events});
     let body = body.to_string();
@@ -51,14 +54,15 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// A connection, and the header lines that stand in each answer on it.
-pub(super) struct Answering<'s> {
+/// Writes answers on a connection, adding header lines to each of them.
+pub(super) struct AnswerWriter<'s> {
     pub stream: &'s mut TcpStream,
-    pub said: String,
+    pub extra_headers: String,
 }
 
-impl Answering<'_> {
-    /// Writes an answer, or a part of one.
+impl AnswerWriter<'_> {
+    /// Writes an answer or a part of one. Text that begins with a status line gets the
+    /// extra headers.
     pub(super) async fn write(
         &mut self,
         text: &str,
@@ -66,26 +70,28 @@
         if let Some((status, rest)) = text.split_once("\r\n")
             && status.starts_with("HTTP/1.1 ")
         {
-            let text = format!("{status}\r\n{}{rest}", self.said);
+            let text = format!("{status}\r\n{}{rest}", self.extra_headers);
             return self.stream.write_all(text.as_bytes()).await;
         }
         self.stream.write_all(text.as_bytes()).await
     }
 }
 
-/// Answers one request. False if the connection ends with it.
-pub(super) async fn act(
-    out: &mut Answering<'_>,
+/// Answers one request. Returns false if the connection is to be closed afterwards.
+pub(super) async fn write_answer(
+    out: &mut AnswerWriter<'_>,
     request: &SeenRequest,
     answer: ReplicaAnswer,
 ) -> io::Result<bool> {
     let id = request.id();
     match answer {
-        ReplicaAnswer::Whole { status, body } => out.write(&whole(id, status, &body)).await?,
+        ReplicaAnswer::Whole { status, body } => {
+            out.write(&signed_answer(id, status, &body)).await?
+        }
         ReplicaAnswer::Slow { body, after } => {
             let mut byte = [0];
             tokio::select! {
-                () = tokio::time::sleep(after) => out.write(&whole(id, 200, &body)).await?,
+                () = tokio::time::sleep(after) => out.write(&signed_answer(id, 200, &body)).await?,
                 _ = out.stream.read(&mut byte) => return Ok(false),
             }
         }
@@ -101,11 +107,14 @@
             return Ok(false);
         }
         ReplicaAnswer::Cut => {
-            let text = whole(id, 200, "a whole body of some length");
+            let text = signed_answer(id, 200, "a whole body of some length");
             out.write(&text[..text.len() - 9]).await?;
             return Ok(false);
         }
-        ReplicaAnswer::WrongId => out.write(&whole("another", 200, "not yours")).await?,
+        ReplicaAnswer::WrongId => {
+            out.write(&signed_answer("another", 200, "not yours"))
+                .await?
+        }
         ReplicaAnswer::Unsigned => {
             let text = format!(
                 "HTTP/1.1 200 OK\r\nArchmast-Attempt-Id: {id}\r\nContent-Length: 2\r\n\r\nok"
@@ -117,7 +126,7 @@
             return Ok(false);
         }
         ReplicaAnswer::Surplus { body } => {
-            let text = whole(id, 200, &body) + &whole(id, 200, "surplus");
+            let text = signed_answer(id, 200, &body) + &signed_answer(id, 200, "surplus");
             out.write(&text).await?;
         }
         ReplicaAnswer::Events { last, pause } => {
@@ -145,44 +154,46 @@
     Ok(true)
 }
 
-/// How long a replica lives on under a request that ends it later.
-const LIVES_ON: Duration = Duration::from_millis(100);
+/// Time from the start of the run to a delayed crash.
+const CRASH_DELAY: Duration = Duration::from_millis(100);
 
-/// How a replica ends under a request.
+/// When a replica crashes that runs a request which crashes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndManner {
-    /// As it begins to run it.
+    /// When it starts to run the request.
     AtOnce,
-    /// Some time later, after a head without proof.
+    /// After a delay, having sent an answer's head without a signature.
     AfterHead,
-    /// Some time later, without a word.
+    /// After a delay, having sent nothing.
     Later,
 }
 
-/// Ends under a request, whoever still waits for it.
-pub(super) async fn end(
+/// Crashes while it runs this request, also if the router has closed the connection.
+pub(super) async fn crash(
     state: &ReplicaState,
-    out: &mut Answering<'_>,
+    out: &mut AnswerWriter<'_>,
     request: &SeenRequest,
-    manner: EndManner,
+    timing: EndManner,
 ) {
-    if manner == EndManner::AfterHead {
+    if timing == EndManner::AfterHead {
         let text = format!(
             "HTTP/1.1 200 OK\r\nArchmast-Attempt-Id: {}\r\nContent-Length: 9\r\n\r\n",
             request.id()
         );
         if let Err(error) = out.write(&text).await {
-            log::debug!("head not written: {error}");
+            log::debug!("head of the answer not written: {error}");
         }
     }
-    if manner != EndManner::AtOnce {
-        tokio::time::sleep(LIVES_ON).await;
+    if timing != EndManner::AtOnce {
+        tokio::time::sleep(CRASH_DELAY).await;
     }
-    state.ended.send_replace(true);
+    state.exited.send_replace(true);
 }
 
+/// Writes the head of a stream and its events, from the one after `Last-Event-ID` up to
+/// `last`.
 async fn write_events(
-    out: &mut Answering<'_>,
+    out: &mut AnswerWriter<'_>,
     request: &SeenRequest,
     last: u32,
     pause: Duration,
@@ -203,7 +214,7 @@
     Ok(())
 }
 
-/// One event as the stand-ins write it.
+/// The text of the event with this number, as stand-in replicas write it.
 pub fn event(number: u32) -> String {
     format!("id: {number}\ndata: piece {number}\n\n")
 }
@@ -212,7 +223,7 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-fn whole(
+fn signed_answer(
     id: &str,
     status: u16,
     body: &str,
--- a/testbed/src/direct/replica_serving.rs
+++ b/testbed/src/direct/replica_serving.rs
@@ -1,9 +1,9 @@
-//! A stand-in replica's connections: each request is read and answered as it was told.
+//! The connections of a stand-in replica: reads requests and answers them as scripted.
 
 use {
     super::{
         ReplicaAnswer, SeenRequest,
-        replica_answering::{Answering, act, end, events, list},
+        replica_answering::{AnswerWriter, cache_events, cache_list, crash, write_answer},
         replica_state::ReplicaState,
     },
     std::{
@@ -18,22 +18,22 @@
     },
 };
 
-/// Takes connections until it ends.
+/// Accepts connections until the replica crashes.
 pub(super) async fn accept(
     state: Arc<ReplicaState>,
     listener: TcpListener,
 ) {
-    let mut ended = state.ended.subscribe();
+    let mut exited = state.exited.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = ended.wait_for(|ended| *ended) => return,
+            _ = exited.wait_for(|exited| *exited) => return,
         };
         let Ok((stream, _)) = accepted else {
             return;
         };
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("connection delays small pieces: {error}");
+            log::debug!("TCP_NODELAY not set: {error}");
         }
         tokio::spawn(serve(state.clone(), stream));
     }
@@ -43,16 +43,16 @@
     state: Arc<ReplicaState>,
     mut stream: TcpStream,
 ) {
-    state.open.fetch_add(1, Ordering::SeqCst);
-    state.opened.fetch_add(1, Ordering::SeqCst);
-    let mut ended = state.ended.subscribe();
+    state.open_connections.fetch_add(1, Ordering::SeqCst);
+    state.total_connections.fetch_add(1, Ordering::SeqCst);
+    let mut exited = state.exited.subscribe();
     let outcome = tokio::select! {
         outcome = serve_requests(&state, &mut stream) => outcome,
-        _ = ended.wait_for(|ended| *ended) => Ok(()),
+        _ = exited.wait_for(|exited| *exited) => Ok(()),
     };
-    state.open.fetch_sub(1, Ordering::SeqCst);
+    state.open_connections.fetch_sub(1, Ordering::SeqCst);
     if let Err(error) = outcome {
-        log::debug!("connection of a router: {error}");
+        log::debug!("connection of a router failed: {error}");
     }
 }
 
@@ -60,20 +60,20 @@
     state: &ReplicaState,
     stream: &mut TcpStream,
 ) -> io::Result<()> {
-    let mut rest = Vec::new();
-    while let Some(request) = read_request(stream, &mut rest).await? {
-        let mut out = Answering {
+    let mut buffer = Vec::new();
+    while let Some(request) = read_request(stream, &mut buffer).await? {
+        let mut out = AnswerWriter {
             stream,
-            said: state.said.lock().expect("lock").clone(),
+            extra_headers: state.extra_headers.lock().expect("lock").clone(),
         };
         if request.target == "/v1/kv-list" {
-            let wait = *state.list_after.lock().expect("lock");
-            tokio::time::sleep(wait).await;
-            out.write(&list(state)).await?;
+            let delay = *state.list_delay.lock().expect("lock");
+            tokio::time::sleep(delay).await;
+            out.write(&cache_list(state)).await?;
             continue;
         }
         if request.target.starts_with("/v1/kv-events") {
-            let answer = events(state, &request).await;
+            let answer = cache_events(state, &request).await;
             out.write(&answer).await?;
             continue;
         }
@@ -85,13 +85,13 @@
             out.write(&text).await?;
             continue;
         }
-        let rest = *state.rest_seconds.lock().expect("lock");
+        let backoff = *state.backoff_seconds.lock().expect("lock");
         let mut seen = request.clone();
-        seen.ran = rest.is_none();
+        seen.ran = backoff.is_none();
         state.seen.lock().expect("lock").push(seen);
-        if let Some(seconds) = rest {
-            out.said += &format!("Retry-After: {seconds}\r\n");
-            act(
+        if let Some(seconds) = backoff {
+            out.extra_headers += &format!("Retry-After: {seconds}\r\n");
+            write_answer(
                 &mut out,
                 &request,
                 ReplicaAnswer::NotExecuted { status: 503 },
@@ -99,41 +99,42 @@
             .await?;
             continue;
         }
-        let fatal = state.fatal.lock().expect("lock").clone();
-        let fatal = fatal.filter(|(text, _)| request.text().contains(text));
-        if let Some((_, manner)) = fatal {
-            end(state, &mut out, &request, manner).await;
+        let trigger = state.crash_trigger.lock().expect("lock").clone();
+        let trigger = trigger.filter(|(text, _)| request.text().contains(text));
+        if let Some((_, timing)) = trigger {
+            crash(state, &mut out, &request, timing).await;
             return Ok(());
         }
         let run = state.runs.fetch_add(1, Ordering::SeqCst) + 1;
-        let cuts_one_in = state.cuts_one_in.load(Ordering::SeqCst);
-        if cuts_one_in > 0 && run.is_multiple_of(cuts_one_in) {
+        let close_one_in = state.close_one_in.load(Ordering::SeqCst);
+        if close_one_in > 0 && run.is_multiple_of(close_one_in) {
             return Ok(());
         }
-        let told = state.script.lock().expect("lock").pop_front();
-        let answer = told.unwrap_or_else(|| state.usual.lock().expect("lock").clone());
-        if !act(&mut out, &request, answer).await? {
+        let scripted = state.script.lock().expect("lock").pop_front();
+        let answer = scripted.unwrap_or_else(|| state.default_answer.lock().expect("lock").clone());
+        if !write_answer(&mut out, &request, answer).await? {
             return Ok(());
         }
     }
     Ok(())
 }
 
-/// Reads one request; none at the end of the connection.
+/// Reads one request, none at the end of the connection. `buffer` holds bytes that were
+/// received but not consumed.
 async fn read_request(
     stream: &mut TcpStream,
-    rest: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
 ) -> io::Result<Option<SeenRequest>> {
     let head_end = loop {
-        if let Some(at) = rest.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
+        if let Some(at) = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
             break at;
         }
-        if stream.read_buf(rest).await? == 0 {
+        if stream.read_buf(buffer).await? == 0 {
             return Ok(None);
         }
     };
-    let head = String::from_utf8_lossy(&rest[..head_end]).into_owned();
-    rest.drain(..head_end + 4);
+    let head = String::from_utf8_lossy(&buffer[..head_end]).into_owned();
+    buffer.drain(..head_end + 4);
     let mut lines = head.lines();
     let mut words = lines.next().unwrap_or("").split(' ');
     let (method, target) = (words.next().unwrap_or(""), words.next().unwrap_or(""));
@@ -145,8 +146,8 @@
         .get("content-length")
         .and_then(|text| text.parse().ok())
         .unwrap_or(0);
-    while rest.len() < length {
-        if stream.read_buf(rest).await? == 0 {
+    while buffer.len() < length {
+        if stream.read_buf(buffer).await? == 0 {
             return Ok(None);
         }
     }
@@ -154,7 +155,7 @@
         method: method.to_owned(),
         target: target.to_owned(),
         headers,
-        body: rest.drain(..length).collect(),
+        body: buffer.drain(..length).collect(),
         arrived: Instant::now(),
         ran: true,
     }))
--- a/testbed/src/direct/replica_state.rs
+++ b/testbed/src/direct/replica_state.rs
@@ -12,23 +12,23 @@
     tokio::sync::watch,
 };
 
-/// What a stand-in replica was told, and what it got.
+/// The state of a stand-in replica: its script and faults, and what it received.
 pub(super) struct ReplicaState {
     pub id: Mutex<String>,
-    pub script: Mutex<VecDeque<ReplicaAnswer>>,
-    pub usual: Mutex<ReplicaAnswer>,
+    pub script: Mutex<VecDeque<ReplicaAnswer>>, // answers to the next requests
+    pub default_answer: Mutex<ReplicaAnswer>,   // used while the script is empty
     pub seen: Mutex<Vec<SeenRequest>>,
-    pub kept: Mutex<Vec<Value>>,     // parts of prompts, as it lists them
-    pub list_after: Mutex<Duration>, // what listing takes
-    pub events: watch::Sender<Vec<Value>>, // parts taken in and given up, all of them
-    pub events_asked: AtomicUsize,
-    pub open: AtomicUsize,                         // connections
-    pub opened: AtomicUsize,                       // connections so far
-    pub fatal: Mutex<Option<(String, EndManner)>>, // a body with this text ends it
-    pub ended: watch::Sender<bool>,
-    pub cuts_one_in: AtomicUsize, // requests; 0 is none
-    pub runs: AtomicUsize,
-    pub rest_seconds: Mutex<Option<f64>>, // all requests are turned away, and rest is asked for
-    pub list_refused: AtomicBool,         // it is turned away
-    pub said: Mutex<String>,              // header lines of all its answers
+    pub cached_parts: Mutex<Vec<Value>>, // prompt parts, as JSON of the cache list
+    pub list_delay: Mutex<Duration>,     // before the cache list is sent
+    pub cache_events: watch::Sender<Vec<Value>>, // all since the start
+    pub event_requests: AtomicUsize,     // received requests for cache events
+    pub open_connections: AtomicUsize,
+    pub total_connections: AtomicUsize, // opened since the start
+    pub crash_trigger: Mutex<Option<(String, EndManner)>>, // text of a body that crashes it
+    pub exited: watch::Sender<bool>,
+    pub close_one_in: AtomicUsize,           // requests; 0 is none
+    pub runs: AtomicUsize,                   // requests that it started to run
+    pub backoff_seconds: Mutex<Option<f64>>, // if set, all requests are refused with Retry-After
+    pub refuses_cache_requests: AtomicBool,  // for the cache list and cache events
+    pub extra_headers: Mutex<String>,        // header lines of all answers
 }
--- a/testbed/src/direct/route_text.rs
+++ b/testbed/src/direct/route_text.rs
@@ -1,4 +1,4 @@
-/// A route as the operator writes it.
+/// A route of the operator's configuration.
 #[derive(Debug, Clone)]
 pub struct RouteText {
     pub prefix: &'static str,
@@ -8,11 +8,11 @@
     pub timeout_ms: u32,
     pub resumable: bool,
     pub public: bool,
-    pub regions: &'static [&'static str], // anywhere if none
+    pub regions: &'static [&'static str], // allowed regions, all if empty
 }
 
 impl RouteText {
-    /// A route that is given up after ten seconds and sent to two replicas.
+    /// A route with a timeout of ten seconds and at most two attempts.
     pub fn new(
         prefix: &'static str,
         service: &'static str,
--- a/testbed/src/direct/seen_request.rs
+++ b/testbed/src/direct/seen_request.rs
@@ -1,18 +1,18 @@
 use std::{collections::HashMap, time::Instant};
 
-/// A request as a replica got it.
+/// A request as a replica received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SeenRequest {
     pub method: String,
     pub target: String,                   // path and query
     pub headers: HashMap<String, String>, // names in lower case
     pub body: Vec<u8>,
-    pub arrived: Instant, // whole
-    pub ran: bool,        // it was not turned away
+    pub arrived: Instant, // when it was received completely
+    pub ran: bool,        // false if it was refused
 }
 
 impl SeenRequest {
-    /// A header's text; empty if there is none.
+    /// A header's value, empty if there is none. The name is in lower case.
     pub fn header(
         &self,
         name: &str,
@@ -20,12 +20,11 @@
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// The id of the client's attempt.
+    /// The attempt id that the client set.
     pub fn id(&self) -> &str {
         self.header("archmast-attempt-id")
     }
--- a/testbed/src/direct/store.rs
+++ b/testbed/src/direct/store.rs
@@ -9,12 +9,12 @@
     tokio::sync::watch,
 };
 
-/// The stand-in of the platform's store: items by key, one revision counter,
-/// and a history that can be forgotten.
+/// The stand-in of the platform's store: items by key with one revision counter, and a
+/// history of changes that can be discarded.
 #[derive(Clone)]
 pub struct Store {
     state: Arc<Mutex<State>>,
-    changed: Arc<watch::Sender<u64>>, // the revision
+    changed: Arc<watch::Sender<u64>>, // the newest revision
 }
 
 #[derive(Default)]
@@ -22,7 +22,7 @@
     items: BTreeMap<String, Item>,
     events: Vec<Value>,
     revision: u64,
-    forgotten: u64, // events up to this revision are gone
+    forgotten: u64, // events up to this revision are discarded
 }
 
 struct Item {
@@ -40,7 +40,8 @@
 }
 
 impl Store {
-    /// Publishes a configuration in which the account has the key `key-1`.
+    /// Publishes a configuration with these routes in which the account has the key
+    /// `key-1`.
     pub fn publish(
         &self,
         version: u64,
@@ -49,7 +50,8 @@
         self.publish_config(&ConfigText::new(version, routes));
     }
 
-    /// The same, where the replicas of all services are model engines.
+    /// The same as [`Self::publish`], where the replicas of all services are model
+    /// engines.
     pub fn publish_engines(
         &self,
         version: u64,
@@ -61,8 +63,8 @@
         });
     }
 
-    /// The same, where the replicas of all services bear so many requests a second for
-    /// three seconds after a start.
+    /// The same as [`Self::publish`], where replicas of all services are limited to
+    /// `per_second` requests a second for three seconds after a start.
     pub fn publish_slow_starts(
         &self,
         version: u64,
@@ -75,7 +77,7 @@
         });
     }
 
-    /// The same with other keys.
+    /// The same as [`Self::publish`], with these API keys of the account.
     pub fn publish_with_keys(
         &self,
         version: u64,
@@ -88,7 +90,6 @@
         });
     }
 
-    /// Publishes a configuration.
     pub fn publish_config(
         &self,
         config: &ConfigText<'_>,
@@ -96,7 +97,7 @@
         self.put("op/config", &config.to_json());
     }
 
-    /// Lists a replica of the zone `z`.
+    /// Writes the entry of a replica in the zone `z`.
     pub fn list(
         &self,
         id: &str,
@@ -107,7 +108,7 @@
         self.list_in("z", id, service, address, state);
     }
 
-    /// Lists a replica.
+    /// Writes the entry of a replica in this zone.
     pub fn list_in(
         &self,
         zone: &str,
@@ -123,7 +124,8 @@
         self.put(&format!("servers/{id}"), &entry);
     }
 
-    /// Lists a replica that has just started, and is slow for this long. Gives the revision.
+    /// Writes the entry of a ready replica whose slow start lasts for this long. Returns
+    /// the entry's revision.
     pub fn list_slow(
         &self,
         zone: &str,
@@ -139,8 +141,8 @@
         self.put(&format!("servers/{id}"), &entry)
     }
 
-    /// A replica is through the start that was listed at this revision: its entry says so
-    /// from now on, unless it has changed since.
+    /// Removes the slow start from the replica's entry, unless the entry was written
+    /// again after revision `listed`.
     pub fn end_slow_start(
         &self,
         id: &str,
@@ -151,7 +153,7 @@
             let state = self.state.lock().expect("store lock");
             let item = state.items.get(&key);
             let same = item.filter(|item| item.revision == listed);
-            same.map(|item| unbase64(&item.value))
+            same.map(|item| decode_json(&item.value))
         };
         let Some(mut entry) = entry else {
             return;
@@ -160,7 +162,8 @@
         self.put(&key, &entry);
     }
 
-    /// Lists a start of a replica: one that may have started before under its id.
+    /// Writes the entry of a ready replica with its start time `born`, by which routers
+    /// distinguish successive processes with the same id.
     pub fn list_start(
         &self,
         zone: &str,
@@ -176,7 +179,7 @@
         self.put(&format!("servers/{id}"), &entry);
     }
 
-    /// Asks for a zone to be emptied.
+    /// Asks the routers to stop sending requests to a zone.
     pub fn empty_zone(
         &self,
         zone: &str,
@@ -184,7 +187,7 @@
         self.put(&format!("op/evacuate/{zone}"), &json!({}));
     }
 
-    /// Takes a zone back that was emptied.
+    /// Ends the evacuation of a zone.
     pub fn take_zone_back(
         &self,
         zone: &str,
@@ -192,7 +195,7 @@
         self.delete(&format!("op/evacuate/{zone}"));
     }
 
-    /// Takes a replica off the list.
+    /// Deletes the entry of a replica.
     pub fn remove(
         &self,
         id: &str,
@@ -200,7 +203,7 @@
         self.delete(&format!("servers/{id}"));
     }
 
-    /// Deletes an item.
+    /// Deletes the item of a key.
     pub fn delete(
         &self,
         key: &str,
@@ -217,7 +220,8 @@
         self.changed.send_replace(revision);
     }
 
-    /// Forgets all changes so far; what there is stays.
+    /// Discards the history of changes, so that older watches are answered with 410. The
+    /// items stay.
     pub fn forget_history(&self) {
         let mut state = self.state.lock().expect("store lock");
         state.forgotten = state.revision;
@@ -232,7 +236,8 @@
         self.put_bytes(key, value.to_string().as_bytes())
     }
 
-    /// Writes an item as any other writer may: any bytes, below any key. Gives the revision.
+    /// Writes an item of any content, as any other writer to the store may do. Returns its
+    /// revision.
     pub fn put_bytes(
         &self,
         key: &str,
@@ -251,6 +256,7 @@
         revision
     }
 
+    /// The answer to a read of one key.
     pub(super) fn key(
         &self,
         key: &str,
@@ -262,27 +268,29 @@
         Some(answer)
     }
 
-    /// Items below a prefix and behind a key, two a page.
+    /// A page of the items whose keys begin with `prefix` and follow `after`. Pages are
+    /// short to make readers ask for several.
     pub(super) fn range(
         &self,
         prefix: &str,
         after: &str,
     ) -> Value {
-        const PAGE: usize = 2;
+        const PAGE_ITEMS: usize = 2;
         let state = self.state.lock().expect("store lock");
         let below: Vec<_> = state
             .items
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after)
             .collect();
-        let page = below.iter().take(PAGE);
+        let page = below.iter().take(PAGE_ITEMS);
         let items: Vec<Value> = page
             .map(|(key, found)| item(key, &found.value, found.revision))
             .collect();
-        json!({"items": items, "more": below.len() > PAGE, "at": state.revision})
+        json!({"items": items, "more": below.len() > PAGE_ITEMS, "at": state.revision})
     }
 
-    /// Events after a revision; none when they are forgotten.
+    /// Changes after a revision of keys that begin with `prefix`, none if some of them
+    /// may have been discarded.
     pub(super) fn events(
         &self,
         prefix: &str,
@@ -316,7 +324,7 @@
     json!({"private_key": key, "value": value, "revision": revision, "made": revision, "lease": 0})
 }
 
-fn unbase64(value: &str) -> Value {
+fn decode_json(value: &str) -> Value {
     use base64::{Engine, engine::general_purpose::STANDARD};
     let bytes = STANDARD.decode(value).expect("written by this store");
     serde_json::from_slice(&bytes).expect("an entry")
--- a/testbed/src/direct/store_mode.rs
+++ b/testbed/src/direct/store_mode.rs
@@ -1,8 +1,8 @@
-/// How a port of the stand-in store answers.
+/// How a port of the stand-in store answers requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
     Well,
-    Busy,   // 503
-    Many,   // 429
-    Silent, // never
+    Busy,   // with status 503
+    Many,   // with status 429
+    Silent, // does not answer
 }
--- a/testbed/src/direct/store_port.rs
+++ b/testbed/src/direct/store_port.rs
@@ -14,9 +14,9 @@
     tokio::time::timeout,
 };
 
-/// One address of the stand-in store, with troubles of its own.
+/// One address of the stand-in store, whose faults are independent of its other ports.
 pub struct StorePort {
-    pub address: SocketAddr, // of the proxy in front
+    pub address: SocketAddr, // address of `proxy`
     pub proxy: TcpProxy,
     mode: Arc<Mutex<StoreMode>>,
     _server: BoundServer,
@@ -26,17 +26,17 @@
 type Answer = Custom<String>;
 
 impl StorePort {
-    /// Serves the store at a free port.
+    /// Serves the store on a free port.
     pub async fn start(
         ip: IpAddr,
         store: Store,
     ) -> Self {
         let mode = Arc::new(Mutex::new(StoreMode::Well));
-        let told = mode.clone();
+        let managed_mode = mode.clone();
         let build = move |config| -> Rocket<Build> {
             rocket::custom(config)
                 .manage(store)
-                .manage(told)
+                .manage(managed_mode)
                 .mount("/v1", routes![key, range, watch])
         };
         let server = bind_server(ip, build).await;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Answers like this from now on, watches that wait too.
+    /// Sets how requests are answered from now on, including watches that are waiting.
     pub fn set(
         &self,
         mode: StoreMode,
@@ -60,10 +60,11 @@
     }
 }
 
-/// The refusal that the mode asks for, if it does.
-async fn trouble(mode: &Mode) -> Option<Answer> {
-    let now = *mode.lock().expect("mode lock");
-    match now {
+/// The answer that replaces the usual one in this mode. Never returns in
+/// [`StoreMode::Silent`].
+async fn injected_answer(mode: &Mode) -> Option<Answer> {
+    let current = *mode.lock().expect("mode lock");
+    match current {
         StoreMode::Well => None,
         StoreMode::Busy => Some(Custom(Status::ServiceUnavailable, String::new())),
         StoreMode::Many => Some(Custom(Status::TooManyRequests, String::new())),
@@ -77,7 +78,7 @@
     store: &State<Store>,
     mode: &State<Mode>,
 ) -> Answer {
-    if let Some(refusal) = trouble(mode).await {
+    if let Some(refusal) = injected_answer(mode).await {
         return refusal;
     }
     match store.key(private_key) {
@@ -93,7 +94,7 @@
     store: &State<Store>,
     mode: &State<Mode>,
 ) -> Answer {
-    if let Some(refusal) = trouble(mode).await {
+    if let Some(refusal) = injected_answer(mode).await {
         return refusal;
     }
     let page = store.range(path_prefix, after_revision.unwrap_or(""));
@@ -108,11 +109,11 @@
     store: &State<Store>,
     mode: &State<Mode>,
 ) -> Answer {
-    if let Some(refusal) = trouble(mode).await {
+    if let Some(refusal) = injected_answer(mode).await {
         return refusal;
     }
     let mut changes = store.subscribe();
-    let news = async {
+    let new_events = async {
         loop {
             match store.events(path_prefix, after_revision) {
                 Some(events) if events.is_empty() => {}
@@ -123,8 +124,8 @@
             }
         }
     };
-    let found = timeout(Duration::from_millis(wait_ms), news).await;
-    if let Some(refusal) = trouble(mode).await {
+    let found = timeout(Duration::from_millis(wait_ms), new_events).await;
+    if let Some(refusal) = injected_answer(mode).await {
         return refusal;
     }
     match found {
--- a/testbed/src/load/backlog.rs
+++ b/testbed/src/load/backlog.rs
@@ -17,22 +17,22 @@
     tokio::task::JoinSet,
 };
 
-/// How often the gap is sampled.
+/// Time between two samples of the fairness gap.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Accounts that always have requests waiting.
+/// A load in which every account always has requests waiting.
 #[derive(Debug, Clone)]
 pub struct Backlog {
     pub model: String,
     pub shares: BTreeMap<String, f64>,
     pub callers: usize,     // per account, each with one request at a time
-    pub spread: Vec<usize>, // callers' proportions over the routers
-    pub median_tokens: f64, // of a request
-    pub cost_spread: f64,   // standard deviation of the cost's logarithm
+    pub spread: Vec<usize>, // relative numbers of an account's callers at the routers
+    pub median_tokens: f64, // generated tokens of a request
+    pub cost_spread: f64,   // standard deviation of the logarithm of a request's tokens
     pub seed: u64,
 }
 
-/// What the accounts got.
+/// The result of a run with backlogged accounts.
 #[derive(Debug, Clone, Serialize)]
 pub struct BacklogResult {
     pub samples: Vec<GapSample>,
@@ -45,7 +45,7 @@
 }
 
 impl BacklogResult {
-    /// The gap at the end of the run's quarter `number`, from 1.
+    /// The fairness gap at the end of a quarter of the run, numbered from 1.
     pub fn gap_at(
         &self,
         number: usize,
@@ -54,15 +54,15 @@
         self.samples.get(index).map_or(0.0, |sample| sample.gap)
     }
 
-    /// The largest gap of the run.
+    /// The largest fairness gap of the run.
     pub fn worst_gap(&self) -> f64 {
         self.samples.iter().map(|s| s.gap).fold(0.0, f64::max)
     }
 }
 
 impl Backlog {
-    /// Ten accounts of equal share, spread 6:2:1:1 as the design's trials have
-    /// it; every second account begins at another router.
+    /// Ten accounts of equal share. Each spreads its callers 6:2:1:1 over four routers,
+    /// and every account begins at another router than the one before it.
     pub fn ten_accounts(model: &str) -> Self {
         Self {
             model: model.to_owned(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Runs for `length` after `warm_up`, calling `at_each` with every sample.
+    /// Runs for `length` after `warm_up`, and calls `at_each` with every sample.
     pub async fn run(
         &self,
         fleet: &Fleet,
@@ -125,13 +125,18 @@
                 let router = self.router(number, index, fleet.routers.len());
                 let caller = fleet.caller(router, account);
                 let random = StdRng::seed_from_u64(self.seed + (number * 1000 + index) as u64);
-                callers.spawn(call_on(self.clone(), caller, random, stop.clone()));
+                callers.spawn(call_until_stopped(
+                    self.clone(),
+                    caller,
+                    random,
+                    stop.clone(),
+                ));
             }
         }
         callers
     }
 
-    /// The router of one of an account's callers.
+    /// The index of the router that a caller of an account uses.
     fn router(
         &self,
         account: usize,
@@ -139,12 +144,12 @@
         routers: usize,
     ) -> usize {
         let total: usize = self.spread.iter().sum();
-        let mut place = caller * total / self.callers;
+        let mut position = caller * total / self.callers;
         for (router, weight) in self.spread.iter().enumerate() {
-            if place < *weight {
+            if position < *weight {
                 return (router + account) % routers;
             }
-            place -= weight;
+            position -= weight;
         }
         account % routers
     }
@@ -169,7 +174,8 @@
     }
 }
 
-async fn call_on(
+/// Sends one request after the other until `stop` is set.
+async fn call_until_stopped(
     load: Backlog,
     caller: Caller,
     mut random: StdRng,
@@ -188,6 +194,7 @@
     outcomes
 }
 
+/// Control bytes sent by all processes since their start.
 async fn control_bytes(fleet: &Fleet) -> u64 {
     let mut sum = 0;
     for operator in fleet.operators() {
--- a/testbed/src/load/gap_meter.rs
+++ b/testbed/src/load/gap_meter.rs
@@ -1,16 +1,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The largest difference in service per share between two accounts, counted
-/// while both are backlogged. It starts anew when either is not.
+/// Measures the fairness gap: the largest difference in service per share that two
+/// accounts accumulate while both are backlogged. A pair's difference restarts at zero
+/// when either account is not backlogged.
 #[derive(Debug, Clone, Default)]
 pub struct GapMeter {
-    since: BTreeMap<(String, String), f64>, // difference when both became backlogged
-    pub worst: f64,
+    since: BTreeMap<(String, String), f64>, // a pair's difference when both became backlogged
+    pub worst: f64,                         // largest gap of all observations
 }
 
 impl GapMeter {
-    /// Takes in each account's service per share so far, and which are
-    /// backlogged now. Gives the largest gap at this moment.
+    /// Records each account's service per share since the start and the accounts that are
+    /// backlogged now. Returns the present gap.
     pub fn observe(
         &mut self,
         per_share: &BTreeMap<String, f64>,
--- a/testbed/src/load/mod.rs
+++ b/testbed/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Load: accounts that are always backlogged, and recorded traces.
+//! Load generation: backlogged accounts and replayed traces, and the fairness measured
+//! under them.
 
 mod backlog;
 mod cost;
--- a/testbed/src/load/replay.rs
+++ b/testbed/src/load/replay.rs
@@ -15,35 +15,35 @@
     tokio::task::JoinSet,
 };
 
-/// How often the gap is sampled.
+/// Time between two samples of the fairness gap.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What became of a class's requests.
+/// The outcomes of the requests of a traffic class.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ClassResult {
     pub requests: u64,
     pub whole: u64,
-    pub in_patience: u64, // whole, and begun within the class's patience
-    pub not_run: u64,
-    pub other: u64, // cut, unknown, no answer
-    pub wrong: u64,
+    pub in_patience: u64, // complete, with the first byte within the class's patience
+    pub not_run: u64,     // refused with the statement that they did not run
+    pub other: u64,       // truncated, not answered, or refused but possibly run
+    pub wrong: u64,       // with missing or foreign content
 }
 
-/// One replay of a trace.
+/// The result of replaying a trace.
 #[derive(Debug, Clone, Serialize)]
 pub struct ReplayResult {
     pub classes: BTreeMap<String, ClassResult>,
-    pub gaps: Vec<(f64, f64)>, // seconds and largest gap then
+    pub gaps: Vec<(f64, f64)>, // seconds since the start, and the fairness gap then
     pub worst_gap: f64,
-    pub service: BTreeMap<String, f64>, // per share, by account, at the end
-    pub utilisation: f64,               // while work waited, by the sidecars' clocks
-    pub router_control: f64,            // bytes a second
-    pub sidecar_control: f64,           // bytes a second
-    pub doubled: u64,                   // requests that may not be repeated and ran twice
+    pub service: BTreeMap<String, f64>, // tokens per share, by account, at the end
+    pub utilisation: f64,               // of slots while requests waited, as the sidecars report it
+    pub router_control: f64,            // control bytes a second, mean per router
+    pub sidecar_control: f64,           // control bytes a second, mean per sidecar
+    pub doubled: u64, // plain calls that ran twice although they may not be repeated
 }
 
-/// Replays a trace on a fleet that is ready. `at_each` sees how many requests
-/// have ended.
+/// Replays a trace on a fleet that is ready. `at_each` is called with the number of
+/// completed requests.
 pub async fn replay(
     fleet: &Fleet,
     deployment: &Deployment,
@@ -138,18 +138,19 @@
     requests
 }
 
-/// Accounts come to routers unevenly: most of each one's requests to one.
+/// Assigns a request to a router. Three in five requests of an account go to the same
+/// router, the others in turn to all, so that the routers' loads differ by account.
 fn router_of(
     number: usize,
     account: &str,
     routers: usize,
 ) -> usize {
-    let home = account.bytes().map(usize::from).sum::<usize>();
-    let elsewhere = if number % 5 < 3 { 0 } else { number };
-    (home + elsewhere) % routers
+    let main_router = account.bytes().map(usize::from).sum::<usize>();
+    let offset = if number % 5 < 3 { 0 } else { number };
+    (main_router + offset) % routers
 }
 
-/// Accounts with requests waiting at routers.
+/// The accounts that have requests waiting at any router.
 async fn backlogged(fleet: &Fleet) -> BTreeSet<String> {
     let mut waiting = BTreeSet::new();
     for router in &fleet.routers {
@@ -162,6 +163,7 @@
     waiting
 }
 
+/// Busy slot time divided by slot time while requests waited, since the sidecars started.
 async fn contended_utilisation(fleet: &Fleet) -> f64 {
     let (mut busy, mut time) = (0, 0);
     for sidecar in &fleet.sidecars {
@@ -173,7 +175,7 @@
     busy as f64 / (time as f64).max(1.0)
 }
 
-/// Plain calls that ran more than once; none of them may.
+/// Number of plain calls that ran more than once. None of them may be repeated.
 fn doubled(fleet: &Fleet) -> u64 {
     fleet
         .sidecars
--- a/testbed/src/load/sample.rs
+++ b/testbed/src/load/sample.rs
@@ -7,31 +7,32 @@
     },
 };
 
-/// Service per share of each account at one moment, as the upstreams saw it.
+/// Tokens per share that each account received up to one moment, as counted by the
+/// stand-in upstreams.
 #[derive(Debug, Clone, Serialize)]
 pub struct GapSample {
-    pub seconds: f64, // since the begin
-    pub per_share: BTreeMap<String, f64>,
-    pub gap: f64, // largest difference
+    pub seconds: f64,                     // since the sampler's start
+    pub per_share: BTreeMap<String, f64>, // since the sampler's start
+    pub gap: f64,                         // between the largest and the smallest of them
 }
 
-/// Takes samples of a fleet's upstreams.
+/// Takes samples of the service and utilisation of a fleet's upstreams.
 pub struct Sampler {
-    begun: Instant,
+    started: Instant,
     shares: BTreeMap<String, f64>,
-    service_before: BTreeMap<String, f64>,
-    busy_before: Duration,
-    slots: usize,
+    service_before: BTreeMap<String, f64>, // tokens by account, at the start
+    busy_before: Duration,                 // slot time, at the start
+    slots: usize,                          // of all upstreams
 }
 
 impl Sampler {
-    /// Begins to count now, for accounts with these shares.
+    /// Starts to count now, for accounts with these shares.
     pub fn begin(
         fleet: &Fleet,
         shares: &BTreeMap<String, f64>,
     ) -> Self {
         Self {
-            begun: Instant::now(),
+            started: Instant::now(),
             shares: shares.clone(),
             service_before: service(fleet, shares),
             busy_before: busy(fleet),
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The accounts' service per share since the begin.
+    /// The accounts' service per share since the start.
     pub fn sample(
         &self,
         fleet: &Fleet,
@@ -55,23 +56,23 @@
         let most = per_share.values().copied().fold(f64::MIN, f64::max);
         let least = per_share.values().copied().fold(f64::MAX, f64::min);
         GapSample {
-            seconds: self.begun.elapsed().as_secs_f64(),
+            seconds: self.started.elapsed().as_secs_f64(),
             per_share,
             gap: most - least,
         }
     }
 
-    /// Busy slot time by slot time since the begin.
+    /// Busy slot time divided by slot time since the start.
     pub fn utilisation(
         &self,
         fleet: &Fleet,
     ) -> f64 {
         let busy = (busy(fleet) - self.busy_before).as_secs_f64();
-        busy / (self.begun.elapsed().as_secs_f64() * self.slots as f64)
+        busy / (self.started.elapsed().as_secs_f64() * self.slots as f64)
     }
 }
 
-/// Tokens sent by the upstreams, by account.
+/// Tokens sent by all upstreams since their start, by account.
 fn service(
     fleet: &Fleet,
     shares: &BTreeMap<String, f64>,
--- a/testbed/src/load/trace.rs
+++ b/testbed/src/load/trace.rs
@@ -4,37 +4,37 @@
     std::{fmt::Write, time::Duration},
 };
 
-/// The column layout: the published one of public LLM inference traces, with
-/// the client account and the kind of work added.
+/// Header line of a trace file: the columns of public LLM inference traces, and in
+/// addition the client account and the traffic class.
 pub const COLUMNS: &str = "TIMESTAMP,ContextTokens,GeneratedTokens,Account,Class";
 
-/// The day that made traces are dated at.
-const DAY: &str = "2026-11-16 18:00:";
+/// Date, hour and minute of all timestamps in generated traces.
+const TIMESTAMP_PREFIX: &str = "2026-11-16 18:00:";
 
-/// One recorded request.
+/// One request of a trace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TraceRow {
-    pub at: Duration, // since the first row
+    pub at: Duration, // time since the first row
     pub context_tokens: u32,
     pub generated_tokens: u32, // 0 for a plain call
     pub account: String,
     pub class: String,
 }
 
-/// Why a trace cannot be read: the line, counted from 1.
+/// The number of a line that cannot be read, counted from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TraceError(pub usize);
 
-/// How much of which work an account sends in a made trace.
+/// The requests that an account sends in one traffic class of a generated trace.
 #[derive(Debug, Clone, Copy)]
 pub struct TraceSource {
     pub account: &'static str,
     pub class: &'static str,
-    pub per_second: f64,    // requests, as a Poisson process
-    pub median_tokens: f64, // generated, lognormal; 0 for plain calls
+    pub per_second: f64,    // mean rate of requests
+    pub median_tokens: f64, // generated tokens of a request; 0 for plain calls
 }
 
-/// Reads a recorded trace.
+/// Parses the text of a trace file.
 pub fn read_trace(text: &str) -> Result<Vec<TraceRow>, TraceError> {
     let mut rows: Vec<TraceRow> = Vec::new();
     let mut first = None;
@@ -49,8 +49,8 @@
     Ok(rows)
 }
 
-/// Makes a trace: each source is a Poisson process with lognormal sizes. The
-/// same seed makes the same trace.
+/// Generates the text of a trace file in which each source is a Poisson process with
+/// lognormal numbers of tokens. The same seed gives the same trace.
 pub fn make_trace(
     sources: &[TraceSource],
     seconds: f64,
@@ -77,7 +77,7 @@
     rows.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut text = format!("{COLUMNS}\n");
     for (at, rest) in rows {
-        writeln!(text, "{DAY}{at:010.7},{rest}").expect("a string takes all");
+        writeln!(text, "{TIMESTAMP_PREFIX}{at:010.7},{rest}").expect("a string takes all");
     }
     text
 }
@@ -95,7 +95,8 @@
     fields.next().is_none().then_some((seconds, row))
 }
 
-/// The time in `2023-11-16 18:15:46.6805900`; traces do not pass midnight.
+/// Seconds since midnight of a timestamp like `2023-11-16 18:15:46.6805900`. The date is
+/// ignored, since no trace passes midnight.
 fn seconds_of_day(timestamp: &str) -> Option<f64> {
     let (_, time) = timestamp.split_once(' ')?;
     let mut parts = time.split(':');
--- a/testbed/src/measure/ahead.rs
+++ b/testbed/src/measure/ahead.rs
@@ -13,16 +13,17 @@
     tokio::task::JoinSet,
 };
 
-/// How busy slots are while work waits, by the sidecar's own clock.
+/// Utilisation with a number of requests that a sidecar grants ahead of free slots.
 #[derive(Debug, Clone, Serialize)]
 pub struct AheadResult {
     pub ahead: u32,
-    pub utilisation: f64, // busy slot time by slot time while work waits
+    pub utilisation: f64, // busy slot time divided by slot time, while requests wait
     pub calls_per_second: f64,
-    pub declined_grants: f64, // by grants issued, as bytes of declines by grants
+    pub declined_grants: f64, // bytes of declining messages divided by bytes of grants
 }
 
-/// Plain calls of 20 ms at 1 ms one way, all demand at one router.
+/// Measures plain calls of 20 ms that all arrive at one router, with a delay of 1 ms in
+/// each direction between routers and sidecars.
 pub async fn measure_ahead(
     ahead: u32,
     seconds: u64,
@@ -68,9 +69,9 @@
 }
 
 struct Usage {
-    busy: u64, // slot milliseconds while work waited
-    time: u64, // slot milliseconds while work waited, busy or not
-    bytes: BTreeMap<String, u64>,
+    busy: u64,                    // busy slot milliseconds while requests waited
+    time: u64,                    // all slot milliseconds while requests waited
+    bytes: BTreeMap<String, u64>, // control bytes sent, by kind of message
 }
 
 async fn usage(fleet: &Fleet) -> Usage {
--- a/testbed/src/measure/control.rs
+++ b/testbed/src/measure/control.rs
@@ -5,23 +5,23 @@
     std::{collections::BTreeMap, time::Instant},
 };
 
-/// Control bytes sent by each process at one moment.
+/// The control bytes that each process had sent at one moment since its start.
 pub struct ControlSnapshot {
     taken: Instant,
-    bytes: BTreeMap<String, (HostRole, BTreeMap<String, u64>)>, // by host, by kind
+    bytes: BTreeMap<String, (HostRole, BTreeMap<String, u64>)>, // by host, by kind of message
 }
 
-/// Control bytes a second, the mean over the processes of each role.
+/// Control bytes sent a second, as the mean over the processes of each role.
 #[derive(Debug, Clone, Serialize)]
 pub struct ControlResult {
-    pub router: BTreeMap<String, f64>, // by kind of message
-    pub sidecar: BTreeMap<String, f64>,
+    pub router: BTreeMap<String, f64>,  // by kind of message
+    pub sidecar: BTreeMap<String, f64>, // by kind of message
     pub router_total: f64,
     pub sidecar_total: f64,
-    pub busiest: f64, // of all processes
+    pub busiest: f64, // the largest of all processes
 }
 
-/// Notes what has been sent so far.
+/// Reads the control bytes of all processes that answer.
 pub async fn control_snapshot(fleet: &Fleet) -> ControlSnapshot {
     let mut bytes = BTreeMap::new();
     for operator in fleet.operators() {
@@ -35,7 +35,7 @@
     }
 }
 
-/// What was sent between two snapshots.
+/// The rates between two snapshots.
 pub fn control_since(
     before: &ControlSnapshot,
     after: &ControlSnapshot,
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -1,7 +1,8 @@
-//! What single steps of a router cost: a choice, an account's standing, a report.
+//! Time that single steps of a router's decisions take: choosing a replica, an account's
+//! share status, encoding and decoding a report.
 //!
-//! Real time of this machine, one thread, without sockets: to compare steps and
-//! sizes with each other.
+//! Wall-clock time of one thread on the current machine, without sockets. It serves to
+//! compare steps and fleet sizes with each other.
 
 use {
     archmast::{
@@ -25,19 +26,19 @@
     },
 };
 
-/// How often each step is taken.
-const TIMES: u32 = 2000;
+/// Number of repetitions of each step.
+const REPETITIONS: u32 = 2000;
 
 /// Availability zones of the fleets measured.
 const ZONES: usize = 5;
 
-/// Parts of prompts that the replicas are believed to keep, in turn.
-const KEPT: u64 = 2000;
+/// Number of cached prompt parts, assigned to the replicas in turn.
+const CACHED_PARTS: u64 = 2000;
 
 const NOW: Duration = Duration::from_secs(100);
-const AIM: Duration = Duration::from_millis(600);
-const WINDOW: Duration = Duration::from_secs(3);
-const AGE: Duration = Duration::from_secs(1);
+const TARGET_LATENCY: Duration = Duration::from_millis(600);
+const SHARE_WINDOW: Duration = Duration::from_secs(3);
+const REPORT_AGE: Duration = Duration::from_secs(1); // after which reports no longer count
 
 const ENGINE: EngineSpec = EngineSpec {
     kv_capacity_tokens: 232_000,
@@ -46,7 +47,7 @@
     can_transfer_kv: true,
 };
 
-/// How many there are of everything.
+/// The size of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetScale {
     pub routers: usize,
@@ -54,40 +55,41 @@
     pub accounts: u32,
 }
 
-/// What steps cost in a fleet of some size, in microseconds each.
+/// Mean time of each step in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct StepCosts {
-    pub choice: f64,      // of a replica, for a prompt
-    pub standing: f64,    // of an account
-    pub report_made: f64, // by a router that has something at every replica of its zone
-    pub report_read: f64, // the same, decoded and taken in
-    pub report_bytes: usize,
+    pub choice: f64,         // choosing a replica for a prompt
+    pub standing: f64,       // computing an account's share status
+    pub report_made: f64,    // encoding a report of load at every replica of one zone
+    pub report_read: f64,    // decoding that report and applying it
+    pub report_bytes: usize, // size of that report
 }
 
 /// Measures the steps.
 pub fn step_costs(scale: FleetScale) -> StepCosts {
-    let mut board = full_board(scale);
-    let prompts: Vec<PromptShape> = (0..u64::from(TIMES)).map(prompt).collect();
+    let mut table = loaded_table(scale);
+    let prompts: Vec<PromptShape> = (0..u64::from(REPETITIONS)).map(prompt).collect();
     let choice = mean_us(|step| {
         let prompt = &prompts[step as usize];
-        std::hint::black_box(board.choose(NOW, &request(prompt)));
+        std::hint::black_box(table.choose(NOW, &request(prompt)));
     });
-    let mut book = full_book(scale);
+    let mut tracker = loaded_tracker(scale);
     let standing = mean_us(|step| {
         let account = step % scale.accounts;
-        // The sum of what others told is made anew every 20 ms, some 50 requests.
+        // The tracker recomputes the sum of the peers' usage every 20 ms. At 400 us per
+        // request, that is once in 50 requests.
         let now = NOW + Duration::from_micros(400) * step;
-        std::hint::black_box(book.account_share(now, account, 100.0));
+        std::hint::black_box(tracker.account_share(now, account, 100.0));
     });
     let report_made = mean_us(|_| {
-        std::hint::black_box(encoded(&board));
+        std::hint::black_box(encoded_report(&table));
     });
-    let datagrams = encoded(&board);
+    let datagrams = encoded_report(&table);
     let report_read = mean_us(|step| {
         for datagram in &datagrams {
             let message = decode_payload(datagram).expect("just encoded");
             if let PeerMessage::Report(report) = message {
-                board.apply_reports(NOW, router(step), &report.body.replicas);
+                table.apply_reports(NOW, router(step), &report.body.replicas);
             }
         }
     });
@@ -100,18 +102,21 @@
     }
 }
 
+/// Mean time of a step in microseconds. The step gets the number of the repetition.
 fn mean_us(mut step: impl FnMut(u32)) -> f64 {
     let started = Instant::now();
-    (0..TIMES).for_each(&mut step);
-    started.elapsed().as_secs_f64() * 1e6 / f64::from(TIMES)
+    (0..REPETITIONS).for_each(&mut step);
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(REPETITIONS)
 }
 
+/// A prompt of three parts: one that many requests share, one that is cached at some
+/// replica, and one of its own.
 fn prompt(number: u64) -> PromptShape {
     let part = |id, tokens| PromptPart { id, tokens };
     PromptShape {
         parts: vec![
             part(number % 4, 2500),
-            part(10 + number % KEPT, 3800),
+            part(10 + number % CACHED_PARTS, 3800),
             part(1_000_000 + number, 2900),
         ],
         output_tokens: 50,
@@ -124,7 +129,7 @@
         zone: "zone-0",
         engine: Some(ENGINE),
         prompt: Some(prompt),
-        target_latency: AIM,
+        target_latency: TARGET_LATENCY,
         target_pause: None,
         standing: ShareStatus::Within,
         tried: &[],
@@ -132,9 +137,10 @@
     }
 }
 
-/// A board on which every replica of the fleet has work of routers and of zones.
-fn full_board(scale: FleetScale) -> ReplicaTable {
-    let mut board = ReplicaTable::new(PlacementSettings::default());
+/// A replica table in which every replica has load reported by the routers of the same
+/// zone and by the other zones.
+fn loaded_table(scale: FleetScale) -> ReplicaTable {
+    let mut table = ReplicaTable::new(PlacementSettings::default());
     let ids: Vec<String> = (0..scale.replicas)
         .map(|number| format!("i-{number:08x}"))
         .collect();
@@ -150,31 +156,31 @@
             slow_start_remaining: Duration::ZERO,
         })
     });
-    board.set_entries(Duration::ZERO, entries.collect());
+    table.set_entries(Duration::ZERO, entries.collect());
     let fleet = FleetSize {
         in_zone: scale.routers / ZONES,
         total: scale.routers,
     };
-    board.set_reporting(Duration::from_millis(100), fleet);
-    let loads: Vec<ReplicaReport> = ids.iter().map(|id| load(id)).collect();
+    table.set_reporting(Duration::from_millis(100), fleet);
+    let loads: Vec<ReplicaReport> = ids.iter().map(|id| load_report(id)).collect();
     for number in 1..fleet.in_zone as u32 {
-        board.apply_reports(NOW, router(number), &loads);
+        table.apply_reports(NOW, router(number), &loads);
     }
     for zone in 1..ZONES as u32 {
-        board.apply_reports(NOW, other_zone(zone), &loads);
+        table.apply_reports(NOW, other_zone(zone), &loads);
     }
-    for part in 0..KEPT {
-        let note = PartPlacement {
+    for part in 0..CACHED_PARTS {
+        let placement = PartPlacement {
             start_hash: name_hash(&ids[part as usize % ids.len()]),
             part: 10 + part,
             shared: true,
         };
-        board.apply_placements(NOW, ReporterScope::Zone, &[note]);
+        table.apply_placements(NOW, ReporterScope::Zone, &[placement]);
     }
-    board
+    table
 }
 
-fn load(id: &str) -> ReplicaReport {
+fn load_report(id: &str) -> ReplicaReport {
     let load = Load {
         running: 1,
         prefill_tokens: 60,
@@ -204,8 +210,9 @@
     }
 }
 
-fn full_book(scale: FleetScale) -> ShareTracker {
-    let mut book = ShareTracker::new(WINDOW, AGE + WINDOW);
+/// A share tracker that has usage of every account, reported by all peers.
+fn loaded_tracker(scale: FleetScale) -> ShareTracker {
+    let mut tracker = ShareTracker::new(SHARE_WINDOW, REPORT_AGE + SHARE_WINDOW);
     let usage: Vec<(u32, AccountUsage)> = (0..scale.accounts)
         .map(|account| {
             let usage = AccountUsage {
@@ -216,24 +223,23 @@
         })
         .collect();
     for number in 1..(scale.routers / ZONES) as u32 {
-        book.apply_report(NOW, router(number), &usage);
+        tracker.apply_report(NOW, router(number), &usage);
     }
     for zone in 1..ZONES as u32 {
-        book.apply_report(NOW, other_zone(zone), &usage);
+        tracker.apply_report(NOW, other_zone(zone), &usage);
     }
-    book
+    tracker
 }
 
-/// A report of a router that has something at every replica of one zone, as
-/// datagrams.
-fn encoded(board: &ReplicaTable) -> Vec<Vec<u8>> {
-    let replicas = board.zone_reports(NOW).into_iter().step_by(ZONES).collect();
-    let figures = ReportBody {
-        replicas: SentReports::default().replicas(NOW, AGE, replicas),
+/// The datagrams of a router's report of its load at every replica of one zone.
+fn encoded_report(table: &ReplicaTable) -> Vec<Vec<u8>> {
+    let replicas = table.zone_reports(NOW).into_iter().step_by(ZONES).collect();
+    let body = ReportBody {
+        replicas: SentReports::default().replicas(NOW, REPORT_AGE, replicas),
         ..ReportBody::default()
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    let reports = figures.cut().into_iter().map(|figures| {
+    let reports = body.cut().into_iter().map(|body| {
         PeerMessage::Report(RouterReport {
             address,
             update_address: address,
@@ -246,7 +252,7 @@
             millicores: 90,
             is_store_unavailable: false,
             version: CatalogVersion::default(),
-            body: figures,
+            body,
         })
     });
     reports
--- a/testbed/src/measure/latency.rs
+++ b/testbed/src/measure/latency.rs
@@ -6,10 +6,10 @@
     std::time::{Duration, Instant},
 };
 
-/// Calls of each kind.
+/// Number of calls on each path.
 const CALLS: usize = 500;
 
-/// What going through the fleet adds to a call, in milliseconds.
+/// The latency of calls sent directly and through the fleet, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct LatencyResult {
     pub direct_median: f64,
@@ -19,8 +19,8 @@
     pub through_p95: f64,
 }
 
-/// Calls a plain service directly and through an idle fleet, in turn. No delay
-/// is added between the processes.
+/// Calls a plain service alternately directly and through an idle fleet, without an added
+/// delay between the processes.
 pub async fn measure_latency() -> LatencyResult {
     let text = FleetText::default()
         .class("chat", "20 s")
--- a/testbed/src/measure/mod.rs
+++ b/testbed/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements on running fleets, each beside its baseline.
+//! Measurements on running fleets, most of them compared with a baseline.
 
 mod ahead;
 mod control;
--- a/testbed/src/measure/prefix.rs
+++ b/testbed/src/measure/prefix.rs
@@ -16,19 +16,21 @@
     tokio::task::JoinSet,
 };
 
-/// Prompt prefixes of each account; each engine caches fewer than there are.
+/// Number of prompt prefixes of each account, and capacity of each engine's cache, which
+/// therefore cannot hold the prefixes of all accounts.
 const PREFIXES: usize = 6;
 
-/// Prefix cache hits, and the gap they cost.
+/// The ratio of prefix cache hits, and the fairness gap at which it is reached.
 #[derive(Debug, Clone, Serialize)]
 pub struct PrefixResult {
-    pub slack: String, // the setting
+    pub slack: String, // value of the setting `dispatch.prefix_slack`
     pub hit_ratio: f64,
-    pub gap: f64, // tokens per share at the end
+    pub gap: f64, // fairness gap at the end, in tokens per share
     pub tokens_per_second: f64,
 }
 
-/// Four accounts with six prefixes each on four engines that cache six.
+/// Measures four accounts with six prefixes each, on four engines that cache six prefixes
+/// each.
 pub async fn measure_prefix(
     slack: &str,
     seconds: u64,
@@ -69,9 +71,9 @@
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
     let sampler = Sampler::begin(&fleet, &shares);
-    let before = hits(&fleet);
+    let before = cache_counts(&fleet);
     tokio::time::sleep(Duration::from_secs(seconds)).await;
-    let after = hits(&fleet);
+    let after = cache_counts(&fleet);
     let sample = sampler.sample(&fleet);
     stop.store(true, Ordering::Relaxed);
     callers.join_all().await;
@@ -84,7 +86,8 @@
     }
 }
 
-fn hits(fleet: &Fleet) -> (u64, u64) {
+/// Prefix cache hits and misses of all engines.
+fn cache_counts(fleet: &Fleet) -> (u64, u64) {
     fleet
         .sidecars
         .iter()
--- a/testbed/src/measure/process_usage.rs
+++ b/testbed/src/measure/process_usage.rs
@@ -1,15 +1,15 @@
 use std::{fs, time::Instant};
 
-/// What a process has used, as the kernel counts it.
+/// Processor time and memory of a process, as the kernel reports them.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessUsage {
     taken: Instant,
     cpu_seconds: f64,
-    pub resident_mb: f64,
+    pub resident_mb: f64, // MiB
 }
 
 impl ProcessUsage {
-    /// Reads a process's usage, 0 where it is gone.
+    /// Reads the usage of a process, 0 if it has exited.
     pub fn of(id: u32) -> Self {
         Self {
             taken: Instant::now(),
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Processor seconds used since an earlier reading.
+    /// Processor time used since an earlier reading, in seconds.
     pub fn cpu_since(
         &self,
         earlier: &Self,
@@ -26,7 +26,7 @@
         self.cpu_seconds - earlier.cpu_seconds
     }
 
-    /// The share of a core used since an earlier reading.
+    /// Mean number of processor cores used since an earlier reading.
     pub fn core_share_since(
         &self,
         earlier: &Self,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Time on a processor, summed over the threads that live.
+/// Processor time in seconds, summed over the threads that still run.
 fn cpu_seconds(id: u32) -> Option<f64> {
     let mut nanoseconds = 0.0;
     for thread in fs::read_dir(format!("/proc/{id}/task")).ok()? {
--- a/testbed/src/measure/request_costs.rs
+++ b/testbed/src/measure/request_costs.rs
@@ -1,4 +1,4 @@
-//! Processor time that a router takes for requests, by what becomes of them.
+//! Processor time that a router takes for a request, by the kind of its answer.
 
 use {
     super::ProcessUsage,
@@ -6,24 +6,24 @@
     std::time::Duration,
 };
 
-/// Connections that are kept for all requests, one request at a time each.
+/// Number of client connections, each with one request at a time.
 const CONNECTIONS: usize = 8;
 
-/// Bytes of a body: some 9,000 prompt tokens, a byte each.
-const BODY: usize = 9200;
+/// Length of a body: some 9,000 prompt tokens of one byte each.
+const BODY_BYTES: usize = 9200;
 
-/// Events of a stream.
+/// Number of events in a streamed answer.
 const EVENTS: u32 = 7;
 
-/// Processor time a request, in microseconds.
+/// Processor time of the router per request, in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestCosts {
-    pub streamed: f64, // a prompt, answered by a stream
-    pub plain: f64,    // answered whole
-    pub refused: f64,  // turned away before anything was chosen for it
+    pub streamed: f64, // a prompt that is answered by an event stream
+    pub plain: f64,    // a GET that is answered by one body
+    pub refused: f64,  // a request without a route, refused before a replica is chosen
 }
 
-/// Measures one router with two replicas, with so many requests of each kind.
+/// Measures one router with two replicas, with `requests` requests of each kind.
 pub async fn request_costs(requests: usize) -> RequestCosts {
     let stream = ReplicaAnswer::Events {
         last: EVENTS,
@@ -32,7 +32,7 @@
     let chat = RouteText::new("/chat/", "s", "streaming");
     let plain = RouteText::new("/plain/", "s", "idempotent");
     let (fleet, replicas) = DirectFleet::with_two_replicas(stream, &[chat, plain]).await;
-    let prompt = ClientRequest::post("/chat/", "id", &"x".repeat(BODY))
+    let prompt = ClientRequest::post("/chat/", "id", &"x".repeat(BODY_BYTES))
         .header("Archmast-Deadline-Ms", "6000")
         .header("Archmast-Model", "m")
         .header("Archmast-Token-Count", "9200,50")
@@ -43,8 +43,8 @@
     }
     let get = ClientRequest::get("/plain/", "id");
     let plain = cost(&fleet, &get, 200, requests).await;
-    let elsewhere = ClientRequest::post("/none/", "id", &"x".repeat(BODY));
-    let refused = cost(&fleet, &elsewhere, 404, requests).await;
+    let unrouted = ClientRequest::post("/none/", "id", &"x".repeat(BODY_BYTES));
+    let refused = cost(&fleet, &unrouted, 404, requests).await;
     RequestCosts {
         streamed,
         plain,
@@ -52,6 +52,7 @@
     }
 }
 
+/// Microseconds per request, after a warm-up with a tenth of the requests.
 async fn cost(
     fleet: &DirectFleet,
     request: &ClientRequest,
@@ -59,13 +60,13 @@
     requests: usize,
 ) -> f64 {
     let router = fleet.routers[0].id();
-    call_often(fleet, request, status, requests / 10).await;
+    send_requests(fleet, request, status, requests / 10).await;
     let before = ProcessUsage::of(router);
-    call_often(fleet, request, status, requests).await;
+    send_requests(fleet, request, status, requests).await;
     ProcessUsage::of(router).cpu_since(&before) * 1e6 / requests as f64
 }
 
-async fn call_often(
+async fn send_requests(
     fleet: &DirectFleet,
     request: &ClientRequest,
     status: u16,
--- a/testbed/src/measure/revision_time.rs
+++ b/testbed/src/measure/revision_time.rs
@@ -8,19 +8,20 @@
     std::time::{Duration, Instant},
 };
 
-/// Changes published for each figure.
+/// Number of published changes with an unlimited platform; a quarter of it is published
+/// with a limited one.
 const CHANGES: usize = 20;
 
-/// How long a published revision takes to be in force everywhere.
+/// Time from publishing a revision until all processes use it, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct RevisionResult {
     pub processes: usize,
     pub median_ms: f64,
     pub worst_ms: f64,
-    pub by_peers_worst_ms: f64, // while the platform answers two calls a second in all
+    pub by_peers_worst_ms: f64, // while the platform serves two calls a second in total
 }
 
-/// Publishes changes and waits for each to be everywhere.
+/// Publishes changes one after the other and waits until all processes use each.
 pub async fn measure_revision(plan: FleetPlan) -> RevisionResult {
     let fleet = Fleet::start(plan).await;
     let mut times = Vec::new();
--- a/testbed/src/measure/stats.rs
+++ b/testbed/src/measure/stats.rs
@@ -1,6 +1,6 @@
 use {hdrhistogram::Histogram, std::time::Duration};
 
-/// The value below which this share of the times lies, in milliseconds.
+/// The quantile `share` (0 to 1) of the times, in milliseconds.
 pub fn percentile(
     times: &[Duration],
     share: f64,
--- a/testbed/src/measure/zone_loss.rs
+++ b/testbed/src/measure/zone_loss.rs
@@ -14,18 +14,19 @@
     tokio::task::JoinSet,
 };
 
-/// What an availability zone's death does to the requests of the others.
+/// Outcomes of requests while all sidecars of one availability zone fail.
 #[derive(Debug, Clone, Serialize)]
 pub struct ZoneLossResult {
     pub requests: u64,
     pub whole: u64,
     pub not_run: u64,
     pub cut_or_unknown: u64,
-    pub runs_per_request: f64, // runs at upstreams by requests
+    pub runs_per_request: f64, // runs at upstreams divided by requests
     pub upstreams_lost: usize,
 }
 
-/// Loads every router, kills every sidecar of one zone, and goes on.
+/// Loads every router for `seconds`, kills the sidecars of zone `z1`, and continues the
+/// load for as long again.
 pub async fn measure_zone_loss(
     plan: FleetPlan,
     accounts: &[&str],
