--- a/testbed/src/command/demo.rs
+++ b/testbed/src/command/demo.rs
@@ -10,13 +10,13 @@
     std::fs,
 };
 
-/// The length of the traces that are made.
+/// Length of generated traces, in seconds.
 const TRACE_SECONDS: f64 = 8.0;
 
-/// Replays a deployment's trace with the product's order and with its
-/// baseline, and prints both beside each other.
+/// Replays a deployment's trace with sidecars granting requests in fair order and, as the
+/// baseline, in order of arrival. Prints both results side by side.
 pub async fn demo(matches: &Matches) {
-    let deployment = named(matches);
+    let deployment = selected_deployment(matches);
     println!("measuring added latency on an idle fleet");
     let latency = measure_latency().await;
     let mut runs = Vec::new();
@@ -36,7 +36,7 @@
     }
 }
 
-/// Writes both deployments' traces anew.
+/// Regenerates the trace files of both deployments. Must be run in the repository's root.
 pub fn traces() {
     for deployment in [parking(), association()] {
         let text = make_trace(deployment.sources, TRACE_SECONDS, deployment.seed);
@@ -65,7 +65,7 @@
     result
 }
 
-fn named(matches: &Matches) -> Deployment {
+fn selected_deployment(matches: &Matches) -> Deployment {
     match matches.opt_str("deployment").as_deref() {
         Some("association") => association(),
         _ => parking(),
--- a/testbed/src/command/ending.rs
+++ b/testbed/src/command/ending.rs
@@ -5,10 +5,11 @@
     std::{process::ExitCode, time::Duration},
 };
 
-/// The exit code when more was sent than is allowed.
-const BROKEN: u8 = 1;
+/// The exit code when the request reached more replicas than is allowed.
+const EXIT_FAILED: u8 = 1;
 
-/// Plays a request that ends replicas in each setting, for some seeds, one after the other.
+/// Runs every scenario of a request that crashes replicas, for each of some seeds, one
+/// after the other.
 pub async fn ending(matches: &Matches) -> ExitCode {
     let first = number(matches, "seed", 1);
     let seeds = number(matches, "seeds", 1).max(1);
@@ -19,7 +20,7 @@
             let result = ending_run(kind, seed, length).await;
             println!("{}", result.summary());
             if result.late > MOST_LATE {
-                exit = ExitCode::from(BROKEN);
+                exit = ExitCode::from(EXIT_FAILED);
             }
         }
     }
--- a/testbed/src/command/fairness.rs
+++ b/testbed/src/command/fairness.rs
@@ -9,18 +9,20 @@
     std::time::Duration,
 };
 
-/// Time until every account is backlogged and the first totals are out.
+/// Time until every account is backlogged and the processes have exchanged their first
+/// totals of service.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// Ten backlogged accounts on 20 upstreams, spread unevenly over four routers.
+/// Measures fairness with ten backlogged accounts on 20 upstreams, whose callers are
+/// spread unevenly over four routers.
 pub async fn fairness(matches: &Matches) {
     let case = matches.opt_str("case").unwrap_or("full".to_owned());
     let seconds = number(matches, "seconds", 20);
     let mut plan = fairness_plan(&case);
-    for (name, list) in [("router", true), ("sidecar", false)] {
+    for (name, is_router) in [("router", true), ("sidecar", false)] {
         for setting in matches.opt_strs(name) {
             let (key, value) = setting.split_once('=').expect("section.key=value");
-            plan = if list {
+            plan = if is_router {
                 plan.set_router(key, value)
             } else {
                 plan.set_sidecar(key, value)
@@ -41,8 +43,8 @@
     }
 }
 
-/// The fleet of the design's trials: `full`, or `rules` that bind three
-/// accounts to 12 of 20 upstreams.
+/// The fleet in which fairness is measured. With the case `rules`, three accounts are
+/// restricted to 12 of the 20 upstreams by a rule; with others, all may use all of them.
 pub fn fairness_plan(case: &str) -> FleetPlan {
     let mut text = FleetText::default()
         .class("patient", "120 s")
--- a/testbed/src/command/main.rs
+++ b/testbed/src/command/main.rs
@@ -10,38 +10,38 @@
     std::process::ExitCode,
 };
 
-const BRIEF: &str = "\
+const USAGE_TEXT: &str = "\
 archmast-testbed COMMAND [OPTIONS]
 
 Commands:
-  demo       replays a deployment of the brief, beside a baseline
-  traces     makes the deployments' traces anew
-  fairness   ten backlogged accounts: gap over time, utilisation, control bytes
-  latency    what a call through an idle fleet takes more than a direct one
-  ahead      utilisation on 20 ms calls, with and without grants ahead
+  demo       replays an example deployment's trace in fair order and in order of arrival
+  traces     regenerates the traces of the example deployments
+  fairness   ten backlogged accounts: fairness gap over time, utilisation, control bytes
+  latency    latency that an idle fleet adds to a direct call
+  ahead      utilisation with calls of 20 ms, with and without grants ahead of free slots
   prefix     prefix cache hits, with and without affinity
-  control    control bytes by kind, idle and backlogged
-  revision   time until a change of configuration is in force everywhere
-  costs      microseconds of a choice, a standing, a report and a request (--requests)
-  soak       faults at random times; what breaks a promise (--seed, --seeds, --minutes,
-             --fleet)
-  ending     a request that ends replicas, in five settings: sends that come late, and
-             harmless requests beside it (--seed, --seeds, --seconds)
-  zone-loss  what the death of an availability zone does to requests";
+  control    control bytes by kind of message, idle and backlogged
+  revision   time until all processes use a changed configuration
+  costs      microseconds per choice, share status, report and request (--requests)
+  soak       injects faults at random times and lists violated guarantees (--seed,
+             --seeds, --minutes, --fleet)
+  ending     a request that crashes replicas, in five scenarios: late arrivals of it, and
+             harmless requests at the same time (--seed, --seeds, --seconds)
+  zone-loss  outcomes of requests while an availability zone fails";
 
-/// The exit code for a wrong command line, as the product has it.
-const USAGE: u8 = 90;
+/// The exit code for an invalid command line, the same as that of the archmast programs.
+const EXIT_USAGE: u8 = 90;
 
-/// The command line.
+/// Parses the command line and runs the command.
 pub fn main() -> ExitCode {
     let options = options();
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let matches = match options.parse(&words) {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let matches = match options.parse(&arguments) {
         Ok(matches) => matches,
         Err(error) => return usage(&options, &error.to_string()),
     };
     if matches.opt_present("help") {
-        println!("{}", options.usage(BRIEF));
+        println!("{}", options.usage(USAGE_TEXT));
         return ExitCode::SUCCESS;
     }
     archmast::ops::start_logging("testbed");
@@ -70,7 +70,7 @@
         Some("ending") => return ending(matches).await,
         Some("soak") => return soak_seeds(matches).await,
         Some("zone-loss") => zone_loss(matches).await,
-        Some(other) => return usage(options, &format!("no command {other}")),
+        Some(other) => return usage(options, &format!("unknown command {other}")),
         None => return usage(options, "a command is required"),
     }
     ExitCode::SUCCESS
@@ -80,7 +80,7 @@
     let mut options = Options::new();
     options
         .optopt("", "seconds", "length of a run", "NUMBER")
-        .optopt("", "case", "full, rules or kinds", "NAME")
+        .optopt("", "case", "full or rules (fairness)", "NAME")
         .optmulti(
             "",
             "router",
@@ -93,28 +93,43 @@
             "a sidecar setting, section.key=value",
             "SETTING",
         )
-        .optopt("", "seed", "of the random costs", "NUMBER")
+        .optopt("", "seed", "seed of the random choices", "NUMBER")
         .optopt(
             "",
             "seeds",
-            "how many seeds, from --seed on (soak)",
+            "number of seeds, from --seed on (soak, ending)",
+            "NUMBER",
+        )
+        .optopt(
+            "",
+            "minutes",
+            "length of all runs together (soak)",
+            "NUMBER",
+        )
+        .optopt("", "deployment", "parking or association (demo)", "NAME")
+        .optopt("", "html", "writes an HTML page with plots (demo)", "FILE")
+        .optopt(
+            "",
+            "requests",
+            "number of requests of each kind (costs)",
             "NUMBER",
         )
-        .optopt("", "minutes", "of all seeds together (soak)", "NUMBER")
-        .optopt("", "deployment", "parking or association", "NAME")
-        .optopt("", "html", "a page with plots (demo)", "FILE")
-        .optopt("", "requests", "of each kind (costs)", "NUMBER")
         .optopt(
             "",
             "out",
-            "where logs of broken runs are written (soak)",
+            "folder for the logs of failed runs (soak)",
+            "FILE",
+        )
+        .optopt(
+            "",
+            "fleet",
+            "description of the fleet, such as those in testbed/fleets (soak)",
             "FILE",
         )
-        .optopt("", "fleet", "the fleet, as testbed/fleets (soak)", "FILE")
         .optopt(
             "",
             "other",
-            "another build of archmast-router, by which routers are replaced (soak)",
+            "another build of archmast-router, with which running routers are replaced (soak)",
             "PROGRAM",
         )
         .optflag("j", "json", "print JSON")
@@ -122,7 +137,7 @@
     options
 }
 
-/// A number given as an option, or its default.
+/// The number given as an option. The default if the option is missing or not a number.
 pub fn number(
     matches: &Matches,
     name: &str,
@@ -136,9 +151,9 @@
 
 fn usage(
     options: &Options,
-    fault: &str,
+    problem: &str,
 ) -> ExitCode {
-    eprintln!("error {USAGE}: {fault}");
-    eprintln!("{}", options.usage(BRIEF));
-    ExitCode::from(USAGE)
+    eprintln!("error {EXIT_USAGE}: {problem}");
+    eprintln!("{}", options.usage(USAGE_TEXT));
+    ExitCode::from(EXIT_USAGE)
 }
--- a/testbed/src/command/measures.rs
+++ b/testbed/src/command/measures.rs
@@ -13,13 +13,13 @@
     std::time::Duration,
 };
 
-/// Added latency over a direct call.
+/// Prints the latency that a fleet adds to a call.
 pub async fn latency() {
     print(&measure_latency().await);
 }
 
-/// Fleets whose steps are measured: a small one, a large one, three times that, and
-/// the size that the product is designed for.
+/// The fleet sizes for which steps are measured: small, large, three times as large, and
+/// the largest size that archmast is designed for.
 const FLEETS: [FleetScale; 4] = [
     fleet_scale(20, 32, 60),
     fleet_scale(100, 160, 60),
@@ -39,7 +39,8 @@
     }
 }
 
-/// What single steps of a router cost, by the size of the fleet.
+/// Prints the time of single steps of a router by fleet size, and its processor time per
+/// request.
 pub async fn costs(matches: &Matches) {
     println!("routers replicas accounts | us: choice standing report made, read | bytes");
     for scale in FLEETS {
@@ -58,41 +59,42 @@
     }
     let requests = number(matches, "requests", 4000) as usize;
     let costs = request_costs(requests).await;
-    println!("us a request at a router, kernel's part too:");
+    println!("processor time of a router, including the kernel's, in us per request:");
     println!(
         "streamed {:.0}, plain {:.0}, refused {:.0}",
         costs.streamed, costs.plain, costs.refused
     );
 }
 
-/// Utilisation with and without requests granted ahead.
+/// Prints the utilisation with and without requests granted ahead of free slots.
 pub async fn ahead(matches: &Matches) {
-    for bound in [0, 1, 8] {
-        print(&measure_ahead(bound, number(matches, "seconds", 5)).await);
+    for ahead in [0, 1, 8] {
+        print(&measure_ahead(ahead, number(matches, "seconds", 5)).await);
     }
 }
 
-/// Prefix cache hits with and without affinity.
+/// Prints the prefix cache hits with and without affinity of prompts to upstreams.
 pub async fn prefix(matches: &Matches) {
     for slack in ["0 ms", "200 ms", "1 s"] {
         print(&measure_prefix(slack, number(matches, "seconds", 10)).await);
     }
 }
 
-/// Time until a revision is in force everywhere.
+/// Prints the time from publishing a configuration until all processes use it.
 pub async fn revision() {
     print(&measure_revision(parking().plan).await);
     print(&measure_revision(association().plan).await);
 }
 
-/// What the death of an availability zone does.
+/// Prints the outcomes of requests while one availability zone fails.
 pub async fn zone_loss(matches: &Matches) {
     let accounts = ["member-1", "member-2", "member-6", "member-7"];
     let seconds = number(matches, "seconds", 5);
     print(&measure_zone_loss(association().plan, &accounts, "digester", seconds).await);
 }
 
-/// Control bytes by kind, idle and backlogged.
+/// Prints the control bytes a second by kind of message, with an idle fleet and with
+/// backlogged accounts.
 pub async fn control(matches: &Matches) {
     let seconds = Duration::from_secs(number(matches, "seconds", 10));
     let fleet = Fleet::start(super::fairness::fairness_plan("full")).await;
--- a/testbed/src/command/soak.rs
+++ b/testbed/src/command/soak.rs
@@ -10,11 +10,12 @@
     },
 };
 
-/// The exit code when a promise was broken, or a run proved nothing.
-const BROKEN: u8 = 1;
+/// The exit code when a guarantee was violated, or a run is not valid because the test
+/// program itself was delayed too much.
+const EXIT_FAILED: u8 = 1;
 
-/// Runs the fault soak for some seeds, one after the other, each for its part of
-/// the time.
+/// Runs the fault soak for each of some seeds, one after the other. The given time is
+/// divided evenly among them.
 pub async fn soak_seeds(matches: &Matches) -> ExitCode {
     let first = number(matches, "seed", 1);
     let seeds = number(matches, "seeds", 1).max(1);
@@ -36,15 +37,16 @@
         let result = soak(seed, length, &fleet).await;
         println!("{}", result.summary());
         if !result.broken.is_empty() || !result.valid {
-            exit = ExitCode::from(BROKEN);
-            tell(&result, matches.opt_str("out").as_deref());
+            exit = ExitCode::from(EXIT_FAILED);
+            report_violations(&result, matches.opt_str("out").as_deref());
         }
     }
     exit
 }
 
-/// Prints what is broken and keeps the logs where they are asked for.
-fn tell(
+/// Prints the injected faults and the violations, and writes the logs to a folder if one
+/// is given.
+fn report_violations(
     result: &SoakResult,
     folder: Option<&str>,
 ) {
--- a/testbed/src/report/demo_report.rs
+++ b/testbed/src/report/demo_report.rs
@@ -4,53 +4,53 @@
     std::fmt::Write,
 };
 
-/// How a row of the report reads its value.
-type Value = fn(&ReplayResult) -> String;
+/// Formats a row's value for one run.
+type RowValue = fn(&ReplayResult) -> String;
 
-/// A deployment replayed under one order.
+/// A deployment's trace, replayed with one order in which sidecars grant requests.
 pub struct DemoRun {
-    pub order: &'static str,
+    pub order: &'static str, // value of the setting `fairness.order`
     pub result: ReplayResult,
 }
 
-/// What a demonstration shows.
+/// The results of a demonstration.
 pub struct DemoReport {
     pub deployment: &'static str,
     pub latency: LatencyResult,
-    pub runs: Vec<DemoRun>, // the product's order first, then its baseline
+    pub runs: Vec<DemoRun>, // fair order first, then the baseline
 }
 
 impl DemoReport {
-    /// The report for a terminal.
+    /// The report as a table for a terminal, with a column for each run.
     pub fn text(&self) -> String {
         let mut text = format!("deployment {}\n\n", self.deployment);
-        let mut line = |words: std::fmt::Arguments| {
-            writeln!(text, "{words}").expect("a string takes all");
+        let mut line = |arguments: std::fmt::Arguments| {
+            writeln!(text, "{arguments}").expect("a string takes all");
         };
         line(format_args!(
             "{:<34}{}",
             "",
-            self.each(|run| format!("order = {}", run.order))
+            self.columns(|run| format!("order = {}", run.order))
         ));
         for class in self.runs[0].result.classes.keys() {
-            let row = self.each(|run| {
+            let row = self.columns(|run| {
                 let class = &run.result.classes[class];
                 format!("{} of {}", class.in_patience, class.requests)
             });
             line(format_args!(
                 "{:<34}{row}",
-                format!("{class}: whole, in patience")
+                format!("{class}: complete in patience")
             ));
         }
-        let rows: [(&str, Value); 7] = [
-            ("told not run", |r| total(r, |c| c.not_run)),
-            ("cut or unknown", |r| total(r, |c| c.other)),
+        let rows: [(&str, RowValue); 7] = [
+            ("refused, not run", |r| total(r, |c| c.not_run)),
+            ("truncated or unknown", |r| total(r, |c| c.other)),
             ("wrong answers", |r| total(r, |c| c.wrong)),
             ("ran twice", |r| r.doubled.to_string()),
             ("fairness gap, tokens per share", |r| {
                 format!("{:.0}", r.worst_gap)
             }),
-            ("utilisation while work waits", |r| {
+            ("utilisation while requests wait", |r| {
                 format!("{:.3}", r.utilisation)
             }),
             ("control B/s, router / sidecar", |r| {
@@ -60,7 +60,7 @@
         for (name, value) in rows {
             line(format_args!(
                 "{name:<34}{}",
-                self.each(|run| value(&run.result))
+                self.columns(|run| value(&run.result))
             ));
         }
         line(format_args!(
@@ -73,18 +73,19 @@
         text
     }
 
-    /// The report as a page with plots.
+    /// The report as an HTML page with plots.
     pub fn html(&self) -> String {
         html_page(self)
     }
 
-    fn each(
+    /// One text per run, padded to the width of a column.
+    fn columns(
         &self,
-        word: impl Fn(&DemoRun) -> String,
+        text: impl Fn(&DemoRun) -> String,
     ) -> String {
         self.runs
             .iter()
-            .map(|run| format!("{:<20}", word(run)))
+            .map(|run| format!("{:<20}", text(run)))
             .collect()
     }
 }
--- a/testbed/src/report/html_page.rs
+++ b/testbed/src/report/html_page.rs
@@ -1,6 +1,7 @@
 use super::{DemoReport, plot::line_plot};
 
-/// A page with the report's text and plots.
+/// An HTML page with the report's text, a plot of the fairness gaps and a table of each
+/// run's service by account.
 pub fn html_page(report: &DemoReport) -> String {
     let gaps: Vec<_> = report
         .runs
@@ -9,13 +10,13 @@
         .collect();
     let plot = line_plot("Fairness gap over time", "tokens per share", &gaps)
         .unwrap_or_else(|error| format!("<p>no plot: {error}</p>"));
-    let bars: String = report.runs.iter().map(service_table).collect();
+    let tables: String = report.runs.iter().map(service_table).collect();
     format!(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
          <title>archmast: {name}</title>\
          <style>body{{font-family:sans-serif;max-width:60em;margin:2em auto}}\
          td,th{{padding:0 1em 0 0;text-align:left}}</style></head>\n\
-         <body><h1>archmast: {name}</h1>\n<pre>{text}</pre>\n{plot}\n{bars}</body></html>\n",
+         <body><h1>archmast: {name}</h1>\n<pre>{text}</pre>\n{plot}\n{tables}</body></html>\n",
         name = report.deployment,
         text = report.text(),
     )
--- a/testbed/src/report/mod.rs
+++ b/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports of experiments: text for the terminal, a page with plots.
+//! Reports of demonstrations, as text for the terminal and as an HTML page with plots.
 
 mod demo_report;
 mod html_page;
--- a/testbed/src/report/plot.rs
+++ b/testbed/src/report/plot.rs
@@ -6,10 +6,10 @@
     std::error::Error,
 };
 
-/// A line of a plot: its name and its points.
+/// A line of a plot: its name and its points (x, y).
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// Draws lines as SVG.
+/// Draws lines over time in seconds, as SVG.
 pub fn line_plot(
     title: &str,
     y_name: &str,
