--- a/testbed/src/direct/replica.rs
+++ b/testbed/src/direct/replica.rs
@@ -169,7 +169,7 @@
     }
 
     /// Adds these headers to all further answers, in place of those set before.
-    pub fn says(
+    pub fn set_headers(
         &self,
         headers: &[(&str, &str)],
     ) {
--- a/testbed/src/fleet/fleet.rs
+++ b/testbed/src/fleet/fleet.rs
@@ -196,7 +196,7 @@
     pub fn run_counts(&self) -> std::collections::HashMap<String, usize> {
         let mut counts = std::collections::HashMap::new();
         for sidecar in &self.sidecars {
-            for (nonce, count) in sidecar.upstream.log().counts() {
+            for (nonce, count) in sidecar.upstream.log().runs_by_nonce() {
                 *counts.entry(nonce).or_default() += count;
             }
         }
@@ -207,7 +207,7 @@
     pub fn open_runs(&self) -> usize {
         self.sidecars
             .iter()
-            .map(|sidecar| sidecar.upstream.log().open())
+            .map(|sidecar| sidecar.upstream.log().running_count())
             .sum()
     }
 
--- a/testbed/src/load/replay.rs
+++ b/testbed/src/load/replay.rs
@@ -181,7 +181,7 @@
         .sidecars
         .iter()
         .filter(|sidecar| sidecar.plan.host.starts_with('p'))
-        .flat_map(|sidecar| sidecar.upstream.log().counts().into_values())
+        .flat_map(|sidecar| sidecar.upstream.log().runs_by_nonce().into_values())
         .filter(|runs| *runs > 1)
         .count() as u64
 }
--- a/testbed/src/load/sample.rs
+++ b/testbed/src/load/sample.rs
@@ -82,7 +82,7 @@
         .map(|account| (account.clone(), 0.0))
         .collect();
     for sidecar in &fleet.sidecars {
-        for (account, (tokens, _)) in sidecar.upstream.log().service() {
+        for (account, (tokens, _)) in sidecar.upstream.log().service_by_account() {
             if let Some(sum) = service.get_mut(&account) {
                 *sum += tokens as f64;
             }
@@ -95,6 +95,6 @@
     fleet
         .sidecars
         .iter()
-        .map(|sidecar| sidecar.upstream.log().busy())
+        .map(|sidecar| sidecar.upstream.log().busy_slot_time())
         .sum()
 }
--- a/testbed/src/soak/notice_inflict.rs
+++ b/testbed/src/soak/notice_inflict.rs
@@ -23,7 +23,7 @@
     ) -> Instant {
         let mut slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.replica.says(&[("Server-Leaving", "1")]);
+        slot.replica.set_headers(&[("Server-Leaving", "1")]);
         sleep(self.fleet.drain + SERVES_ON).await;
         self.note_notice(&slot, Notice::Leaves, began);
         slot.unlist(&self.store);
--- a/testbed/src/standin/engine.rs
+++ b/testbed/src/standin/engine.rs
@@ -119,12 +119,12 @@
 
 impl Drop for GeneratingRun {
     fn drop(&mut self) {
-        self.shared.log.slot(false);
+        self.shared.log.record_slot(false);
         let (finished, sent) = (self.finished, self.sent);
         self.shared.log.update(self.number, |run| {
             run.tokens = sent;
-            run.ended = finished;
-            run.dropped = !finished;
+            run.is_complete = finished;
+            run.is_cancelled = !finished;
         });
     }
 }
@@ -138,7 +138,7 @@
     ) -> Self {
         let number = shared.log.start(request_id, body.nonce(), account);
         let slot = shared.slots.clone().acquire_owned().await;
-        shared.log.slot(true);
+        shared.log.record_slot(true);
         let fault = *shared.fault.lock().expect("fault lock");
         Self {
             shared: shared.clone(),
@@ -154,8 +154,8 @@
 
     async fn respond<'r>(self) -> Response<'r> {
         match self.fault {
-            EngineFault::Late(wait) => tokio::time::sleep(wait).await,
-            EngineFault::Never => std::future::pending().await,
+            EngineFault::DelayedAnswer(wait) => tokio::time::sleep(wait).await,
+            EngineFault::NoAnswer => std::future::pending().await,
             _ => {}
         }
         self.prefill().await;
@@ -187,7 +187,7 @@
 
     fn echo(&self) -> String {
         match self.fault {
-            EngineFault::Crossed => format!("crossed-{}", self.request_id),
+            EngineFault::WrongRequestId => format!("crossed-{}", self.request_id),
             _ => self.request_id.clone(),
         }
     }
@@ -215,7 +215,7 @@
     fn into_stream(self) -> impl Stream<Item = io::Result<Bytes>> + Send {
         stream::unfold(Some(self), |run| async move {
             let mut run = run?;
-            if run.fault == EngineFault::CutAfter(run.sent) {
+            if run.fault == EngineFault::CutAfterTokens(run.sent) {
                 return Some((Err(io::ErrorKind::ConnectionAborted.into()), None));
             }
             if run.sent < run.body.max_tokens {
--- a/testbed/src/standin/engine_fault.rs
+++ b/testbed/src/standin/engine_fault.rs
@@ -5,8 +5,8 @@
 pub enum EngineFault {
     #[default]
     None,
-    Late(Duration), // waits before it answers
-    Crossed,        // returns the id of another request in x-request-id
-    CutAfter(u32),  // closes a stream after this many tokens
-    Never,          // accepts the request and never answers
+    DelayedAnswer(Duration), // waits before it answers
+    WrongRequestId,          // returns the id of another request in x-request-id
+    CutAfterTokens(u32),     // closes a stream after this many tokens
+    NoAnswer,                // accepts the request and never answers
 }
--- a/testbed/src/standin/plain_service.rs
+++ b/testbed/src/standin/plain_service.rs
@@ -75,7 +75,7 @@
     }
 
     /// Adds these headers to all further answers, in place of those set before.
-    pub fn says(
+    pub fn set_headers(
         &self,
         headers: &[(&str, &str)],
     ) {
@@ -86,7 +86,7 @@
     }
 
     /// Sets whether further calls are refused with status 503.
-    pub fn turns_away(
+    pub fn set_refusing(
         &self,
         is_refusing: bool,
     ) {
@@ -126,12 +126,12 @@
         let body = data.open(MAX_BODY).into_bytes().await;
         let body = body.map_or_else(|_| Vec::new(), |body| body.into_inner());
         let slot = self.slots.acquire().await;
-        self.log.slot(true);
+        self.log.record_slot(true);
         let time = *self.service_time.lock().expect("time lock");
         tokio::time::sleep(time).await;
-        self.log.slot(false);
+        self.log.record_slot(false);
         drop(slot);
-        self.log.update(number, |run| run.ended = true);
+        self.log.update(number, |run| run.is_complete = true);
         let answer = format!("{nonce}:{}", String::from_utf8_lossy(&body));
         Outcome::Success(
             response
--- a/testbed/src/standin/run_log.rs
+++ b/testbed/src/standin/run_log.rs
@@ -14,9 +14,9 @@
     pub nonce: String,      // set by the caller
     pub account: String,    // set by the caller
     pub started: Instant,
-    pub tokens: u32,   // sent so far
-    pub ended: bool,   // answered completely
-    pub dropped: bool, // the connection closed before the answer was complete
+    pub tokens: u32,        // sent so far
+    pub is_complete: bool,  // answered completely
+    pub is_cancelled: bool, // the connection closed before the answer was complete
 }
 
 /// Every request that reached a stand-in, as the stand-in itself recorded it. Tests
@@ -39,7 +39,7 @@
 
 impl RunLog {
     /// Records that a slot was taken, or freed.
-    pub fn slot(
+    pub fn record_slot(
         &self,
         taken: bool,
     ) {
@@ -50,7 +50,7 @@
     }
 
     /// Time that slots were busy since the start, summed over all slots.
-    pub fn busy(&self) -> Duration {
+    pub fn busy_slot_time(&self) -> Duration {
         let mut slots = self.slots.lock().expect("slot lock");
         let used = slots.1;
         slots.0.observe(self.begun.elapsed(), used, false);
@@ -58,12 +58,12 @@
     }
 
     /// Tokens sent and requests answered completely since the start, by account.
-    pub fn service(&self) -> HashMap<String, (u64, u64)> {
+    pub fn service_by_account(&self) -> HashMap<String, (u64, u64)> {
         let mut service: HashMap<String, (u64, u64)> = HashMap::new();
         for run in self.runs.lock().expect("run lock").iter() {
             let sums = service.entry(run.account.clone()).or_default();
             sums.0 += u64::from(run.tokens);
-            sums.1 += u64::from(run.ended);
+            sums.1 += u64::from(run.is_complete);
         }
         service
     }
@@ -82,8 +82,8 @@
             account: account.to_owned(),
             started: Instant::now(),
             tokens: 0,
-            ended: false,
-            dropped: false,
+            is_complete: false,
+            is_cancelled: false,
         });
         runs.len() - 1
     }
@@ -103,7 +103,7 @@
     }
 
     /// How many entries each nonce has.
-    pub fn counts(&self) -> HashMap<String, usize> {
+    pub fn runs_by_nonce(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for run in self.runs.lock().expect("run lock").iter() {
             *counts.entry(run.nonce.clone()).or_default() += 1;
@@ -112,8 +112,10 @@
     }
 
     /// Number of requests that are neither answered completely nor cancelled.
-    pub fn open(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         let runs = self.runs.lock().expect("run lock");
-        runs.iter().filter(|run| !run.ended && !run.dropped).count()
+        runs.iter()
+            .filter(|run| !run.is_complete && !run.is_cancelled)
+            .count()
     }
 }
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -180,7 +180,7 @@
         });
     }
     until("some run at the host", || {
-        fleet.sidecars[0].upstream.log().open() >= 1
+        fleet.sidecars[0].upstream.log().running_count() >= 1
     })
     .await;
     fleet.publish_state("m1", HostState::Leaving);
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -265,7 +265,7 @@
     fleet.sidecars[0]
         .upstream
         .engine()
-        .set_fault(EngineFault::Never);
+        .set_fault(EngineFault::NoAnswer);
     let mut outcomes = Vec::new();
     for _ in 0..6 {
         let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
@@ -276,7 +276,7 @@
     fleet.sidecars[1]
         .upstream
         .engine()
-        .set_fault(EngineFault::Never);
+        .set_fault(EngineFault::NoAnswer);
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
     let outcome = fleet.caller(0, "lot-a").chat(&body).await;
     assert!(!outcome.is_whole() && !outcome.is_not_run(), "{outcome:?}");
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -63,13 +63,13 @@
 async fn a_replica_that_says_that_it_leaves_gets_nothing_more() {
     let (fleet, [leaves, stays]) = fleet().await;
     fleet.ports[0].set(StoreMode::Silent);
-    leaves.says(LEAVES);
+    leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
     let before = leaves.seen().len();
     let answers = ask_often(&fleet).await;
     assert!(answers.iter().all(|answer| answer.status == 200));
     assert_eq!(leaves.seen().len(), before);
-    stays.says(LEAVES);
+    stays.set_headers(LEAVES);
     until_asked(&fleet, &stays, stays.seen().len()).await;
     let before = stays.seen().len();
     // Nobody is left: refused at once, and truly not run.
@@ -99,7 +99,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_leaves_stays_left_when_its_entry_lapses_and_returns() {
     let (fleet, [leaves, _stays]) = fleet().await;
-    leaves.says(LEAVES);
+    leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
     let before = leaves.seen().len();
     entry_lapses_and_returns(&fleet, &leaves).await;
@@ -110,12 +110,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_left_and_starts_again_under_its_id_is_used() {
     let (fleet, [leaves, _stays]) = fleet().await;
-    leaves.says(LEAVES);
+    leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
     let before = leaves.seen().len();
     ask_often(&fleet).await;
     assert_eq!(leaves.seen().len(), before);
-    leaves.says(&[]);
+    leaves.set_headers(&[]);
     let born = Uptime::unix_millis() + 2_000;
     fleet
         .store
@@ -168,7 +168,7 @@
     let rests = Replica::start(ip, "i-a", ReplicaAnswer::events(3)).await;
     let awake = Replica::start(ip, "i-b", ReplicaAnswer::events(3)).await;
     rests.turns_list_away();
-    rests.says(&[("Retry-After", "30")]);
+    rests.set_headers(&[("Retry-After", "30")]);
     fleet
         .store
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
@@ -202,7 +202,7 @@
         let replica = fleet
             .replica(&format!("i-{number}"), "s", ReplicaAnswer::ok("whole"))
             .await;
-        replica.says(LEAVES);
+        replica.set_headers(LEAVES);
         replica.ends_after("unlucky", EndManner::AfterHead);
         replicas.push(replica);
     }
@@ -252,7 +252,7 @@
         })
         .await;
     }
-    leaves.says(LEAVES);
+    leaves.set_headers(LEAVES);
     until_async("the other router is told", async || {
         Client::ask(fleet.callers[1], &ClientRequest::get("/first/", "asked")).await;
         !leaves.seen().is_empty()
--- a/testbed/tests/upstream_notices.rs
+++ b/testbed/tests/upstream_notices.rs
@@ -66,7 +66,7 @@
 async fn an_upstream_that_says_that_it_leaves_gets_nothing_more_until_it_starts_again() {
     let mut fleet = fleet(2).await;
     until_called(&fleet, 0, 0).await;
-    upstream(&fleet, 0).says(&[("Server-Leaving", "1")]);
+    upstream(&fleet, 0).set_headers(&[("Server-Leaving", "1")]);
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let before = arrivals(&fleet, 0).len();
     for _ in 0..ASKED {
@@ -79,7 +79,7 @@
         log.contains("the upstream that left has ended")
     })
     .await;
-    upstream(&fleet, 0).says(&[]);
+    upstream(&fleet, 0).set_headers(&[]);
     fleet.sidecars[0]
         .upstream_link
         .restart()
@@ -95,8 +95,8 @@
     const REST: Duration = Duration::from_secs(3);
     let fleet = fleet(1).await;
     until_called(&fleet, 0, 0).await;
-    upstream(&fleet, 0).says(&[("Retry-After", "3")]);
-    upstream(&fleet, 0).turns_away(true);
+    upstream(&fleet, 0).set_headers(&[("Retry-After", "3")]);
+    upstream(&fleet, 0).set_refusing(true);
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let arrived = arrivals(&fleet, 0);
@@ -105,7 +105,7 @@
     };
     let gap = second.duration_since(first);
     assert!(gap >= REST, "{gap:?}");
-    upstream(&fleet, 0).turns_away(false);
+    upstream(&fleet, 0).set_refusing(false);
     until_called(&fleet, 0, arrived.len()).await;
 }
 
@@ -113,8 +113,8 @@
 async fn while_an_upstream_rests_the_other_serves() {
     let fleet = fleet(2).await;
     until_called(&fleet, 0, 0).await;
-    upstream(&fleet, 0).says(&[("Retry-After", "300")]);
-    upstream(&fleet, 0).turns_away(true);
+    upstream(&fleet, 0).set_headers(&[("Retry-After", "300")]);
+    upstream(&fleet, 0).set_refusing(true);
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let before = arrivals(&fleet, 0).len();
     for _ in 0..ASKED {
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -68,7 +68,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_answer_reaches_its_own_caller_only() {
     let fleet = Arc::new(Fleet::start(plan()).await);
-    let late = EngineFault::Late(Duration::from_millis(300));
+    let late = EngineFault::DelayedAnswer(Duration::from_millis(300));
     fleet.sidecars[0].upstream.engine().set_fault(late);
     let outcomes = send_many(&fleet, 40, 5).join_all().await;
     assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
@@ -78,7 +78,10 @@
 async fn an_answer_with_another_requests_name_is_refused() {
     let fleet = Arc::new(Fleet::start(plan()).await);
     for sidecar in &fleet.sidecars {
-        sidecar.upstream.engine().set_fault(EngineFault::Crossed);
+        sidecar
+            .upstream
+            .engine()
+            .set_fault(EngineFault::WrongRequestId);
     }
     let outcomes = send_many(&fleet, 10, 5).join_all().await;
     for outcome in &outcomes {
@@ -94,7 +97,7 @@
         sidecar
             .upstream
             .engine()
-            .set_fault(EngineFault::CutAfter(3));
+            .set_fault(EngineFault::CutAfterTokens(3));
     }
     let caller = fleet.caller(0, "lot-a");
     let body = ChatBody::new("drafter", "prefix", &nonce(), 50, true);
@@ -106,7 +109,7 @@
     let fleet = Fleet::start(plan()).await;
     for sidecar in &fleet.sidecars {
         let engine = sidecar.upstream.engine();
-        engine.set_fault(EngineFault::CutAfter(2));
+        engine.set_fault(EngineFault::CutAfterTokens(2));
     }
     let body = ChatBody::new("drafter", "prefix", &nonce(), 9, true);
     let request = fleet
