--- a/testbed/src/measure/revision_time.rs
+++ b/testbed/src/measure/revision_time.rs
@@ -2,7 +2,7 @@
     super::stats::percentile,
     crate::{
         fleet::{Fleet, FleetPlan},
-        standin::PlatformSwitches,
+        standin::PlatformFaults,
     },
     serde::Serialize,
     std::time::{Duration, Instant},
@@ -28,9 +28,9 @@
     for _ in 0..CHANGES {
         times.push(time_change(&fleet).await);
     }
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.platform.set_faults(PlatformFaults {
         calls_per_second: Some(2),
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     let mut by_peers = Vec::new();
     for _ in 0..CHANGES / 4 {
--- a/testbed/src/standin/mod.rs
+++ b/testbed/src/standin/mod.rs
@@ -8,7 +8,7 @@
 mod engine_settings;
 mod plain_service;
 mod platform;
-mod platform_switches;
+mod platform_faults;
 mod prefix_cache;
 mod publish_error;
 mod run_log;
@@ -22,7 +22,7 @@
     engine_settings::EngineSettings,
     plain_service::PlainService,
     platform::Platform,
-    platform_switches::PlatformSwitches,
+    platform_faults::PlatformFaults,
     publish_error::PublishError,
     run_log::{Run, RunLog},
     server::{BoundServer, bind_server},
--- a/testbed/src/standin/platform.rs
+++ b/testbed/src/standin/platform.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        BoundServer, PlatformSwitches, bind_server, call_count::CallCount,
+        BoundServer, PlatformFaults, bind_server, call_count::CallCount,
         publish_error::PublishError, values::Values,
     },
     archmast::{
@@ -34,7 +34,7 @@
 struct Shared {
     values: Mutex<Values>,
     changed: watch::Sender<u64>,
-    switches: watch::Sender<PlatformSwitches>,
+    faults: watch::Sender<PlatformFaults>,
     calls: Mutex<CallCount>,
 }
 
@@ -44,7 +44,7 @@
         let shared = Arc::new(Shared {
             values: Mutex::default(),
             changed: watch::Sender::new(0),
-            switches: watch::Sender::new(PlatformSwitches::default()),
+            faults: watch::Sender::new(PlatformFaults::default()),
             calls: Mutex::default(),
         });
         let managed = shared.clone();
@@ -132,11 +132,11 @@
     }
 
     /// Replaces the faults that are injected into all further answers.
-    pub fn set_switches(
+    pub fn set_faults(
         &self,
-        switches: PlatformSwitches,
+        faults: PlatformFaults,
     ) {
-        self.shared.switches.send_replace(switches);
+        self.shared.faults.send_replace(faults);
     }
 
     /// The revision published last.
@@ -157,7 +157,7 @@
         key: &str,
         after: u64,
     ) -> Option<(u64, String)> {
-        let bound = self.switches.borrow().stale_at.unwrap_or(u64::MAX);
+        let bound = self.faults.borrow().stale_at.unwrap_or(u64::MAX);
         let values = self.values.lock().expect("value lock");
         let (revision, text) = values.newest_up_to(key, bound)?;
         // A stale service returns its old value also to a client that has a newer one.
@@ -171,21 +171,21 @@
         after: u64,
     ) -> (u64, String) {
         let mut changed = self.changed.subscribe();
-        let mut switches = self.switches.subscribe();
+        let mut faults = self.faults.subscribe();
         loop {
             if let Some(found) = self.newer(key, after) {
                 return found;
             }
             tokio::select! {
                 _ = changed.changed() => {}
-                _ = switches.changed() => {}
+                _ = faults.changed() => {}
             }
         }
     }
 
     async fn wait_down(&self) {
-        let mut switches = self.switches.subscribe();
-        if switches.wait_for(|s| s.down).await.is_err() {
+        let mut faults = self.faults.subscribe();
+        if faults.wait_for(|s| s.down).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -241,17 +241,17 @@
 
 /// Applies the faults to a call: refuses it or delays it.
 async fn admit(shared: &Shared) -> Result<(), Status> {
-    let switches = *shared.switches.borrow();
+    let faults = *shared.faults.borrow();
     let allowed = {
         let mut calls = shared.calls.lock().expect("call lock");
-        calls.allow(switches.calls_per_second)
+        calls.allow(faults.calls_per_second)
     };
     if !allowed {
         return Err(Status::TooManyRequests);
     }
-    if switches.down {
+    if faults.down {
         return Err(Status::ServiceUnavailable);
     }
-    tokio::time::sleep(switches.slow).await;
+    tokio::time::sleep(faults.slow).await;
     Ok(())
 }
--- a/testbed/src/standin/platform_switches.rs
+++ b/testbed/src/standin/platform_faults.rs
@@ -2,7 +2,7 @@
 
 /// The faults of the stand-in platform service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlatformSwitches {
+pub struct PlatformFaults {
     pub down: bool,                    // answers 503 at once, also to waiting watches
     pub stale_at: Option<u64>,         // serves nothing newer than this revision
     pub slow: Duration,                // delay before each answer
--- a/testbed/tests/configuration.rs
+++ b/testbed/tests/configuration.rs
@@ -4,7 +4,7 @@
 use {
     archmast_testbed::{
         fleet::{Fleet, FleetPlan, FleetText, nonce, until_async},
-        standin::{ChatBody, EngineSettings, PlatformSwitches, PublishError},
+        standin::{ChatBody, EngineSettings, PlatformFaults, PublishError},
     },
     std::net::SocketAddr,
 };
@@ -123,9 +123,9 @@
     let new = fleet.platform.publish_fleet(&with_share(&fleet, 5.0));
     let operators = fleet.operators();
     fleet.in_force(&operators, new).await;
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.platform.set_faults(PlatformFaults {
         stale_at: Some(old),
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     let mut watcher = Watcher::new(&operators);
     fleet.sidecars[0].process.kill();
@@ -154,9 +154,9 @@
     let mut fleet = Fleet::start(plan()).await;
     let new = fleet.platform.publish_fleet(&with_share(&fleet, 5.0));
     fleet.in_force(&fleet.operators(), new).await;
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.platform.set_faults(PlatformFaults {
         down: true,
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     fleet.sidecars[0].process.kill();
     fleet.sidecars[0].process.restart().expect("it starts");
@@ -187,9 +187,9 @@
     // Watches are answered, then every connection to the platform is refused;
     // one process keeps its own way to it.
     let mut watcher = Watcher::new(&fleet.operators());
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.platform.set_faults(PlatformFaults {
         calls_per_second: Some(1),
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     let revision = fleet.platform.publish_fleet(&with_share(&fleet, 6.0));
     watcher.until_all(&fleet, revision).await;
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -5,7 +5,7 @@
     archmast::fleet::HostState,
     archmast_testbed::{
         fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
-        standin::{ChatBody, EngineSettings, PlatformSwitches},
+        standin::{ChatBody, EngineSettings, PlatformFaults},
     },
     std::time::{Duration, Instant},
     tokio::task::JoinSet,
@@ -116,9 +116,9 @@
     let mut fleet = Fleet::start(plan()).await;
     let callers = Callers::start(&fleet, &[1], 10);
     others_serve(&fleet).await;
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.platform.set_faults(PlatformFaults {
         down: true,
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     fleet.routers[0].process.freeze();
     fleet.sidecars[0].process.terminate();
