--- a/testbed/src/fleet/fleet.rs
+++ b/testbed/src/fleet/fleet.rs
@@ -237,11 +237,11 @@
             (&sidecar.link, router.source),
             (&router.link, sidecar.source),
         ] {
-            link.set(|faults| {
+            link.update_faults(|faults| {
                 if cut {
-                    faults.cut_sources.insert(source);
+                    faults.blocked_sources.insert(source);
                 } else {
-                    faults.cut_sources.remove(&source);
+                    faults.blocked_sources.remove(&source);
                 }
             });
         }
--- a/testbed/src/fleet/starter.rs
+++ b/testbed/src/fleet/starter.rs
@@ -113,7 +113,7 @@
             .await
             .expect("a proxy can start");
         let delay = self.plan.one_way;
-        proxy.set(|faults| faults.delay = delay);
+        proxy.update_faults(|faults| faults.delay = delay);
         proxy
     }
 
--- a/testbed/src/proxy/tcp_proxy.rs
+++ b/testbed/src/proxy/tcp_proxy.rs
@@ -28,7 +28,7 @@
 impl Drop for TcpProxy {
     fn drop(&mut self) {
         self.task.abort();
-        self.cut_connections();
+        self.close_connections();
     }
 }
 
@@ -60,7 +60,7 @@
         if let Err(error) = (&mut self.task).await {
             log::debug!("proxy has stopped listening: {error}");
         }
-        self.cut_connections();
+        self.close_connections();
     }
 
     /// Listens again at the same address after a stop.
@@ -71,7 +71,7 @@
     }
 
     /// Changes the injected faults.
-    pub fn set(
+    pub fn update_faults(
         &self,
         change: impl FnOnce(&mut Faults),
     ) {
@@ -80,12 +80,12 @@
 
     /// Stops forwarding on the connections that are open now, without closing them.
     /// New connections work.
-    pub fn silence_connections(&self) {
+    pub fn stall_connections(&self) {
         self.connections.stalls.send_modify(|count| *count += 1);
     }
 
     /// Closes every connection that is open now.
-    pub fn cut_connections(&self) {
+    pub fn close_connections(&self) {
         self.connections.closings.send_modify(|count| *count += 1);
     }
 }
@@ -105,7 +105,7 @@
         listener: TcpListener,
     ) {
         while let Ok((client, _)) = listener.accept().await {
-            if self.faults.lock().expect("fault lock").cut {
+            if self.faults.lock().expect("fault lock").blocked {
                 continue; // drops the stream, which closes the client's connection
             }
             let (faults, target) = (self.faults.clone(), self.target);
--- a/testbed/src/proxy/udp_proxy.rs
+++ b/testbed/src/proxy/udp_proxy.rs
@@ -63,7 +63,7 @@
     }
 
     /// Changes the injected faults.
-    pub fn set(
+    pub fn update_faults(
         &self,
         change: impl FnOnce(&mut Faults),
     ) {
@@ -129,7 +129,7 @@
 ) {
     let faults = shared.faults.lock().expect("fault lock").clone();
     let chance = |share: f64| rand::random::<f64>() < share;
-    if faults.cut || faults.cut_sources.contains(&client) || chance(faults.drop) {
+    if faults.blocked || faults.blocked_sources.contains(&client) || chance(faults.drop) {
         return;
     }
     let copies = if chance(faults.duplicate) { 2 } else { 1 };
--- a/testbed/src/soak/inflict.rs
+++ b/testbed/src/soak/inflict.rs
@@ -60,14 +60,14 @@
             Fault::CutLink(slot) => self.cut(slot, lasts).await,
             Fault::ResetLink(slot) => {
                 let slot = self.slots[slot].lock().await;
-                slot.proxy.cut_connections();
+                slot.proxy.close_connections();
                 Instant::now()
             }
             Fault::SilenceStore(router) => self.silence_stores(router..router + 1),
             Fault::SilenceAllStores => self.silence_stores(0..self.routers.len()),
             Fault::SilenceReplica(slot) => {
                 let slot = self.slots[slot].lock().await;
-                slot.proxy.silence_connections();
+                slot.proxy.stall_connections();
                 Instant::now()
             }
             Fault::SilenceCallers(router) => {
@@ -99,7 +99,7 @@
         routers: Range<usize>,
     ) -> Instant {
         for router in routers {
-            self.ports[router].proxy.silence_connections();
+            self.ports[router].proxy.stall_connections();
         }
         Instant::now()
     }
@@ -221,8 +221,8 @@
     ) -> Instant {
         let mut slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.proxy.set(|faults| faults.cut = true);
-        slot.proxy.cut_connections();
+        slot.proxy.update_faults(|faults| faults.blocked = true);
+        slot.proxy.close_connections();
         sleep(lasts).await;
         slot.unlist(&self.store);
         self.replace(&mut slot).await;
@@ -249,9 +249,10 @@
     ) -> Instant {
         let slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.proxy.set(|faults| faults.delay = SLOW);
+        slot.proxy.update_faults(|faults| faults.delay = SLOW);
         sleep(lasts).await;
-        slot.proxy.set(|faults| faults.delay = Duration::ZERO);
+        slot.proxy
+            .update_faults(|faults| faults.delay = Duration::ZERO);
         began
     }
 
@@ -262,9 +263,9 @@
     ) -> Instant {
         let slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.proxy.set(|faults| faults.cut = true);
+        slot.proxy.update_faults(|faults| faults.blocked = true);
         sleep(lasts).await;
-        slot.proxy.set(|faults| faults.cut = false);
+        slot.proxy.update_faults(|faults| faults.blocked = false);
         began
     }
 }
--- a/testbed/src/soak/operator_inflict.rs
+++ b/testbed/src/soak/operator_inflict.rs
@@ -61,8 +61,8 @@
                 continue;
             };
             if slot.zone == zone_name(zone) {
-                slot.proxy.set(|faults| faults.cut = true);
-                slot.proxy.cut_connections();
+                slot.proxy.update_faults(|faults| faults.blocked = true);
+                slot.proxy.close_connections();
                 away.push(slot);
             }
         }
@@ -72,7 +72,7 @@
         }
         sleep(LISTED_BEFORE).await;
         for slot in &away {
-            slot.proxy.set(|faults| faults.cut = false);
+            slot.proxy.update_faults(|faults| faults.blocked = false);
         }
         began
     }
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -173,7 +173,7 @@
         &self,
         router: usize,
     ) {
-        self.proxies[router].silence_connections();
+        self.proxies[router].stall_connections();
     }
 
     /// A replica is gone; another takes its place.
--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -189,12 +189,12 @@
 async fn half_of_the_packets_lost_for_a_while_keeps_accounts_level() {
     let (once, twice) = gaps(bound_plan(), async |fleet| {
         for sidecar in &fleet.sidecars {
-            sidecar.link.set(|faults| faults.drop = 0.3);
+            sidecar.link.update_faults(|faults| faults.drop = 0.3);
         }
         let before = fleet.run_counts().len();
         until("it goes on", || fleet.run_counts().len() > before + 100).await;
         for sidecar in &fleet.sidecars {
-            sidecar.link.set(|faults| faults.drop = 0.0);
+            sidecar.link.update_faults(|faults| faults.drop = 0.0);
         }
     })
     .await;
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -146,7 +146,7 @@
     let slow = Duration::from_millis(200);
     fleet.sidecars[0]
         .upstream_link
-        .set(|faults| faults.delay = slow);
+        .update_faults(|faults| faults.delay = slow);
     others_serve(&fleet).await;
     fleet.publish_state("m1", HostState::Leaving);
     says_leaving(&fleet, 0).await;
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -171,7 +171,7 @@
     let mut fleet = Fleet::start(plan()).await;
     let outcomes = charges_during(&mut fleet, async |fleet| {
         for sidecar in &fleet.sidecars {
-            sidecar.link.set(|faults| {
+            sidecar.link.update_faults(|faults| {
                 faults.drop = 0.05;
                 faults.duplicate = 0.3;
                 faults.reorder = 0.2;
@@ -194,7 +194,7 @@
     let request = tokio::spawn(charge(fleet.caller(0, "lot-a"), None));
     until("it runs", || fleet.open_runs() == 1).await;
     for sidecar in &fleet.sidecars {
-        sidecar.upstream_link.cut_connections();
+        sidecar.upstream_link.close_connections();
     }
     let (nonce, outcome) = request.await.expect("a caller");
     let Outcome::Refused { ran, .. } = &outcome else {
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -58,7 +58,7 @@
     let asked = (0..RESTING).map(async |n| ask(&fleet, "/charge/", &format!("first-{n}")).await);
     let statuses = join_all(asked).await;
     assert_eq!(statuses, [200; RESTING]);
-    proxy.silence_connections();
+    proxy.stall_connections();
     assert_ne!(ask(&fleet, "/hasty/", "silent").await, 200);
     assert_eq!(ask(&fleet, "/charge/", "after").await, 200);
 }
@@ -101,7 +101,7 @@
         .call(&ClientRequest::post("/read/", "warm", "{}"))
         .await;
     assert_eq!((warm.status, first.seen().len()), (200, 1));
-    proxy.silence_connections();
+    proxy.stall_connections();
     for id in ["on the silent one", "after it"] {
         let answer = client.call(&ClientRequest::post("/read/", id, "{}")).await;
         assert_eq!((answer.status, answer.text().as_str()), (200, "whole"));
@@ -128,7 +128,7 @@
     let request = ClientRequest::post("/events/", "stream", "{}");
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 3").await);
-    proxy.silence_connections();
+    proxy.stall_connections();
     let answer = client.answer().await;
     assert!(answer.status == 200 && answer.whole);
     let whole: String = (1..=LAST).map(event).collect();
@@ -154,7 +154,7 @@
         assert_eq!(client.call(&request(n)).await.status, 200);
         held.push(client);
     }
-    callers.silence_connections();
+    callers.stall_connections();
     for n in 0..CALLERS {
         let answer = Client::ask(callers.address, &request(CALLERS + n)).await;
         assert_eq!(answer.status, 200);
@@ -179,7 +179,7 @@
     assert_eq!(join_all(warm).await, [200, 200]);
     for (replica, proxy) in replicas.iter().zip(&proxies) {
         assert_eq!(replica.seen().len(), 1);
-        proxy.silence_connections();
+        proxy.stall_connections();
     }
     let mut leaves = Client::connect(fleet.callers[0])
         .await
@@ -229,7 +229,7 @@
     let mut stream = begun("/events/", "stream").await;
     assert!(stream.wait_for("piece 3").await);
     for proxy in &proxies {
-        proxy.silence_connections();
+        proxy.stall_connections();
     }
     let mut read = begun("/read/", "read").await;
     until("the read waits at a replica", || {
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -53,7 +53,7 @@
 async fn lost_reordered_and_doubled_packets_mix_no_answers() {
     let fleet = Arc::new(Fleet::start(plan()).await);
     for sidecar in &fleet.sidecars {
-        sidecar.link.set(|faults| {
+        sidecar.link.update_faults(|faults| {
             faults.drop = 0.02;
             faults.duplicate = 0.1;
             faults.reorder = 0.1;
