--- a/testbed/src/direct/replica_answer.rs
+++ b/testbed/src/direct/replica_answer.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone)]
 pub enum ReplicaAnswer {
     /// A complete answer with the replica's signature.
-    Whole { status: u16, body: String },
+    Complete { status: u16, body: String },
     /// A complete answer of status 200, after a delay.
     Slow { body: String, after: Duration },
     /// An answer that states that the request was not run.
@@ -14,7 +14,7 @@
     /// Never answers.
     Silent,
     /// Declares more bytes than it sends, then closes the connection.
-    Cut,
+    Truncated,
     /// An answer with the attempt id of another request.
     WrongId,
     /// An answer of status 200 without a signature.
@@ -22,7 +22,7 @@
     /// Bytes that are not HTTP.
     Garbage,
     /// A complete answer, followed by a second one to no request.
-    Surplus { body: String },
+    ExtraAnswer { body: String },
     /// A stream of events up to number `last`, with `pause` before each. It starts
     /// after the event in `Last-Event-ID`.
     Events { last: u32, pause: Duration },
@@ -37,7 +37,7 @@
 impl ReplicaAnswer {
     /// A complete answer of status 200 with this body.
     pub fn ok(body: &str) -> Self {
-        Self::Whole {
+        Self::Complete {
             status: 200,
             body: body.to_owned(),
         }
--- a/testbed/src/direct/replica_answering.rs
+++ b/testbed/src/direct/replica_answering.rs
@@ -85,7 +85,7 @@
 ) -> io::Result<bool> {
     let id = request.id();
     match answer {
-        ReplicaAnswer::Whole { status, body } => {
+        ReplicaAnswer::Complete { status, body } => {
             out.write(&signed_answer(id, status, &body)).await?
         }
         ReplicaAnswer::Slow { body, after } => {
@@ -106,7 +106,7 @@
             wait_for_close(out.stream).await;
             return Ok(false);
         }
-        ReplicaAnswer::Cut => {
+        ReplicaAnswer::Truncated => {
             let text = signed_answer(id, 200, "a whole body of some length");
             out.write(&text[..text.len() - 9]).await?;
             return Ok(false);
@@ -125,7 +125,7 @@
             out.write("\0\0 this is no answer \r\n\r\n").await?;
             return Ok(false);
         }
-        ReplicaAnswer::Surplus { body } => {
+        ReplicaAnswer::ExtraAnswer { body } => {
             let text = signed_answer(id, 200, &body) + &signed_answer(id, 200, "surplus");
             out.write(&text).await?;
         }
--- a/testbed/src/fleet/caller.rs
+++ b/testbed/src/fleet/caller.rs
@@ -139,13 +139,13 @@
             return read_refusal(response, started).await;
         }
         match response.text().await {
-            Ok(text) if text == format!("{nonce}:{nonce}") => Outcome::Whole {
+            Ok(text) if text == format!("{nonce}:{nonce}") => Outcome::Complete {
                 tokens: 0,
                 first: started.elapsed(),
                 total: started.elapsed(),
             },
-            Ok(text) => Outcome::Wrong(text),
-            Err(_) => Outcome::Cut,
+            Ok(text) => Outcome::WrongAnswer(text),
+            Err(_) => Outcome::Truncated,
         }
     }
 }
@@ -161,7 +161,7 @@
         .get("retry-after")
         .and_then(|value| value.to_str().ok()?.parse().ok());
     let Ok(text) = response.text().await else {
-        return Outcome::Cut;
+        return Outcome::Truncated;
     };
     let body: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
     let error = &body["error"];
@@ -173,7 +173,7 @@
             retry_after,
             total: started.elapsed(),
         },
-        None => Outcome::Wrong(format!("{status}: {text}")),
+        None => Outcome::WrongAnswer(format!("{status}: {text}")),
     }
 }
 
@@ -183,18 +183,18 @@
     started: Instant,
 ) -> Outcome {
     let Ok(text) = response.text().await else {
-        return Outcome::Cut;
+        return Outcome::Truncated;
     };
     let total = started.elapsed();
     let answer: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
     let content = answer["choices"][0]["message"]["content"].as_str();
     match content {
-        Some(content) if content == expected_content(body) => Outcome::Whole {
+        Some(content) if content == expected_content(body) => Outcome::Complete {
             tokens: body.max_tokens,
             first: total,
             total,
         },
-        _ => Outcome::Wrong(text),
+        _ => Outcome::WrongAnswer(text),
     }
 }
 
@@ -211,21 +211,21 @@
                 text.extend_from_slice(&chunk);
             }
             Ok(None) => break,
-            Err(_) => return Outcome::Cut,
+            Err(_) => return Outcome::Truncated,
         }
     }
     let text = String::from_utf8_lossy(&text);
     if ends_with_error(&text) {
-        return Outcome::Cut;
+        return Outcome::Truncated;
     }
     if !text.ends_with("data: [DONE]\n\n") {
-        return Outcome::Wrong(format!("stream ended without its [DONE] event: {text}"));
+        return Outcome::WrongAnswer(format!("stream ended without its [DONE] event: {text}"));
     }
     let content: String = text.lines().filter_map(token_of_event).collect();
     if content != expected_content(body) {
-        return Outcome::Wrong(content);
+        return Outcome::WrongAnswer(content);
     }
-    Outcome::Whole {
+    Outcome::Complete {
         tokens: body.max_tokens,
         first: first.unwrap_or_default(),
         total: started.elapsed(),
--- a/testbed/src/fleet/outcome.rs
+++ b/testbed/src/fleet/outcome.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Outcome {
     /// A complete answer in which every token belongs to this request.
-    Whole {
+    Complete {
         tokens: u32,
         first: Duration, // until the first bytes of the body
         total: Duration,
@@ -18,17 +18,17 @@
         total: Duration,
     },
     /// An answer that broke off in a way that the caller can detect.
-    Cut,
+    Truncated,
     /// An answer that seems complete but has missing or foreign content: its text.
-    Wrong(String),
+    WrongAnswer(String),
     /// The connection could not be opened, or was closed before an answer.
     NoAnswer,
 }
 
 impl Outcome {
     /// Whether the answer was complete and correct.
-    pub fn is_whole(&self) -> bool {
-        matches!(self, Self::Whole { .. })
+    pub fn is_complete(&self) -> bool {
+        matches!(self, Self::Complete { .. })
     }
 
     /// Whether the router answered that no upstream ran the request.
--- a/testbed/src/load/backlog.rs
+++ b/testbed/src/load/backlog.rs
@@ -162,10 +162,10 @@
     ) {
         for outcome in outcomes {
             match outcome {
-                Outcome::Whole { .. } => self.whole += 1,
+                Outcome::Complete { .. } => self.whole += 1,
                 Outcome::Refused { .. } => self.refused += 1,
-                Outcome::Cut | Outcome::NoAnswer => self.cut += 1,
-                Outcome::Wrong(what) => {
+                Outcome::Truncated | Outcome::NoAnswer => self.cut += 1,
+                Outcome::WrongAnswer(what) => {
                     log::error!("wrong answer: {what}");
                     self.wrong += 1;
                 }
@@ -186,7 +186,7 @@
         let tokens = token_cost(&mut random, load.median_tokens, load.cost_spread);
         let body = ChatBody::new(&load.model, "prefix", &nonce(), tokens, true);
         let outcome = caller.chat(&body).await;
-        if !outcome.is_whole() {
+        if !outcome.is_complete() {
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         outcomes.push(outcome);
--- a/testbed/src/load/replay.rs
+++ b/testbed/src/load/replay.rs
@@ -97,11 +97,11 @@
     ) {
         self.requests += 1;
         match outcome {
-            Outcome::Whole { first, .. } => {
+            Outcome::Complete { first, .. } => {
                 self.whole += 1;
                 self.in_patience += u64::from(*first <= patience);
             }
-            Outcome::Wrong(_) => self.wrong += 1,
+            Outcome::WrongAnswer(_) => self.wrong += 1,
             refused if refused.is_not_run() => self.not_run += 1,
             _ => self.other += 1,
         }
--- a/testbed/src/measure/ahead.rs
+++ b/testbed/src/measure/ahead.rs
@@ -48,7 +48,7 @@
                 let outcome = caller
                     .plain(Method::POST, "/gate/open", &nonce(), None)
                     .await;
-                calls += u64::from(outcome.is_whole());
+                calls += u64::from(outcome.is_complete());
             }
             calls
         });
--- a/testbed/src/measure/latency.rs
+++ b/testbed/src/measure/latency.rs
@@ -52,6 +52,6 @@
     let outcome = caller
         .plain(Method::POST, "/gate/open", &nonce(), None)
         .await;
-    assert!(outcome.is_whole(), "{outcome:?}");
+    assert!(outcome.is_complete(), "{outcome:?}");
     started.elapsed()
 }
--- a/testbed/src/measure/zone_loss.rs
+++ b/testbed/src/measure/zone_loss.rs
@@ -65,7 +65,7 @@
     let outcomes: Vec<Outcome> = callers.join_all().await.into_iter().flatten().collect();
     let count = |test: fn(&Outcome) -> bool| outcomes.iter().filter(|o| test(o)).count() as u64;
     let runs: usize = fleet.run_counts().values().sum();
-    let (whole, not_run) = (count(Outcome::is_whole), count(Outcome::is_not_run));
+    let (whole, not_run) = (count(Outcome::is_complete), count(Outcome::is_not_run));
     ZoneLossResult {
         requests: outcomes.len() as u64,
         whole,
--- a/testbed/src/soak/replica_slot.rs
+++ b/testbed/src/soak/replica_slot.rs
@@ -110,14 +110,14 @@
     pub fn spoil_answers(&self) {
         let mut spoilt = vec![
             ReplicaAnswer::Close,
-            ReplicaAnswer::Cut,
+            ReplicaAnswer::Truncated,
             ReplicaAnswer::Garbage,
             ReplicaAnswer::WrongId,
             ReplicaAnswer::Unsigned,
         ];
         if self.service == "plain" {
             // A stream's replica would answer with what is no stream.
-            spoilt.push(ReplicaAnswer::Surplus {
+            spoilt.push(ReplicaAnswer::ExtraAnswer {
                 body: PLAIN_BODY.to_owned(),
             });
         }
--- a/testbed/tests/cli.rs
+++ b/testbed/tests/cli.rs
@@ -165,7 +165,7 @@
 async fn operators_see_the_fleet_and_why_a_request_goes_where() {
     let mut fleet = Fleet::start(plan()).await;
     let body = ChatBody::new("drafter", "p", &nonce(), 10, false);
-    assert!(fleet.caller(0, "lot-a").chat(&body).await.is_whole());
+    assert!(fleet.caller(0, "lot-a").chat(&body).await.is_complete());
     let platform = fleet.platform.address.to_string();
     let with_platform = |words: &[&str]| {
         let mut all = words.to_vec();
--- a/testbed/tests/configuration.rs
+++ b/testbed/tests/configuration.rs
@@ -163,7 +163,7 @@
     fleet.in_force(&[fleet.sidecars[0].operator], new).await;
     fleet.all_ready().await;
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
-    assert!(fleet.caller(0, "lot-a").chat(&body).await.is_whole());
+    assert!(fleet.caller(0, "lot-a").chat(&body).await.is_complete());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -226,6 +226,6 @@
         .expect("published");
     watcher.until_all(&fleet, revision).await;
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
-    assert!(fleet.caller(0, "a-7").chat(&body).await.is_whole());
-    assert!(fleet.caller(1, "b-199").chat(&body).await.is_whole());
+    assert!(fleet.caller(0, "a-7").chat(&body).await.is_complete());
+    assert!(fleet.caller(1, "b-199").chat(&body).await.is_complete());
 }
--- a/testbed/tests/direct_requests.rs
+++ b/testbed/tests/direct_requests.rs
@@ -158,7 +158,7 @@
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
     let troubles = [
         ReplicaAnswer::Close,
-        ReplicaAnswer::Cut,
+        ReplicaAnswer::Truncated,
         ReplicaAnswer::WrongId,
         ReplicaAnswer::Unsigned,
         ReplicaAnswer::Garbage,
@@ -184,10 +184,10 @@
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
     let troubles = [
         ReplicaAnswer::Close,
-        ReplicaAnswer::Cut,
+        ReplicaAnswer::Truncated,
         ReplicaAnswer::Garbage,
         ReplicaAnswer::NotExecuted { status: 503 },
-        ReplicaAnswer::Whole {
+        ReplicaAnswer::Complete {
             status: 500,
             body: "sorry".to_owned(),
         },
@@ -256,7 +256,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failure_of_the_replica_passes_as_it_is() {
-    let failure = ReplicaAnswer::Whole {
+    let failure = ReplicaAnswer::Complete {
         status: 500,
         body: "sorry".to_owned(),
     };
@@ -269,7 +269,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_surplus_answer_reaches_nobody() {
-    let surplus = ReplicaAnswer::Surplus {
+    let surplus = ReplicaAnswer::ExtraAnswer {
         body: "mine".to_owned(),
     };
     let (fleet, replicas) = two_replicas(surplus).await;
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -137,11 +137,11 @@
                 assert!(retry_after.is_some(), "{outcome:?}");
                 assert_eq!(counts.get(nonce), None);
             }
-            whole => assert!(whole.is_whole(), "{whole:?}"),
+            whole => assert!(whole.is_complete(), "{whole:?}"),
         }
     }
     assert!(refused >= 60, "only {refused} refused");
-    assert!(outcomes.iter().any(|(outcome, _)| outcome.is_whole()));
+    assert!(outcomes.iter().any(|(outcome, _)| outcome.is_complete()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -169,7 +169,7 @@
         .caller(0, "lot-b")
         .plain(Method::POST, "/gate/open", &nonce(), None)
         .await;
-    assert!(outcome.is_whole(), "{outcome:?}");
+    assert!(outcome.is_complete(), "{outcome:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -231,5 +231,5 @@
     }
     until("all slots are taken", || fleet.open_runs() == 8).await;
     let outcomes = callers.join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole));
+    assert!(outcomes.iter().all(Outcome::is_complete));
 }
--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -87,7 +87,7 @@
                 callers.spawn(async move {
                     while !stop.load(Ordering::Relaxed) {
                         let body = ChatBody::new("drafter", "p", &nonce(), TOKENS, true);
-                        if !caller.chat(&body).await.is_whole() {
+                        if !caller.chat(&body).await.is_complete() {
                             tokio::time::sleep(Duration::from_millis(20)).await;
                         }
                     }
@@ -216,7 +216,7 @@
     for account in ["a2", "a3", "a4", "a5"] {
         let body = ChatBody::new("drafter", "p", &nonce(), TOKENS, false);
         let outcome = fleet.caller(0, account).chat(&body).await;
-        assert!(outcome.is_whole(), "{account}: {outcome:?}");
+        assert!(outcome.is_complete(), "{account}: {outcome:?}");
     }
     assert!(!flood.is_empty());
     let done = fleet.run_counts().len();
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -108,7 +108,7 @@
     others_serve(&fleet).await;
     let outcomes = callers.end().await;
     assert_eq!(starts_after(&fleet, 0, moment), 0);
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -130,8 +130,8 @@
     let outcomes = callers.end().await;
     let late = late.end().await;
     assert_eq!(starts_after(&fleet, 0, moment), 0);
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
-    assert!(late.iter().all(Outcome::is_whole), "{late:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
+    assert!(late.iter().all(Outcome::is_complete), "{late:?}");
 }
 
 /// A request that was admitted reached its upstream after the sidecar had said that it
@@ -154,7 +154,7 @@
     others_serve(&fleet).await;
     for callers in callers {
         let outcomes = callers.end().await;
-        assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+        assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
     }
     assert_eq!(starts_after(&fleet, 0, moment), 0);
 }
@@ -186,7 +186,7 @@
     fleet.publish_state("m1", HostState::Leaving);
     says_leaving(&fleet, 0).await;
     let outcomes = requests.join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
 
 async fn says_leaving_or_gone(fleet: &mut Fleet) {
@@ -208,7 +208,7 @@
     until("it ends", || fleet.sidecars[0].process.ended().is_some()).await;
     others_serve(&fleet).await;
     let outcomes = callers.end().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
     let status = fleet.sidecars[0].process.ended().expect("it ended");
     assert!(status.success(), "{status}");
 }
@@ -241,9 +241,9 @@
     .await;
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
     let after = fleet.caller(0, "lot-a").chat(&body).await;
-    assert!(after.is_whole() || after.is_not_run(), "{after:?}");
+    assert!(after.is_complete() || after.is_not_run(), "{after:?}");
     let outcomes = requests.join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
     until("it ends", || fleet.routers[0].process.ended().is_some()).await;
     let status = fleet.routers[0].process.ended().expect("it ended");
     assert!(status.success(), "{status}");
@@ -265,5 +265,5 @@
         fleet.all_ready().await;
     }
     let outcomes = callers.end().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -78,10 +78,10 @@
         if outcome.is_not_run() {
             assert_eq!(runs, 0, "{nonce} was said not to have run: {outcome:?}");
         }
-        if outcome.is_whole() {
+        if outcome.is_complete() {
             assert_eq!(runs, 1, "{nonce}");
         }
-        assert!(!matches!(outcome, Outcome::Wrong(_)), "{outcome:?}");
+        assert!(!matches!(outcome, Outcome::WrongAnswer(_)), "{outcome:?}");
     }
 }
 
@@ -214,7 +214,7 @@
     if outcome.is_not_run() {
         assert_eq!(fleet.run_counts().get(&nonce), None);
     }
-    assert!(!outcome.is_whole());
+    assert!(!outcome.is_complete());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -230,11 +230,11 @@
     let (_, during) = charge(fleet.caller(1, "lot-a"), key.clone()).await;
     assert_eq!(during.code(), Some(40), "{during:?}");
     let (_, outcome) = first.await.expect("a caller");
-    assert!(outcome.is_whole(), "{outcome:?}");
+    assert!(outcome.is_complete(), "{outcome:?}");
     let (_, after) = charge(fleet.caller(1, "lot-a"), key.clone()).await;
     assert_eq!(after.code(), Some(41), "{after:?}");
     let (_, other) = charge(fleet.caller(1, "lot-b"), key).await;
-    assert!(other.is_whole(), "another account's key is another key");
+    assert!(other.is_complete(), "another account's key is another key");
     assert_eq!(fleet.run_counts().values().sum::<usize>(), 2);
 }
 
@@ -247,7 +247,7 @@
     assert!(outcome.is_not_run());
     assert_eq!(fleet.run_counts().get(&nonce), None);
     let (_, unkeyed) = charge(fleet.caller(0, "lot-a"), None).await;
-    assert!(unkeyed.is_whole(), "{unkeyed:?}");
+    assert!(unkeyed.is_complete(), "{unkeyed:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -271,7 +271,7 @@
         let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
         outcomes.push(fleet.caller(0, "lot-a").chat(&body).await);
     }
-    let whole = outcomes.iter().filter(|o| o.is_whole()).count();
+    let whole = outcomes.iter().filter(|o| o.is_complete()).count();
     assert!(whole >= 4, "{outcomes:?}");
     fleet.sidecars[1]
         .upstream
@@ -279,5 +279,8 @@
         .set_fault(EngineFault::NoAnswer);
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
     let outcome = fleet.caller(0, "lot-a").chat(&body).await;
-    assert!(!outcome.is_whole() && !outcome.is_not_run(), "{outcome:?}");
+    assert!(
+        !outcome.is_complete() && !outcome.is_not_run(),
+        "{outcome:?}"
+    );
 }
--- a/testbed/tests/path.rs
+++ b/testbed/tests/path.rs
@@ -29,13 +29,13 @@
     for stream in [false, true] {
         let body = ChatBody::new("drafter", "prefix", &nonce(), 5, stream);
         let outcome = caller.chat(&body).await;
-        assert!(outcome.is_whole(), "{outcome:?}");
+        assert!(outcome.is_complete(), "{outcome:?}");
     }
     let outcome = fleet
         .caller(1, "lot-b")
         .plain(Method::POST, "/gate/open?lane=3", &nonce(), None)
         .await;
-    assert!(outcome.is_whole(), "{outcome:?}");
+    assert!(outcome.is_complete(), "{outcome:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -46,7 +46,7 @@
         let outcome = caller
             .plain(Method::POST, "/gate/open", &nonce(), None)
             .await;
-        assert!(outcome.is_whole(), "{outcome:?}");
+        assert!(outcome.is_complete(), "{outcome:?}");
     }
     let status = fleet.status(fleet.routers[0].operator).await;
     let control = status.expect("a status").control_bytes;
--- a/testbed/tests/unproved_refusals.rs
+++ b/testbed/tests/unproved_refusals.rs
@@ -36,7 +36,7 @@
         for length in [5, LONG] {
             let body = "x".repeat(length);
             for replica in &replicas {
-                replica.usually(ReplicaAnswer::Whole {
+                replica.usually(ReplicaAnswer::Complete {
                     status,
                     body: body.clone(),
                 });
@@ -63,7 +63,7 @@
         };
         let (fleet, replicas) = fleet(usual.clone()).await;
         for status in PROMISES {
-            let unproved = ReplicaAnswer::Whole {
+            let unproved = ReplicaAnswer::Complete {
                 status,
                 body: "busy".to_owned(),
             };
--- a/testbed/tests/upstream_notices.rs
+++ b/testbed/tests/upstream_notices.rs
@@ -70,7 +70,7 @@
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let before = arrivals(&fleet, 0).len();
     for _ in 0..ASKED {
-        assert!(matches!(call(&fleet).await, Outcome::Whole { .. }));
+        assert!(matches!(call(&fleet).await, Outcome::Complete { .. }));
     }
     assert_eq!(arrivals(&fleet, 0).len(), before);
     fleet.sidecars[0].upstream_link.stop().await;
@@ -118,7 +118,7 @@
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let before = arrivals(&fleet, 0).len();
     for _ in 0..ASKED {
-        assert!(matches!(call(&fleet).await, Outcome::Whole { .. }));
+        assert!(matches!(call(&fleet).await, Outcome::Complete { .. }));
     }
     assert_eq!(arrivals(&fleet, 0).len(), before);
 }
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -45,7 +45,7 @@
 
 fn assert_none_wrong(outcomes: &[Outcome]) {
     for outcome in outcomes {
-        assert!(!matches!(outcome, Outcome::Wrong(_)), "{outcome:?}");
+        assert!(!matches!(outcome, Outcome::WrongAnswer(_)), "{outcome:?}");
     }
 }
 
@@ -61,7 +61,10 @@
     }
     let outcomes = send_many(&fleet, 60, 20).join_all().await;
     assert_none_wrong(&outcomes);
-    let whole = outcomes.iter().filter(|outcome| outcome.is_whole()).count();
+    let whole = outcomes
+        .iter()
+        .filter(|outcome| outcome.is_complete())
+        .count();
     assert_eq!(whole, 60, "{outcomes:?}");
 }
 
@@ -71,7 +74,7 @@
     let late = EngineFault::DelayedAnswer(Duration::from_millis(300));
     fleet.sidecars[0].upstream.engine().set_fault(late);
     let outcomes = send_many(&fleet, 40, 5).join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -101,7 +104,7 @@
     }
     let caller = fleet.caller(0, "lot-a");
     let body = ChatBody::new("drafter", "prefix", &nonce(), 50, true);
-    assert_eq!(caller.chat(&body).await, Outcome::Cut);
+    assert_eq!(caller.chat(&body).await, Outcome::Truncated);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -143,8 +146,11 @@
     fleet.sidecars[0].process.kill();
     let outcomes = requests.join_all().await;
     assert_none_wrong(&outcomes);
-    let cut = outcomes.iter().filter(|o| **o == Outcome::Cut).count();
-    let whole = outcomes.iter().filter(|o| o.is_whole()).count();
+    let cut = outcomes
+        .iter()
+        .filter(|o| **o == Outcome::Truncated)
+        .count();
+    let whole = outcomes.iter().filter(|o| o.is_complete()).count();
     assert!(cut > 0, "{outcomes:?}");
     assert_eq!(cut + whole, MORE_THAN_ONE_HOLDS, "{outcomes:?}");
 }
@@ -171,7 +177,7 @@
     fleet.routers[0].process.kill();
     let outcomes = requests.join_all().await;
     assert_none_wrong(&outcomes);
-    assert!(!outcomes.iter().any(Outcome::is_whole), "{outcomes:?}");
+    assert!(!outcomes.iter().any(Outcome::is_complete), "{outcomes:?}");
     until("the engines are free again", || fleet.open_runs() == 0).await;
 }
 
