--- a/testbed/src/direct/direct_fleet.rs
+++ b/testbed/src/direct/direct_fleet.rs
@@ -1,6 +1,6 @@
 use {
     super::{Client, ClientRequest, Replica, ReplicaAnswer, RouteText, Store, StorePort},
-    crate::fleet::{Loopback, Process, until_async},
+    crate::fleet::{Loopback, Process, wait_until_async},
     std::{
         net::{IpAddr, SocketAddr},
         path::PathBuf,
@@ -123,7 +123,7 @@
         ];
         fleet.store.publish(1, routes);
         fleet.all_ready().await;
-        until_async("both replicas are known", async || {
+        wait_until_async("both replicas are known", async || {
             let log = fleet.routers[0].log_text();
             log.matches("upstream Ready").count() >= 2
         })
@@ -160,7 +160,7 @@
     /// Waits until every router is ready.
     pub async fn all_ready(&self) {
         for router in 0..self.routers.len() {
-            until_async("the router is ready", async || self.is_ready(router).await).await;
+            wait_until_async("the router is ready", async || self.is_ready(router).await).await;
         }
     }
 
@@ -171,7 +171,7 @@
         path: &str,
         status: u16,
     ) {
-        until_async("the path is served", async || {
+        wait_until_async("the path is served", async || {
             let request = ClientRequest::get(path, "probe");
             Client::ask(self.callers[router], &request).await.status == status
         })
--- a/testbed/src/fleet/fleet.rs
+++ b/testbed/src/fleet/fleet.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        Caller, FleetPlan, Process, SidecarHost, loopback::Loopback, starter::Starter, until_async,
+        Caller, FleetPlan, Process, SidecarHost, loopback::Loopback, starter::Starter,
+        wait_until_async,
     },
     crate::{
         proxy::{TcpProxy, UdpProxy},
@@ -110,11 +111,11 @@
     /// every sidecar.
     pub async fn all_ready(&self) {
         for operator in self.operators() {
-            until_async("a process is ready", async || self.is_ready(operator).await).await;
+            wait_until_async("a process is ready", async || self.is_ready(operator).await).await;
         }
         let expected = self.sidecars.len();
         for router in &self.routers {
-            until_async("a router is connected", async || {
+            wait_until_async("a router is connected", async || {
                 self.status(router.operator)
                     .await
                     .is_some_and(|status| status.peers.len() >= expected)
@@ -176,7 +177,7 @@
         revision: u64,
     ) {
         for operator in operators {
-            until_async("a revision is in force", async || {
+            wait_until_async("a revision is in force", async || {
                 self.revision(*operator).await == revision
             })
             .await;
--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -23,5 +23,5 @@
     plan::{FleetPlan, SidecarPlan, UpstreamPlan},
     process::{Process, program_path},
     sidecar_host::{SidecarHost, Upstream},
-    wait::{until, until_async},
+    wait::{wait_until, wait_until_async},
 };
--- a/testbed/src/fleet/wait.rs
+++ b/testbed/src/fleet/wait.rs
@@ -8,16 +8,16 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until a condition holds. Panics with `what` if it does not within a minute.
-pub async fn until(
+pub async fn wait_until(
     what: &str,
     mut condition: impl FnMut() -> bool,
 ) {
-    until_async(what, async || condition()).await;
+    wait_until_async(what, async || condition()).await;
 }
 
 /// Waits until an asynchronous condition holds. Panics with `what` if it does not within
 /// a minute.
-pub async fn until_async(
+pub async fn wait_until_async(
     what: &str,
     mut condition: impl AsyncFnMut() -> bool,
 ) {
--- a/testbed/tests/configuration.rs
+++ b/testbed/tests/configuration.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, nonce, until_async},
+        fleet::{Fleet, FleetPlan, FleetText, nonce, wait_until_async},
         standin::{ChatBody, EngineSettings, PlatformFaults, PublishError},
     },
     std::net::SocketAddr,
@@ -77,7 +77,7 @@
         fleet: &Fleet,
         wanted: u64,
     ) {
-        until_async("the revision is everywhere", async || {
+        wait_until_async("the revision is everywhere", async || {
             self.look(fleet).await.iter().all(|seen| *seen == wanted)
         })
         .await;
@@ -99,7 +99,7 @@
         .platform
         .publish_fleet("[account broken]\nshare = 1\nclass = none\n");
     for operator in fleet.operators() {
-        until_async("it is refused with its reason", async || {
+        wait_until_async("it is refused with its reason", async || {
             let trail = fleet.audit(operator).await;
             trail.iter().any(|entry| {
                 entry.what == "config_refused"
@@ -133,7 +133,7 @@
     fleet.sidecars[0].process.restart().expect("it starts");
     fleet.routers[0].process.restart().expect("it starts");
     for operator in [fleet.sidecars[0].operator, fleet.routers[0].operator] {
-        until_async("it is ready", async || {
+        wait_until_async("it is ready", async || {
             let Some(status) = fleet.status(operator).await else {
                 return false;
             };
--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -3,7 +3,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -45,7 +45,7 @@
     text: &str,
     times: usize,
 ) {
-    until_async(text, async || {
+    wait_until_async(text, async || {
         fleet.routers[0].log_text().matches(text).count() >= times
     })
     .await;
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -6,7 +6,7 @@
         direct::{
             Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, StoreMode,
         },
-        fleet::{until, until_async},
+        fleet::{wait_until, wait_until_async},
     },
     std::{fmt::Write, time::Duration},
 };
@@ -35,7 +35,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_knows_no_configuration_is_not_ready_and_says_503() {
     let fleet = DirectFleet::start(1, "").await;
-    until_async("the router listens", async || {
+    wait_until_async("the router listens", async || {
         status(&fleet, 0, "/first/").await != 0
     })
     .await;
@@ -82,7 +82,7 @@
     fleet.store.publish(9, &[route("/second/")]);
     fleet.serves(0, "/second/", 200).await;
     fleet.routers[1].restart().expect("it starts again");
-    until_async("it is ready again", async || fleet.is_ready(1).await).await;
+    wait_until_async("it is ready again", async || fleet.is_ready(1).await).await;
     fleet.serves(1, "/second/", 200).await;
     assert_eq!(status(&fleet, 1, "/first/").await, 404);
 }
@@ -111,7 +111,7 @@
     };
     fleet.store.list("i-a", "s", first.address, "draining");
     for router in 0..2 {
-        until_async("the second serves", async || got_by(router).await == "b").await;
+        wait_until_async("the second serves", async || got_by(router).await == "b").await;
     }
     let before = first.seen().len();
     for router in 0..2 {
@@ -120,7 +120,7 @@
         }
     }
     assert_eq!(first.seen().len(), before);
-    until("its connections are closed when it is off the list", || {
+    wait_until("its connections are closed when it is off the list", || {
         fleet.store.remove("i-a");
         first.open() == 0
     })
@@ -153,9 +153,9 @@
     let request = ClientRequest::get("/slow/", "b-1");
     busy.send(&request.bytes()).await.expect("sent");
     let held = || replica.seen().iter().any(|request| request.id() == "b-1");
-    until("the request is at the replica", held).await;
+    wait_until("the request is at the replica", held).await;
     fleet.routers[0].terminate();
-    until_async("it is not ready", async || !fleet.is_ready(0).await).await;
+    wait_until_async("it is not ready", async || !fleet.is_ready(0).await).await;
     replica.next(ReplicaAnswer::ok("a"));
     // A kept connection still serves, and is told to end.
     let answer = kept.call(&ClientRequest::get("/slow/", "k-2")).await;
@@ -166,10 +166,10 @@
         let answer = Client::ask(fleet.callers[0], &late).await;
         (answer.status, answer.code()) == (503, Some(39))
     };
-    until_async("late requests are refused", refused).await;
+    wait_until_async("late requests are refused", refused).await;
     let answer = busy.answer().await;
     assert!(answer.status == 200 && answer.whole);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
     assert!(
         fleet.routers[0]
             .ended()
@@ -183,7 +183,7 @@
     let path = fleet.settings[0].clone();
     let mut text = std::fs::read_to_string(&path).expect("settings");
     fleet.routers[0].hang_up();
-    until("it reads them again", || {
+    wait_until("it reads them again", || {
         fleet.routers[0]
             .log_text()
             .contains("settings in force again")
@@ -191,7 +191,7 @@
     .await;
     writeln!(text, "[shares]\nwindow = 7 s").expect("text");
     std::fs::write(&path, &text).expect("settings are written");
-    until("it sees the change", || {
+    wait_until("it sees the change", || {
         fleet.routers[0]
             .log_text()
             .matches("settings in force again")
@@ -201,7 +201,7 @@
     .await;
     writeln!(text, "unknown = 1").expect("text");
     std::fs::write(&path, &text).expect("settings are written");
-    until("it refuses a wrong file", || {
+    wait_until("it refuses a wrong file", || {
         fleet.routers[0].log_text().contains("settings refused")
     })
     .await;
@@ -238,7 +238,7 @@
 async fn routers_find_each_other_through_one_seed() {
     let (fleet, _replica) = fleet_of(3).await;
     for router in &fleet.routers {
-        until("it has heard of both others", || {
+        wait_until("it has heard of both others", || {
             router.log_text().matches("router heard of").count() >= 2
         })
         .await;
@@ -264,7 +264,7 @@
         last != Some(true)
     };
     let readers = || (0..5).filter(|router| reads(*router)).collect::<Vec<_>>();
-    until("two of them read", || readers().len() == 2).await;
+    wait_until("two of them read", || readers().len() == 2).await;
     let first = readers();
     for reader in &first {
         fleet.ports[*reader].set(StoreMode::Silent);
@@ -275,7 +275,7 @@
         fleet.serves(router, "/two/", 200).await;
     }
     // Lines are written some time after what they tell, and the news may be there before.
-    until("another reads the store", || {
+    wait_until("another reads the store", || {
         readers().iter().any(|reader| !first.contains(reader))
     })
     .await;
--- a/testbed/tests/direct_requests.rs
+++ b/testbed/tests/direct_requests.rs
@@ -6,7 +6,7 @@
         direct::{
             Client, ClientAnswer, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText,
         },
-        fleet::{program_path, until},
+        fleet::{program_path, wait_until},
     },
     std::time::Duration,
 };
@@ -251,7 +251,7 @@
     assert_eq!((answer.status, answer.code()), (504, Some(58)));
     assert_eq!(runs(&replicas, "id-1"), 1);
     let open = || replicas.iter().map(Replica::open).sum::<usize>();
-    until("the replica is let go", || open() == 0).await;
+    wait_until("the replica is let go", || open() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -318,13 +318,13 @@
         .expect("a connection");
     let request = ClientRequest::post("/charge/", "id-1", "10");
     client.send(&request.bytes()).await.expect("sent");
-    until("the request is at a replica", || {
+    wait_until("the request is at a replica", || {
         runs(&replicas, "id-1") == 1
     })
     .await;
     drop(client);
     let open = || replicas.iter().map(Replica::open).sum::<usize>();
-    until("the replica is let go", || open() == 0).await;
+    wait_until("the replica is let go", || open() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -353,7 +353,7 @@
     assert_eq!(answer.status, 502);
     assert_eq!(runs(&replicas, "id-of-the-lost"), 1);
     let log = fleet.settings[0].with_extension("log");
-    until("the refusal is in the log", || {
+    wait_until("the refusal is in the log", || {
         fleet.routers[0].log_text().contains("not answered")
     })
     .await;
--- a/testbed/tests/direct_streams.rs
+++ b/testbed/tests/direct_streams.rs
@@ -3,7 +3,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until,
+        fleet::wait_until,
     },
     std::time::Duration,
 };
@@ -111,5 +111,5 @@
     assert!(client.wait_for("piece 2").await);
     drop(client);
     let open = || replicas.iter().map(Replica::open).sum::<usize>();
-    until("the replica is let go", || open() == 0).await;
+    wait_until("the replica is let go", || open() == 0).await;
 }
--- a/testbed/tests/early_signals.rs
+++ b/testbed/tests/early_signals.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{DirectFleet, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     tokio::net::TcpStream,
 };
@@ -29,7 +29,7 @@
             tokio::task::yield_now().await;
         }
         fleet.routers[0].hang_up();
-        until_async("it serves, or has ended", async || fleet.is_ready(0).await).await;
+        wait_until_async("it serves, or has ended", async || fleet.is_ready(0).await).await;
         assert!(fleet.routers[0].ended().is_none());
     }
 }
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -2,7 +2,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async},
         standin::{ChatBody, EngineSettings},
     },
     reqwest::{Client, Method, Response},
@@ -184,7 +184,7 @@
     stranger.hosts = fleet.hosts.clone();
     stranger.platform.publish_hosts(&stranger.hosts);
     let router = stranger.routers[0].operator;
-    until_async("the stranger serves", async || {
+    wait_until_async("the stranger serves", async || {
         stranger.is_ready(router).await
     })
     .await;
@@ -229,7 +229,7 @@
             caller.chat(&body).await
         });
     }
-    until("all slots are taken", || fleet.open_runs() == 8).await;
+    wait_until("all slots are taken", || fleet.open_runs() == 8).await;
     let outcomes = callers.join_all().await;
     assert!(outcomes.iter().all(Outcome::is_complete));
 }
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -8,7 +8,7 @@
             Client, ClientAnswer, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText,
             StoreMode,
         },
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -54,7 +54,7 @@
     router: usize,
     replica: &str,
 ) {
-    until_async("the replica serves", async || {
+    wait_until_async("the replica serves", async || {
         answer(fleet, router).await.text() == replica
     })
     .await;
@@ -67,7 +67,7 @@
     emptied: &Replica,
 ) {
     for router in 0..6 {
-        until_async("requests go elsewhere", async || {
+        wait_until_async("requests go elsewhere", async || {
             let answer = answer(fleet, router).await;
             answer.status == 200 && answer.text() != emptied.id
         })
@@ -113,7 +113,7 @@
         let request = ClientRequest::get("/once/", "slow");
         Client::ask(callers, &request).await
     });
-    until_async("the request is at the replica", async || {
+    wait_until_async("the request is at the replica", async || {
         replicas[1].seen().iter().any(|seen| seen.id() == "slow")
     })
     .await;
@@ -130,7 +130,7 @@
         fleet.store.empty_zone(zone);
     }
     for router in 0..6 {
-        until_async("requests are refused", async || {
+        wait_until_async("requests are refused", async || {
             let answer = answer(&fleet, router).await;
             (answer.status, answer.code()) == (503, Some(46))
         })
@@ -160,7 +160,7 @@
     fleet.ports[2].set(StoreMode::Silent);
     fleet.routers[2].kill();
     fleet.routers[2].restart().expect("it starts again");
-    until_async("it is ready again", async || fleet.is_ready(2).await).await;
+    wait_until_async("it is ready again", async || fleet.is_ready(2).await).await;
     let before = replicas[1].seen().len();
     for _ in 0..AFTER {
         assert_eq!(answer(&fleet, 2).await.status, 200);
--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -6,7 +6,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, nonce, until},
+        fleet::{Fleet, FleetPlan, FleetText, nonce, wait_until},
         load::Sampler,
         standin::{ChatBody, EngineSettings},
     },
@@ -117,7 +117,7 @@
     tokens: f64,
 ) -> f64 {
     let before = served(sampler, fleet);
-    until("more is served", || {
+    wait_until("more is served", || {
         served(sampler, fleet) > before + tokens
     })
     .await;
@@ -131,7 +131,7 @@
 ) -> (f64, f64) {
     let mut fleet = Fleet::start(plan).await;
     let load = Load::start(&fleet);
-    until("every account waits and runs", || {
+    wait_until("every account waits and runs", || {
         fleet.run_counts().len() > 200
     })
     .await;
@@ -168,7 +168,7 @@
         for index in 0..2 {
             fleet.routers[index].process.kill();
             let before = fleet.run_counts().len();
-            until("the others serve", || {
+            wait_until("the others serve", || {
                 fleet.run_counts().len() > before + 50
             })
             .await;
@@ -192,7 +192,7 @@
             sidecar.link.update_faults(|faults| faults.drop = 0.3);
         }
         let before = fleet.run_counts().len();
-        until("it goes on", || fleet.run_counts().len() > before + 100).await;
+        wait_until("it goes on", || fleet.run_counts().len() > before + 100).await;
         for sidecar in &fleet.sidecars {
             sidecar.link.update_faults(|faults| faults.drop = 0.0);
         }
@@ -212,7 +212,7 @@
             caller.chat(&body).await
         });
     }
-    until("the flood runs", || fleet.run_counts().len() > 16).await;
+    wait_until("the flood runs", || fleet.run_counts().len() > 16).await;
     for account in ["a2", "a3", "a4", "a5"] {
         let body = ChatBody::new("drafter", "p", &nonce(), TOKENS, false);
         let outcome = fleet.caller(0, account).chat(&body).await;
@@ -235,7 +235,7 @@
         .rule("more", &[("requests", "account = a5"), ("share", "3")]);
     let fleet = Fleet::start(plan).await;
     let load = Load::start(&fleet);
-    until("all run", || fleet.run_counts().len() > 200).await;
+    wait_until("all run", || fleet.run_counts().len() > 200).await;
     let mut by_share = shares();
     by_share.insert("a5".to_owned(), 3.0);
     let sampler = Sampler::begin(&fleet, &by_share);
--- a/testbed/tests/first_reading.rs
+++ b/testbed/tests/first_reading.rs
@@ -2,7 +2,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, ReplicaAnswer, RouteText, StoreMode},
-    fleet::{until, until_async},
+    fleet::{wait_until, wait_until_async},
 };
 
 const ROUTERS: usize = 3;
@@ -31,7 +31,7 @@
         router.restart().expect("starts again");
     }
     for (router, before) in before.iter().enumerate() {
-        until("its first call is lost", || lost(&fleet, router) > *before).await;
+        wait_until("its first call is lost", || lost(&fleet, router) > *before).await;
     }
     let at_return: Vec<usize> = (0..ROUTERS).map(|router| lost(&fleet, router)).collect();
     for port in &fleet.ports {
@@ -39,7 +39,7 @@
     }
     fleet.all_ready().await;
     for (router, at_return) in at_return.into_iter().enumerate() {
-        until_async("the route is served", async || {
+        wait_until_async("the route is served", async || {
             let request = ClientRequest::get("/first/", "asked");
             Client::ask(fleet.callers[router], &request).await.status == 200
         })
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -10,7 +10,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-    fleet::until_async,
+    fleet::wait_until_async,
 };
 
 /// Bytes that another writer may leave, none of which name a replica.
@@ -131,12 +131,12 @@
     fleet.store.put_bytes("servers/i-a", b"\xff\xfe\x00");
     for router in 0..3 {
         // Before that the other one may serve alone, since it was quicker.
-        until_async("the router knows that the replica is gone", async || {
+        wait_until_async("the router knows that the replica is gone", async || {
             let log = fleet.routers[router].log_text();
             log.contains("upstream gone")
         })
         .await;
-        until_async("only the other one serves", async || {
+        wait_until_async("only the other one serves", async || {
             let mut answers = Vec::new();
             for _ in 0..8 {
                 answers.push(got_by(&fleet, router).await);
@@ -152,7 +152,7 @@
     assert_eq!(overwritten.seen().len(), before);
     fleet.store.list("i-a", "s", overwritten.address, "ready");
     other.usually(ReplicaAnswer::NotExecuted { status: 503 });
-    until_async("it serves again", async || got_by(&fleet, 0).await == "a").await;
+    wait_until_async("it serves again", async || got_by(&fleet, 0).await == "a").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -3,7 +3,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::{until, until_async},
+        fleet::{wait_until, wait_until_async},
     },
     std::time::Duration,
 };
@@ -17,7 +17,7 @@
     fleet.store.publish(1, &[plain, chat]);
     fleet.all_ready().await;
     for router in [0, 1] {
-        until("it knows its neighbour and the replica", || {
+        wait_until("it knows its neighbour and the replica", || {
             let log = fleet.routers[router].log_text();
             log.contains("connections are handed on") && log.contains("upstream Ready")
         })
@@ -43,7 +43,7 @@
     for id in ["first-1", "first-2"] {
         let answer = client.call(&ClientRequest::get("/plain/", id)).await;
         assert_eq!((answer.status, answer.text()), (200, "answer".to_owned()));
-        until("the neighbour sent it", || sent_by(&fleet, 1, id)).await;
+        wait_until("the neighbour sent it", || sent_by(&fleet, 1, id)).await;
         assert!(!sent_by(&fleet, 0, id));
         if answer.header("connection") == "close" {
             client = Client::connect(fleet.callers[0]).await.expect("connected");
@@ -59,7 +59,7 @@
     let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
     let request = ClientRequest::get("/plain/", "lost-1");
     client.send(&request.bytes()).await.expect("sent");
-    until("the replica has it", || !replica.seen().is_empty()).await;
+    wait_until("the replica has it", || !replica.seen().is_empty()).await;
     fleet.routers[1].kill();
     let answer = client.answer().await;
     assert_eq!((answer.status, answer.code()), (502, Some(50)));
@@ -68,7 +68,7 @@
     replica.usually(ReplicaAnswer::ok("answer"));
     let own = ClientRequest::get("/plain/", "own-1");
     assert_eq!(Client::ask(fleet.callers[0], &own).await.status, 200);
-    until("it sent it by itself", || sent_by(&fleet, 0, "own-1")).await;
+    wait_until("it sent it by itself", || sent_by(&fleet, 0, "own-1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -82,13 +82,13 @@
     let request = ClientRequest::post("/chat/", "stream-1", "prompt");
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 2").await);
-    until("the neighbour sent it", || sent_by(&fleet, 1, "stream-1")).await;
+    wait_until("the neighbour sent it", || sent_by(&fleet, 1, "stream-1")).await;
     fleet.routers[0].terminate();
     let answer = client.answer().await;
     assert!(answer.status == 200 && answer.whole);
     assert!(answer.text().contains("piece 8"));
     drop(client);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -98,9 +98,9 @@
     let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
     let request = ClientRequest::get("/plain/", "left-1");
     client.send(&request.bytes()).await.expect("sent");
-    until("the replica has it", || replica.open() == 1).await;
+    wait_until("the replica has it", || replica.open() == 1).await;
     drop(client);
-    until("its connection to the replica ends", || replica.open() == 0).await;
+    wait_until("its connection to the replica ends", || replica.open() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,7 +115,7 @@
         drop(client);
         fleet.routers[0].thaw();
         // Connections are taken in their order: what follows is served after it.
-        until_async("a caller that stays is served", async || {
+        wait_until_async("a caller that stays is served", async || {
             let request = ClientRequest::get("/plain/", &stays);
             Client::ask(fleet.callers[0], &request).await.status == 200
         })
@@ -133,7 +133,7 @@
     let settings = settings.replace("hand_on = 0.0", "hand_on = 1.0");
     std::fs::write(&fleet.settings[1], settings).expect("written");
     fleet.routers[1].hang_up();
-    until_async("the neighbour keeps connections", async || {
+    wait_until_async("the neighbour keeps connections", async || {
         let request = ClientRequest::get("/plain/", "own-1");
         let answer = Client::ask(fleet.callers[1], &request).await;
         answer.status == 200 && answer.header("connection") != "close"
@@ -166,10 +166,10 @@
     let mut busy = Client::connect(fleet.callers[0]).await.expect("connected");
     let held = ClientRequest::get("/plain/", "held-1");
     busy.send(&held.bytes()).await.expect("sent");
-    until("the replica has it", || !replica.seen().is_empty()).await;
+    wait_until("the replica has it", || !replica.seen().is_empty()).await;
     fleet.routers[0].terminate();
     let mut refused = 0;
-    until_async(
+    wait_until_async(
         "late requests are refused, or no longer taken",
         async || {
             let late = ClientRequest::get("/plain/", &format!("late-{refused}"));
@@ -188,5 +188,5 @@
     .await;
     assert!(refused > 0, "what came late was handed on, or lost");
     drop(busy);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
 }
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -3,7 +3,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::{collections::HashMap, ops::Range},
 };
@@ -31,7 +31,7 @@
     before: &HashMap<usize, usize>,
 ) -> usize {
     let mut found = None;
-    until_async(text, async || {
+    wait_until_async(text, async || {
         found = routers.iter().copied().find(|router| {
             let count = fleet.routers[*router].log_text().matches(text).count();
             count > before.get(router).copied().unwrap_or(0)
@@ -56,7 +56,7 @@
             .count()
     };
     let before = count();
-    until_async("a part known that was placed by nobody", async || {
+    wait_until_async("a part known that was placed by nobody", async || {
         let part = parts.next().expect("parts enough");
         let answer = Client::ask(fleet.callers[router], &prompt(part)).await;
         assert_eq!(answer.status, 200);
@@ -122,7 +122,7 @@
     replica.tells("-", "a1", 0);
     let asked = replica.events_asked();
     // An answer is taken in before the next call.
-    until_async("asked again", async || replica.events_asked() > asked + 1).await;
+    wait_until_async("asked again", async || replica.events_asked() > asked + 1).await;
     let answer = Client::ask(fleet.callers[0], &prompt(1)).await;
     assert_eq!(answer.status, 200);
     let reads_all = "\"reading_tokens\":3100,";
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -4,7 +4,7 @@
 use {
     archmast::fleet::HostState,
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async},
         standin::{ChatBody, EngineSettings, PlatformFaults},
     },
     std::time::{Duration, Instant},
@@ -83,7 +83,7 @@
     sidecar: usize,
 ) {
     let operator = fleet.sidecars[sidecar].operator;
-    until_async("the sidecar leaves", async || {
+    wait_until_async("the sidecar leaves", async || {
         fleet.status(operator).await.is_some_and(|s| s.leaving)
     })
     .await;
@@ -91,7 +91,7 @@
 
 async fn others_serve(fleet: &Fleet) {
     let before = fleet.sidecars[1].upstream.log().runs().len();
-    until("the other serves", || {
+    wait_until("the other serves", || {
         fleet.sidecars[1].upstream.log().runs().len() > before + 40
     })
     .await;
@@ -179,7 +179,7 @@
             caller.chat(&body).await
         });
     }
-    until("some run at the host", || {
+    wait_until("some run at the host", || {
         fleet.sidecars[0].upstream.log().running_count() >= 1
     })
     .await;
@@ -205,7 +205,7 @@
     let callers = Callers::start(&fleet, &[0, 1], 40);
     others_serve(&fleet).await;
     fleet.sidecars[0].process.terminate();
-    until("it ends", || fleet.sidecars[0].process.ended().is_some()).await;
+    wait_until("it ends", || fleet.sidecars[0].process.ended().is_some()).await;
     others_serve(&fleet).await;
     let outcomes = callers.end().await;
     assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
@@ -227,7 +227,7 @@
         });
     }
     let operator = fleet.routers[0].operator;
-    until_async("all are held", async || {
+    wait_until_async("all are held", async || {
         fleet
             .status(operator)
             .await
@@ -235,7 +235,7 @@
     })
     .await;
     fleet.routers[0].process.terminate();
-    until_async("readiness fails first", async || {
+    wait_until_async("readiness fails first", async || {
         !fleet.is_ready(operator).await
     })
     .await;
@@ -244,7 +244,7 @@
     assert!(after.is_complete() || after.is_not_run(), "{after:?}");
     let outcomes = requests.join_all().await;
     assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
-    until("it ends", || fleet.routers[0].process.ended().is_some()).await;
+    wait_until("it ends", || fleet.routers[0].process.ended().is_some()).await;
     let status = fleet.routers[0].process.ended().expect("it ended");
     assert!(status.success(), "{status}");
 }
@@ -255,9 +255,9 @@
     let callers = Callers::start(&fleet, &[0, 1], 10);
     for index in 0..fleet.sidecars.len() {
         let before = fleet.run_counts().len();
-        until("requests run", || fleet.run_counts().len() > before + 30).await;
+        wait_until("requests run", || fleet.run_counts().len() > before + 30).await;
         fleet.sidecars[index].process.terminate();
-        until("it ends", || {
+        wait_until("it ends", || {
             fleet.sidecars[index].process.ended().is_some()
         })
         .await;
--- a/testbed/tests/leaving_upstreams.rs
+++ b/testbed/tests/leaving_upstreams.rs
@@ -12,7 +12,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, StoreMode},
-    fleet::until_async,
+    fleet::wait_until_async,
 };
 
 fn route(prefix: &'static str) -> RouteText {
@@ -28,12 +28,12 @@
     fleet.store.publish(1, &[route("/first/")]);
     fleet.all_ready().await;
     for router in 0..3 {
-        until_async("both replicas are known", async || {
+        wait_until_async("both replicas are known", async || {
             let log = fleet.routers[router].log_text();
             log.matches("upstream Ready").count() >= 2
         })
         .await;
-        until_async("the first is used", async || {
+        wait_until_async("the first is used", async || {
             got_by(&fleet, router).await == "a"
         })
         .await;
@@ -66,7 +66,7 @@
     for router in 0..3 {
         fleet.serves(router, "/second/", 200).await;
     }
-    until_async("the other one serves", async || {
+    wait_until_async("the other one serves", async || {
         got_by(&fleet, 0).await == "b"
     })
     .await;
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -3,7 +3,9 @@
 
 use {
     archmast_testbed::{
-        fleet::{Caller, Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
+        fleet::{
+            Caller, Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async,
+        },
         standin::{ChatBody, EngineFault, EngineSettings},
     },
     reqwest::Method,
@@ -60,10 +62,10 @@
         });
     }
     let before = fleet.run_counts().len();
-    until("calls run", || fleet.run_counts().len() > before + 50).await;
+    wait_until("calls run", || fleet.run_counts().len() > before + 50).await;
     disturb(fleet).await;
     let before = fleet.run_counts().len();
-    until("calls run again", || fleet.run_counts().len() > before + 50).await;
+    wait_until("calls run again", || fleet.run_counts().len() > before + 50).await;
     stop.send(true).expect("callers listen");
     callers.join_all().await.into_iter().flatten().collect()
 }
@@ -91,7 +93,7 @@
     let outcomes = charges_during(&mut fleet, async |fleet| {
         fleet.sidecars[0].process.kill();
         let before = fleet.run_counts().len();
-        until("the others go on", || {
+        wait_until("the others go on", || {
             fleet.run_counts().len() > before + 50
         })
         .await;
@@ -108,7 +110,7 @@
     let outcomes = charges_during(&mut fleet, async |fleet| {
         fleet.sidecars[0].process.freeze();
         let router = fleet.routers[0].operator;
-        until_async("the router misses it", async || {
+        wait_until_async("the router misses it", async || {
             let status = fleet.status(router).await;
             status.is_some_and(|s| s.peers.iter().all(|peer| peer.host != "p1"))
         })
@@ -126,14 +128,14 @@
     let outcomes = charges_during(&mut fleet, async |fleet| {
         fleet.routers[0].process.freeze();
         let sidecar = fleet.sidecars[0].operator;
-        until_async("the sidecar misses it", async || {
+        wait_until_async("the sidecar misses it", async || {
             let status = fleet.status(sidecar).await;
             status.is_some_and(|s| s.peers.iter().all(|peer| peer.host != "r1"))
         })
         .await;
         fleet.routers[0].process.thaw();
         let router = fleet.routers[0].operator;
-        until_async("the router notices its pause", async || {
+        wait_until_async("the router notices its pause", async || {
             let trail = fleet.audit(router).await;
             trail.iter().any(|entry| entry.what == "paused")
         })
@@ -152,7 +154,7 @@
             fleet.cut(0, sidecar, true);
         }
         let router = fleet.routers[0].operator;
-        until_async("the router misses them", async || {
+        wait_until_async("the router misses them", async || {
             let status = fleet.status(router).await;
             status.is_some_and(|s| s.peers.len() == 1)
         })
@@ -178,7 +180,7 @@
             });
         }
         let before = fleet.run_counts().len();
-        until("calls go on", || fleet.run_counts().len() > before + 100).await;
+        wait_until("calls go on", || fleet.run_counts().len() > before + 100).await;
     })
     .await;
     assert_promises(&fleet.run_counts(), &outcomes);
@@ -192,7 +194,7 @@
         sidecar.upstream.plain().set_service_time(long);
     }
     let request = tokio::spawn(charge(fleet.caller(0, "lot-a"), None));
-    until("it runs", || fleet.open_runs() == 1).await;
+    wait_until("it runs", || fleet.open_runs() == 1).await;
     for sidecar in &fleet.sidecars {
         sidecar.upstream_link.close_connections();
     }
@@ -226,7 +228,7 @@
     }
     let key = Some("charge-17".to_owned());
     let first = tokio::spawn(charge(fleet.caller(0, "lot-a"), key.clone()));
-    until("the first runs", || fleet.open_runs() == 1).await;
+    wait_until("the first runs", || fleet.open_runs() == 1).await;
     let (_, during) = charge(fleet.caller(1, "lot-a"), key.clone()).await;
     assert_eq!(during.code(), Some(40), "{during:?}");
     let (_, outcome) = first.await.expect("a caller");
--- a/testbed/tests/odd_answers.rs
+++ b/testbed/tests/odd_answers.rs
@@ -3,7 +3,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, ConfigText, DirectFleet, RouteText},
-        fleet::until,
+        fleet::wait_until,
     },
     std::{
         sync::{Arc, Mutex},
@@ -127,7 +127,7 @@
             );
         }
     }
-    until("all bodies are read", || {
+    wait_until("all bodies are read", || {
         bodies.lock().expect("lock").read == PAIRS * 2
     })
     .await;
--- a/testbed/tests/plain_services.rs
+++ b/testbed/tests/plain_services.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -23,7 +23,7 @@
         let request = ClientRequest::get("/first/", "probe");
         Client::ask(fleet.callers[0], &request).await.text()
     };
-    until_async("the quick one is asked", async || ask().await == "quick").await;
+    wait_until_async("the quick one is asked", async || ask().await == "quick").await;
     let before = slow.seen().len();
     for _ in 0..40 {
         assert_eq!(ask().await, "quick");
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -2,7 +2,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-    fleet::until,
+    fleet::wait_until,
 };
 
 const ASKED: usize = 20;
@@ -34,7 +34,7 @@
         .publish(1, &[bounded, RouteText::new("/any/", "s", "idempotent")]);
     fleet.all_ready().await;
     let log = || fleet.routers[0].log_text();
-    until("both replicas are known", || {
+    wait_until("both replicas are known", || {
         log().matches("upstream Ready").count() >= 2
     })
     .await;
@@ -50,7 +50,7 @@
     }
     assert!(south.seen().is_empty());
     fleet.store.remove("i-north");
-    until("it is gone", || log().contains("upstream gone")).await;
+    wait_until("it is gone", || log().contains("upstream gone")).await;
     let answer = ask("/bounded/").await;
     assert_eq!((answer.status, answer.code()), (503, Some(29)));
     assert!(answer.retry_after().is_some());
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -7,7 +7,7 @@
             Client, ClientAnswer, ClientRequest, DirectFleet, EndManner, Replica, ReplicaAnswer,
             RouteText, StoreMode,
         },
-        fleet::{until, until_async},
+        fleet::{wait_until, wait_until_async},
     },
     std::time::Duration,
 };
@@ -47,7 +47,7 @@
     replica: &Replica,
     more_than: usize,
 ) {
-    until_async("the replica is asked", async || {
+    wait_until_async("the replica is asked", async || {
         ask(fleet, "/first/").await;
         replica.seen().len() > more_than
     })
@@ -87,10 +87,10 @@
 ) {
     let log = || fleet.routers[0].log_text();
     fleet.store.remove(&replica.id);
-    until("the entry is gone", || log().contains("upstream gone")).await;
+    wait_until("the entry is gone", || log().contains("upstream gone")).await;
     let listed = log().matches("upstream Ready").count();
     fleet.store.list(&replica.id, "s", replica.address, "ready");
-    until("the entry is back", || {
+    wait_until("the entry is back", || {
         log().matches("upstream Ready").count() > listed
     })
     .await;
@@ -176,7 +176,7 @@
         fleet.store.list(&replica.id, "s", replica.address, "ready");
     }
     fleet.all_ready().await;
-    until("both were asked", || {
+    wait_until("both were asked", || {
         let log = fleet.routers[0].log_text();
         log.contains("replica asked what it keeps") && log.contains("did not say what it keeps")
     })
@@ -209,7 +209,7 @@
     let route = RouteText::new("/once/", "s", "non_idempotent");
     fleet.store.publish(1, &[route]);
     fleet.all_ready().await;
-    until("all replicas are known", || {
+    wait_until("all replicas are known", || {
         fleet.routers[0]
             .log_text()
             .matches("upstream Ready")
@@ -221,7 +221,7 @@
         let request = ClientRequest::post("/once/", &format!("try-{tries}"), "unlucky");
         let answer = Client::ask(fleet.callers[0], &request).await;
         assert_eq!(answer.code(), Some(69), "try {tries}");
-        until("its replica's end is noticed", || {
+        wait_until("its replica's end is noticed", || {
             let log = fleet.routers[0].log_text();
             log.matches("a replica has ended whose runs were left")
                 .count()
@@ -247,18 +247,18 @@
     fleet.store.publish(1, &routes);
     fleet.all_ready().await;
     for router in &fleet.routers {
-        until("both replicas are known", || {
+        wait_until("both replicas are known", || {
             router.log_text().matches("upstream Ready").count() >= 2
         })
         .await;
     }
     leaves.set_headers(LEAVES);
-    until_async("the other router is told", async || {
+    wait_until_async("the other router is told", async || {
         Client::ask(fleet.callers[1], &ClientRequest::get("/first/", "asked")).await;
         !leaves.seen().is_empty()
     })
     .await;
-    until("the first hears of it", || {
+    wait_until("the first hears of it", || {
         fleet.routers[0]
             .log_text()
             .contains("a fellow heard that a replica leaves")
@@ -282,7 +282,7 @@
         DirectFleet::with_two_replicas(ReplicaAnswer::ok("whole"), &[single]).await;
     rests.turns_away(Some(3.0));
     let mut refused = None;
-    until_async("a request is turned away", async || {
+    wait_until_async("a request is turned away", async || {
         let answer = ask(&fleet, "/single/").await;
         refused = (answer.status == 503).then_some(answer);
         refused.is_some()
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -18,7 +18,7 @@
             Client, ClientAnswer, ClientRequest, DirectFleet, EndManner, Replica, ReplicaAnswer,
             RouteText,
         },
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -53,7 +53,7 @@
     fleet.store.publish(1, &[once, read]);
     fleet.all_ready().await;
     for router in &fleet.routers {
-        until_async("all replicas are known", async || {
+        wait_until_async("all replicas are known", async || {
             router.log_text().matches("upstream Ready").count() >= REPLICAS
         })
         .await;
@@ -131,7 +131,7 @@
         fleet.store.remove(&replica.id);
     }
     for router in &fleet.routers {
-        until_async("the replicas that ended are off the list", async || {
+        wait_until_async("the replicas that ended are off the list", async || {
             router.log_text().matches("upstream gone").count() >= gone.len()
         })
         .await;
@@ -177,7 +177,7 @@
     let earlier = fleet.routers[2].log_text().len();
     fleet.routers[2].restart().expect("it starts again");
     fleet.all_ready().await;
-    until_async("it was told", async || {
+    wait_until_async("it was told", async || {
         fleet.routers[2].log_text()[earlier..].contains("request held back")
     })
     .await;
@@ -251,7 +251,7 @@
     replicas: &[Replica],
     tries: usize,
 ) {
-    until_async("a replica has ended, and that is known", async || {
+    wait_until_async("a replica has ended, and that is known", async || {
         let logs = fleet.routers.iter().map(|router| router.log_text());
         let noticed = logs.map(|log| log.matches("whose runs were left").count());
         ended(replicas) == tries && noticed.sum::<usize>() >= tries
@@ -282,7 +282,7 @@
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        until_async("it is at a replica", async || {
+        wait_until_async("it is at a replica", async || {
             arrivals(&replicas, FATAL) == tries
         })
         .await;
@@ -306,13 +306,13 @@
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        until_async("it is at a replica", async || {
+        wait_until_async("it is at a replica", async || {
             arrivals(&replicas, "a prompt") == tries
         })
         .await;
     }
     for router in 0..3 {
-        until_async("it is served", async || {
+        wait_until_async("it is served", async || {
             post(&fleet, router, "a prompt").await.status == 200
         })
         .await;
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, event},
-        fleet::until,
+        fleet::wait_until,
         proxy::TcpProxy,
     },
     futures::future::join_all,
@@ -34,7 +34,7 @@
     let charge = RouteText::new("/charge/", "s", "non_idempotent");
     fleet.store.publish(1, &[hasty, charge]);
     fleet.all_ready().await;
-    until("the replica is known", || {
+    wait_until("the replica is known", || {
         fleet.routers[0].log_text().contains("upstream Ready")
     })
     .await;
@@ -81,7 +81,7 @@
     let events = RouteText::new("/events/", "s", "streaming");
     fleet.store.publish(1, &[read, events]);
     fleet.all_ready().await;
-    until("both replicas are known", || {
+    wait_until("both replicas are known", || {
         let log = fleet.routers[0].log_text();
         log.matches("upstream Ready").count() >= 2
     })
@@ -185,7 +185,7 @@
         .await
         .expect("a connection");
     leaves.send(&read("left").bytes()).await.expect("sent");
-    until("the first waits at a replica", || {
+    wait_until("the first waits at a replica", || {
         fleet.routers[0].log_text().contains("\"left\"")
     })
     .await;
@@ -193,7 +193,7 @@
         .await
         .expect("a connection");
     stays.send(&read("stays").bytes()).await.expect("sent");
-    until("the second waits at a replica", || {
+    wait_until("the second waits at a replica", || {
         fleet.routers[0].log_text().contains("\"stays\"")
     })
     .await;
@@ -232,7 +232,7 @@
         proxy.stall_connections();
     }
     let mut read = begun("/read/", "read").await;
-    until("the read waits at a replica", || {
+    wait_until("the read waits at a replica", || {
         fleet.routers[0].log_text().contains("\"read\"")
     })
     .await;
@@ -243,5 +243,5 @@
         assert!(answer.status == 200 && answer.whole, "{answer:?}");
         assert_eq!(answer.text(), whole);
     }
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
 }
--- a/testbed/tests/slow_readers.rs
+++ b/testbed/tests/slow_readers.rs
@@ -3,7 +3,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until,
+        fleet::wait_until,
     },
     std::time::Duration,
 };
@@ -26,7 +26,7 @@
     ];
     fleet.store.publish(1, &routes);
     fleet.all_ready().await;
-    until("the replica is known", || {
+    wait_until("the replica is known", || {
         log(&fleet).contains("upstream Ready")
     })
     .await;
@@ -51,7 +51,7 @@
 async fn a_stream_is_read_on_for_a_caller_that_pauses() {
     let (fleet, _replica) = fleet("128 MB", 24_000).await;
     let mut pauses = begun_stream(&fleet).await;
-    until("the replica's stream is read to its end", || {
+    wait_until("the replica's stream is read to its end", || {
         log(&fleet).contains("stream ended")
     })
     .await;
@@ -68,7 +68,7 @@
     let (fleet, replica) = fleet("16 MB", 400_000).await;
     let mut stuck = begun_stream(&fleet).await;
     replica.usually(ReplicaAnswer::events(3));
-    until("the stream is given up", || {
+    wait_until("the stream is given up", || {
         log(&fleet).contains(r#""code":48"#)
     })
     .await;
@@ -94,7 +94,7 @@
         client.send(sent.as_bytes()).await.expect("is sent");
         slow.push(client);
     }
-    until("bodies are held", || log(&fleet).contains(r#""code":49"#)).await;
+    wait_until("bodies are held", || log(&fleet).contains(r#""code":49"#)).await;
     let request = ClientRequest::post("/events/", "quick", "{}");
     let answer = Client::ask(fleet.callers[0], &request).await;
     assert!((answer.status, answer.whole) == (200, true));
--- a/testbed/tests/slow_starts.rs
+++ b/testbed/tests/slow_starts.rs
@@ -4,7 +4,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -77,7 +77,7 @@
     fleet.store.remove("i-b");
     load(&fleet).await;
     assert!(most_in_a_second(&starts) <= PER_SECOND);
-    until_async("it is used all the same", async || {
+    wait_until_async("it is used all the same", async || {
         load(&fleet).await;
         !starts.seen().is_empty()
     })
@@ -97,7 +97,7 @@
         .store
         .list_slow("z-1", "i-b", "s", slow.address, 600_000);
     // All others are gone, so that what is refused is what it does not bear.
-    until_async("requests are refused", async || {
+    wait_until_async("requests are refused", async || {
         let mut refused = 0;
         for callers in &fleet.callers {
             let answer = Client::ask(*callers, &ClientRequest::get("/first/", "probe")).await;
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -4,7 +4,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, ReplicaAnswer, RouteText},
-    fleet::until_async,
+    fleet::wait_until_async,
 };
 
 /// The number that a request gets while a router does not know what has changed.
@@ -37,7 +37,7 @@
     let stopped = std::time::Instant::now();
     fleet.store.publish(2, &[route("/new/")]);
     fleet.serves(0, "/new/", 200).await;
-    until_async("it stood still for longer than is let pass", async || {
+    wait_until_async("it stood still for longer than is let pass", async || {
         stopped.elapsed() > std::time::Duration::from_millis(2000)
     })
     .await;
@@ -57,7 +57,7 @@
         .filter(|request| request.id().starts_with("late"));
     assert_eq!(late.count(), 0);
     fleet.serves(1, "/new/", 200).await;
-    until_async("it says that it stood still", async || {
+    wait_until_async("it says that it stood still", async || {
         fleet.routers[1].log_text().contains(NOTICED)
     })
     .await;
--- a/testbed/tests/upstream_notices.rs
+++ b/testbed/tests/upstream_notices.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async},
         standin::PlainService,
     },
     reqwest::Method,
@@ -52,7 +52,7 @@
     number: usize,
     more_than: usize,
 ) {
-    until_async("the upstream is called", async || {
+    wait_until_async("the upstream is called", async || {
         call(fleet).await;
         arrivals(fleet, number).len() > more_than
     })
@@ -74,7 +74,7 @@
     }
     assert_eq!(arrivals(&fleet, 0).len(), before);
     fleet.sidecars[0].upstream_link.stop().await;
-    until("its end is noticed", || {
+    wait_until("its end is noticed", || {
         let log = fleet.sidecars[0].process.log_text();
         log.contains("the upstream that left has ended")
     })
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until},
         standin::{ChatBody, EngineFault, EngineSettings},
     },
     std::{sync::Arc, time::Duration},
@@ -136,7 +136,7 @@
         });
     }
     // Of a stream that has not begun the caller would be told that it may have run.
-    until("all that runs at either engine streams", || {
+    wait_until("all that runs at either engine streams", || {
         fleet.sidecars.iter().all(|sidecar| {
             let runs = sidecar.upstream.log().runs();
             !runs.is_empty() && runs.iter().all(|run| run.tokens > 5)
@@ -166,8 +166,8 @@
             caller.chat(&body).await
         });
     }
-    until("all six run", || fleet.open_runs() == 6).await;
-    until("they stream", || {
+    wait_until("all six run", || fleet.open_runs() == 6).await;
+    wait_until("they stream", || {
         fleet.sidecars.iter().any(|sidecar| {
             let runs = sidecar.upstream.log().runs();
             runs.iter().any(|run| run.tokens > 5)
@@ -178,7 +178,7 @@
     let outcomes = requests.join_all().await;
     assert_none_wrong(&outcomes);
     assert!(!outcomes.iter().any(Outcome::is_complete), "{outcomes:?}");
-    until("the engines are free again", || fleet.open_runs() == 0).await;
+    wait_until("the engines are free again", || fleet.open_runs() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -189,7 +189,7 @@
         let body = ChatBody::new("drafter", "prefix", &nonce(), 100_000, true);
         caller.chat(&body).await
     });
-    until("it runs", || fleet.open_runs() == 1).await;
+    wait_until("it runs", || fleet.open_runs() == 1).await;
     request.abort();
-    until("its slot is free", || fleet.open_runs() == 0).await;
+    wait_until("its slot is free", || fleet.open_runs() == 0).await;
 }
