--- a/testbed/src/direct/direct_fleet.rs
+++ b/testbed/src/direct/direct_fleet.rs
@@ -122,7 +122,7 @@
             fleet.replica("i-b", "s", default_answer).await,
         ];
         fleet.store.publish(1, routes);
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
         wait_until_async("both replicas are known", async || {
             let log = fleet.routers[0].log_text();
             log.matches("upstream Ready").count() >= 2
@@ -158,7 +158,7 @@
     }
 
     /// Waits until every router is ready.
-    pub async fn all_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         for router in 0..self.routers.len() {
             wait_until_async("the router is ready", async || self.is_ready(router).await).await;
         }
--- a/testbed/src/fleet/fleet.rs
+++ b/testbed/src/fleet/fleet.rs
@@ -55,7 +55,7 @@
     /// Starts the stand-ins and all processes, and waits until every process is ready.
     pub async fn start(plan: FleetPlan) -> Self {
         let fleet = Self::start_unready(plan).await;
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
         fleet
     }
 
@@ -109,7 +109,7 @@
 
     /// Waits until every process is ready and every router is connected to
     /// every sidecar.
-    pub async fn all_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         for operator in self.operators() {
             wait_until_async("a process is ready", async || self.is_ready(operator).await).await;
         }
@@ -171,7 +171,7 @@
     }
 
     /// Waits until these processes use a revision of the configuration.
-    pub async fn in_force(
+    pub async fn wait_for_revision(
         &self,
         operators: &[SocketAddr],
         revision: u64,
@@ -194,7 +194,7 @@
     }
 
     /// How often each request reached an upstream, by nonce, over all upstreams.
-    pub fn run_counts(&self) -> std::collections::HashMap<String, usize> {
+    pub fn runs_by_nonce(&self) -> std::collections::HashMap<String, usize> {
         let mut counts = std::collections::HashMap::new();
         for sidecar in &self.sidecars {
             for (nonce, count) in sidecar.upstream.log().runs_by_nonce() {
@@ -205,7 +205,7 @@
     }
 
     /// Number of requests that are running on the upstreams now.
-    pub fn open_runs(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.sidecars
             .iter()
             .map(|sidecar| sidecar.upstream.log().running_count())
@@ -227,7 +227,7 @@
     }
 
     /// Blocks all packets between a router and a sidecar, or lets them through again.
-    pub fn cut(
+    pub fn set_partition(
         &self,
         router: usize,
         sidecar: usize,
--- a/testbed/src/measure/revision_time.rs
+++ b/testbed/src/measure/revision_time.rs
@@ -49,6 +49,6 @@
     let revision = fleet
         .platform
         .publish_fleet(fleet.plan.config_text().text());
-    fleet.in_force(&fleet.operators(), revision).await;
+    fleet.wait_for_revision(&fleet.operators(), revision).await;
     started.elapsed()
 }
--- a/testbed/src/measure/zone_loss.rs
+++ b/testbed/src/measure/zone_loss.rs
@@ -64,7 +64,7 @@
     stop.store(true, Ordering::Relaxed);
     let outcomes: Vec<Outcome> = callers.join_all().await.into_iter().flatten().collect();
     let count = |test: fn(&Outcome) -> bool| outcomes.iter().filter(|o| test(o)).count() as u64;
-    let runs: usize = fleet.run_counts().values().sum();
+    let runs: usize = fleet.runs_by_nonce().values().sum();
     let (whole, not_run) = (count(Outcome::is_complete), count(Outcome::is_not_run));
     ZoneLossResult {
         requests: outcomes.len() as u64,
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -78,7 +78,7 @@
         ..RouteText::new("/fatal/", "s", "idempotent")
     };
     fleet.store.publish(1, &[read, fatal]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..fleet.callers.len() {
         fleet.serves(router, "/read/", 200).await;
     }
--- a/testbed/src/soak/soak.rs
+++ b/testbed/src/soak/soak.rs
@@ -27,7 +27,7 @@
     let mut fleet = DirectFleet::start_in_zones(&vec![plan.per_zone; plan.zones], "").await;
     let world = Arc::new(World::start(plan.clone(), &mut fleet).await);
     world.publish();
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..routers {
         fleet.serves(router, Kind::Events.path(), 200).await;
     }
--- a/testbed/tests/configuration.rs
+++ b/testbed/tests/configuration.rs
@@ -122,7 +122,7 @@
     let old = fleet.platform.last_revision();
     let new = fleet.platform.publish_fleet(&with_share(&fleet, 5.0));
     let operators = fleet.operators();
-    fleet.in_force(&operators, new).await;
+    fleet.wait_for_revision(&operators, new).await;
     fleet.platform.set_faults(PlatformFaults {
         stale_at: Some(old),
         ..PlatformFaults::default()
@@ -153,15 +153,17 @@
 async fn a_restart_while_the_platform_is_down_takes_the_configuration_from_a_peer() {
     let mut fleet = Fleet::start(plan()).await;
     let new = fleet.platform.publish_fleet(&with_share(&fleet, 5.0));
-    fleet.in_force(&fleet.operators(), new).await;
+    fleet.wait_for_revision(&fleet.operators(), new).await;
     fleet.platform.set_faults(PlatformFaults {
         down: true,
         ..PlatformFaults::default()
     });
     fleet.sidecars[0].process.kill();
     fleet.sidecars[0].process.restart().expect("it starts");
-    fleet.in_force(&[fleet.sidecars[0].operator], new).await;
-    fleet.all_ready().await;
+    fleet
+        .wait_for_revision(&[fleet.sidecars[0].operator], new)
+        .await;
+    fleet.wait_until_ready().await;
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
     assert!(fleet.caller(0, "lot-a").chat(&body).await.is_complete());
 }
--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -36,7 +36,7 @@
     for replica in &replicas {
         fleet.store.list(&replica.id, "s", replica.address, "ready");
     }
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replicas)
 }
 
@@ -73,7 +73,7 @@
         .store
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
     fleet.store.list("i-a", "s", silent.address, "ready");
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let answer = Client::ask(fleet.callers[0], &prompt("a1", "b1")).await;
     assert_eq!(answer.status, 200);
     until_logged(&fleet, "replica did not say what it keeps", 1).await;
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -28,7 +28,7 @@
     let fleet = DirectFleet::start(count, "").await;
     let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replica)
 }
 
@@ -214,7 +214,7 @@
     let fleet = DirectFleet::start(1, "max_connections = 10\n").await;
     let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let mut clients = Vec::new();
     for _ in 0..30 {
         let mut client = Client::connect(fleet.callers[0])
@@ -252,7 +252,7 @@
     fleet
         .store
         .publish(1, &[RouteText::new("/one/", "s", "idempotent")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let reads = |router: usize| {
         let log = fleet.routers[router].log_text();
         let mut turns = log
--- a/testbed/tests/early_signals.rs
+++ b/testbed/tests/early_signals.rs
@@ -20,7 +20,7 @@
     fleet
         .store
         .publish(1, &[RouteText::new("/read/", "s", "idempotent")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for _ in 0..STARTS {
         fleet.routers[0].kill();
         fleet.routers[0].restart().expect("it starts again");
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -89,7 +89,7 @@
         text.contains("\"code\":32") && text.contains("a-nowhere"),
         "{text}"
     );
-    assert!(fleet.run_counts().is_empty(), "nothing of all this ran");
+    assert!(fleet.runs_by_nonce().is_empty(), "nothing of all this ran");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -121,7 +121,7 @@
         });
     }
     let outcomes = callers.join_all().await;
-    let counts = fleet.run_counts();
+    let counts = fleet.runs_by_nonce();
     let mut refused = 0;
     for (outcome, nonce) in &outcomes {
         match outcome {
@@ -191,7 +191,7 @@
     let body = ChatBody::new("drafter", "p", &nonce(), 1, false);
     let outcome = stranger.caller(0, "hasty").chat(&body).await;
     assert_eq!(outcome.code(), Some(38), "nobody takes it: {outcome:?}");
-    assert!(fleet.run_counts().is_empty());
+    assert!(fleet.runs_by_nonce().is_empty());
     let status = fleet
         .status(fleet.sidecars[0].operator)
         .await
@@ -229,7 +229,7 @@
             caller.chat(&body).await
         });
     }
-    wait_until("all slots are taken", || fleet.open_runs() == 8).await;
+    wait_until("all slots are taken", || fleet.running_count() == 8).await;
     let outcomes = callers.join_all().await;
     assert!(outcomes.iter().all(Outcome::is_complete));
 }
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -39,7 +39,7 @@
     }
     let once = RouteText::new("/once/", "s", "non_idempotent");
     fleet.store.publish(1, &[route("/first/"), once]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..6 {
         let own = ["i-a", "i-b", "i-c"][router / 2];
         serves_by(&fleet, router, own).await;
--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -132,7 +132,7 @@
     let mut fleet = Fleet::start(plan).await;
     let load = Load::start(&fleet);
     wait_until("every account waits and runs", || {
-        fleet.run_counts().len() > 200
+        fleet.runs_by_nonce().len() > 200
     })
     .await;
     let sampler = Sampler::begin(&fleet, &shares());
@@ -167,17 +167,17 @@
     let (once, twice) = gaps(bound_plan(), async |fleet| {
         for index in 0..2 {
             fleet.routers[index].process.kill();
-            let before = fleet.run_counts().len();
+            let before = fleet.runs_by_nonce().len();
             wait_until("the others serve", || {
-                fleet.run_counts().len() > before + 50
+                fleet.runs_by_nonce().len() > before + 50
             })
             .await;
             fleet.routers[index].process.restart().expect("it starts");
-            fleet.all_ready().await;
+            fleet.wait_until_ready().await;
         }
         fleet.sidecars[0].process.kill();
         fleet.sidecars[0].process.restart().expect("it starts");
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
     // While a router is away its callers wait for nothing: not backlogged.
@@ -191,8 +191,8 @@
         for sidecar in &fleet.sidecars {
             sidecar.link.update_faults(|faults| faults.drop = 0.3);
         }
-        let before = fleet.run_counts().len();
-        wait_until("it goes on", || fleet.run_counts().len() > before + 100).await;
+        let before = fleet.runs_by_nonce().len();
+        wait_until("it goes on", || fleet.runs_by_nonce().len() > before + 100).await;
         for sidecar in &fleet.sidecars {
             sidecar.link.update_faults(|faults| faults.drop = 0.0);
         }
@@ -212,14 +212,14 @@
             caller.chat(&body).await
         });
     }
-    wait_until("the flood runs", || fleet.run_counts().len() > 16).await;
+    wait_until("the flood runs", || fleet.runs_by_nonce().len() > 16).await;
     for account in ["a2", "a3", "a4", "a5"] {
         let body = ChatBody::new("drafter", "p", &nonce(), TOKENS, false);
         let outcome = fleet.caller(0, account).chat(&body).await;
         assert!(outcome.is_complete(), "{account}: {outcome:?}");
     }
     assert!(!flood.is_empty());
-    let done = fleet.run_counts().len();
+    let done = fleet.runs_by_nonce().len();
     assert!(
         done < 600,
         "the small accounts did not wait for the flood: {done}"
@@ -235,7 +235,7 @@
         .rule("more", &[("requests", "account = a5"), ("share", "3")]);
     let fleet = Fleet::start(plan).await;
     let load = Load::start(&fleet);
-    wait_until("all run", || fleet.run_counts().len() > 200).await;
+    wait_until("all run", || fleet.runs_by_nonce().len() > 200).await;
     let mut by_share = shares();
     by_share.insert("a5".to_owned(), 3.0);
     let sampler = Sampler::begin(&fleet, &by_share);
--- a/testbed/tests/first_reading.rs
+++ b/testbed/tests/first_reading.rs
@@ -18,7 +18,7 @@
     fleet
         .store
         .publish(1, &[RouteText::new("/first/", "s", "idempotent")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for port in &fleet.ports {
         port.set(StoreMode::Silent);
     }
@@ -37,7 +37,7 @@
     for port in &fleet.ports {
         port.set(StoreMode::Well);
     }
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for (router, at_return) in at_return.into_iter().enumerate() {
         wait_until_async("the route is served", async || {
             let request = ClientRequest::get("/first/", "asked");
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -71,7 +71,7 @@
         fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await,
     ];
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replicas)
 }
 
@@ -118,7 +118,7 @@
     }
     let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..2 {
         fleet.serves(router, "/first/", 200).await;
     }
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -15,7 +15,7 @@
     let plain = RouteText::new("/plain/", "s", "non_idempotent");
     let chat = RouteText::new("/chat/", "s", "streaming");
     fleet.store.publish(1, &[plain, chat]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in [0, 1] {
         wait_until("it knows its neighbour and the replica", || {
             let log = fleet.routers[router].log_text();
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -72,7 +72,7 @@
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     fleet.store.list("i-a", "s", replica.address, "ready");
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let all = [0, 1, 2];
     let follower = until_one_logs(&fleet, &all, FOLLOWS, &HashMap::new()).await;
     (0..1000).for_each(|part| replica.tells("+", &format!("a{part:x}"), 3000));
@@ -99,7 +99,7 @@
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     fleet.store.list("i-a", "s", replica.address, "ready");
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let refused = "replica does not say what it keeps";
     until_one_logs(&fleet, &[0], refused, &HashMap::new()).await;
     for own in [1, 1] {
@@ -117,7 +117,7 @@
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     fleet.store.list("i-a", "s", replica.address, "ready");
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     until_one_logs(&fleet, &[0], "replica asked what it keeps", &HashMap::new()).await;
     replica.tells("-", "a1", 0);
     let asked = replica.events_asked();
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -254,15 +254,15 @@
     let mut fleet = Fleet::start(plan()).await;
     let callers = Callers::start(&fleet, &[0, 1], 10);
     for index in 0..fleet.sidecars.len() {
-        let before = fleet.run_counts().len();
-        wait_until("requests run", || fleet.run_counts().len() > before + 30).await;
+        let before = fleet.runs_by_nonce().len();
+        wait_until("requests run", || fleet.runs_by_nonce().len() > before + 30).await;
         fleet.sidecars[index].process.terminate();
         wait_until("it ends", || {
             fleet.sidecars[index].process.ended().is_some()
         })
         .await;
         fleet.sidecars[index].process.restart().expect("it starts");
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     }
     let outcomes = callers.end().await;
     assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
--- a/testbed/tests/leaving_upstreams.rs
+++ b/testbed/tests/leaving_upstreams.rs
@@ -26,7 +26,7 @@
     let leaves = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
     let stays = fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..3 {
         wait_until_async("both replicas are known", async || {
             let log = fleet.routers[router].log_text();
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -61,11 +61,14 @@
             outcomes
         });
     }
-    let before = fleet.run_counts().len();
-    wait_until("calls run", || fleet.run_counts().len() > before + 50).await;
+    let before = fleet.runs_by_nonce().len();
+    wait_until("calls run", || fleet.runs_by_nonce().len() > before + 50).await;
     disturb(fleet).await;
-    let before = fleet.run_counts().len();
-    wait_until("calls run again", || fleet.run_counts().len() > before + 50).await;
+    let before = fleet.runs_by_nonce().len();
+    wait_until("calls run again", || {
+        fleet.runs_by_nonce().len() > before + 50
+    })
+    .await;
     stop.send(true).expect("callers listen");
     callers.join_all().await.into_iter().flatten().collect()
 }
@@ -92,16 +95,16 @@
     let mut fleet = Fleet::start(plan()).await;
     let outcomes = charges_during(&mut fleet, async |fleet| {
         fleet.sidecars[0].process.kill();
-        let before = fleet.run_counts().len();
+        let before = fleet.runs_by_nonce().len();
         wait_until("the others go on", || {
-            fleet.run_counts().len() > before + 50
+            fleet.runs_by_nonce().len() > before + 50
         })
         .await;
         fleet.sidecars[0].process.restart().expect("it starts");
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_promises(&fleet.run_counts(), &outcomes);
+    assert_promises(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,10 +119,10 @@
         })
         .await;
         fleet.sidecars[0].process.thaw();
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_promises(&fleet.run_counts(), &outcomes);
+    assert_promises(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -140,10 +143,10 @@
             trail.iter().any(|entry| entry.what == "paused")
         })
         .await;
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_promises(&fleet.run_counts(), &outcomes);
+    assert_promises(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -151,7 +154,7 @@
     let mut fleet = Fleet::start(plan()).await;
     let outcomes = charges_during(&mut fleet, async |fleet| {
         for sidecar in 0..2 {
-            fleet.cut(0, sidecar, true);
+            fleet.set_partition(0, sidecar, true);
         }
         let router = fleet.routers[0].operator;
         wait_until_async("the router misses them", async || {
@@ -160,12 +163,12 @@
         })
         .await;
         for sidecar in 0..2 {
-            fleet.cut(0, sidecar, false);
+            fleet.set_partition(0, sidecar, false);
         }
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_promises(&fleet.run_counts(), &outcomes);
+    assert_promises(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -179,11 +182,11 @@
                 faults.reorder = 0.2;
             });
         }
-        let before = fleet.run_counts().len();
-        wait_until("calls go on", || fleet.run_counts().len() > before + 100).await;
+        let before = fleet.runs_by_nonce().len();
+        wait_until("calls go on", || fleet.runs_by_nonce().len() > before + 100).await;
     })
     .await;
-    assert_promises(&fleet.run_counts(), &outcomes);
+    assert_promises(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -194,7 +197,7 @@
         sidecar.upstream.plain().set_service_time(long);
     }
     let request = tokio::spawn(charge(fleet.caller(0, "lot-a"), None));
-    wait_until("it runs", || fleet.open_runs() == 1).await;
+    wait_until("it runs", || fleet.running_count() == 1).await;
     for sidecar in &fleet.sidecars {
         sidecar.upstream_link.close_connections();
     }
@@ -203,7 +206,7 @@
         panic!("{outcome:?}");
     };
     assert_eq!(ran, "unknown");
-    assert_eq!(fleet.run_counts()[&nonce], 1);
+    assert_eq!(fleet.runs_by_nonce()[&nonce], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -214,7 +217,7 @@
     }
     let (nonce, outcome) = charge(fleet.caller(0, "lot-a"), None).await;
     if outcome.is_not_run() {
-        assert_eq!(fleet.run_counts().get(&nonce), None);
+        assert_eq!(fleet.runs_by_nonce().get(&nonce), None);
     }
     assert!(!outcome.is_complete());
 }
@@ -228,7 +231,7 @@
     }
     let key = Some("charge-17".to_owned());
     let first = tokio::spawn(charge(fleet.caller(0, "lot-a"), key.clone()));
-    wait_until("the first runs", || fleet.open_runs() == 1).await;
+    wait_until("the first runs", || fleet.running_count() == 1).await;
     let (_, during) = charge(fleet.caller(1, "lot-a"), key.clone()).await;
     assert_eq!(during.code(), Some(40), "{during:?}");
     let (_, outcome) = first.await.expect("a caller");
@@ -237,7 +240,7 @@
     assert_eq!(after.code(), Some(41), "{after:?}");
     let (_, other) = charge(fleet.caller(1, "lot-b"), key).await;
     assert!(other.is_complete(), "another account's key is another key");
-    assert_eq!(fleet.run_counts().values().sum::<usize>(), 2);
+    assert_eq!(fleet.runs_by_nonce().values().sum::<usize>(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -247,7 +250,7 @@
     let (nonce, outcome) = charge(fleet.caller(0, "lot-a"), Some("k".to_owned())).await;
     assert_eq!(outcome.code(), Some(42), "{outcome:?}");
     assert!(outcome.is_not_run());
-    assert_eq!(fleet.run_counts().get(&nonce), None);
+    assert_eq!(fleet.runs_by_nonce().get(&nonce), None);
     let (_, unkeyed) = charge(fleet.caller(0, "lot-a"), None).await;
     assert!(unkeyed.is_complete(), "{unkeyed:?}");
 }
--- a/testbed/tests/odd_answers.rs
+++ b/testbed/tests/odd_answers.rs
@@ -100,7 +100,7 @@
         max_body: LONG_BODY,
         ..ConfigText::new(1, &once)
     });
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, listener)
 }
 
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -32,7 +32,7 @@
     fleet
         .store
         .publish(1, &[bounded, RouteText::new("/any/", "s", "idempotent")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let log = || fleet.routers[0].log_text();
     wait_until("both replicas are known", || {
         log().matches("upstream Ready").count() >= 2
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -175,7 +175,7 @@
     for replica in [&rests, &awake] {
         fleet.store.list(&replica.id, "s", replica.address, "ready");
     }
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     wait_until("both were asked", || {
         let log = fleet.routers[0].log_text();
         log.contains("replica asked what it keeps") && log.contains("did not say what it keeps")
@@ -208,7 +208,7 @@
     }
     let route = RouteText::new("/once/", "s", "non_idempotent");
     fleet.store.publish(1, &[route]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     wait_until("all replicas are known", || {
         fleet.routers[0]
             .log_text()
@@ -245,7 +245,7 @@
         RouteText::new("/once/", "s", "non_idempotent"),
     ];
     fleet.store.publish(1, &routes);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in &fleet.routers {
         wait_until("both replicas are known", || {
             router.log_text().matches("upstream Ready").count() >= 2
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -51,7 +51,7 @@
     };
     let read = RouteText::new("/read/", "s", "idempotent");
     fleet.store.publish(1, &[once, read]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in &fleet.routers {
         wait_until_async("all replicas are known", async || {
             router.log_text().matches("upstream Ready").count() >= REPLICAS
@@ -176,7 +176,7 @@
     fleet.routers[2].kill();
     let earlier = fleet.routers[2].log_text().len();
     fleet.routers[2].restart().expect("it starts again");
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     wait_until_async("it was told", async || {
         fleet.routers[2].log_text()[earlier..].contains("request held back")
     })
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -33,7 +33,7 @@
     };
     let charge = RouteText::new("/charge/", "s", "non_idempotent");
     fleet.store.publish(1, &[hasty, charge]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     wait_until("the replica is known", || {
         fleet.routers[0].log_text().contains("upstream Ready")
     })
@@ -80,7 +80,7 @@
     let read = RouteText::new("/read/", "s", "idempotent");
     let events = RouteText::new("/events/", "s", "streaming");
     fleet.store.publish(1, &[read, events]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     wait_until("both replicas are known", || {
         let log = fleet.routers[0].log_text();
         log.matches("upstream Ready").count() >= 2
--- a/testbed/tests/slow_readers.rs
+++ b/testbed/tests/slow_readers.rs
@@ -25,7 +25,7 @@
         RouteText::new("/other/", "other", "idempotent"),
     ];
     fleet.store.publish(1, &routes);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     wait_until("the replica is known", || {
         log(&fleet).contains("upstream Ready")
     })
--- a/testbed/tests/slow_starts.rs
+++ b/testbed/tests/slow_starts.rs
@@ -32,7 +32,7 @@
     fleet
         .store
         .publish_slow_starts(1, &[route()], PER_SECOND as f64);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replicas)
 }
 
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -22,7 +22,7 @@
     let fleet = DirectFleet::start(2, "").await;
     let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("served")).await;
     fleet.store.publish(1, &[route("/old/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..2 {
         fleet.serves(router, "/old/", 200).await;
     }
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -166,7 +166,7 @@
             caller.chat(&body).await
         });
     }
-    wait_until("all six run", || fleet.open_runs() == 6).await;
+    wait_until("all six run", || fleet.running_count() == 6).await;
     wait_until("they stream", || {
         fleet.sidecars.iter().any(|sidecar| {
             let runs = sidecar.upstream.log().runs();
@@ -178,7 +178,7 @@
     let outcomes = requests.join_all().await;
     assert_none_wrong(&outcomes);
     assert!(!outcomes.iter().any(Outcome::is_complete), "{outcomes:?}");
-    wait_until("the engines are free again", || fleet.open_runs() == 0).await;
+    wait_until("the engines are free again", || fleet.running_count() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -189,7 +189,7 @@
         let body = ChatBody::new("drafter", "prefix", &nonce(), 100_000, true);
         caller.chat(&body).await
     });
-    wait_until("it runs", || fleet.open_runs() == 1).await;
+    wait_until("it runs", || fleet.running_count() == 1).await;
     request.abort();
-    wait_until("its slot is free", || fleet.open_runs() == 0).await;
+    wait_until("its slot is free", || fleet.running_count() == 0).await;
 }
