--- a/testbed/src/fleet/process.rs
+++ b/testbed/src/fleet/process.rs
@@ -66,7 +66,7 @@
     }
 
     /// Sets the program file that the next restart uses.
-    pub fn become_build(
+    pub fn set_program(
         &mut self,
         program: &Path,
     ) {
@@ -96,7 +96,7 @@
     }
 
     /// Sends SIGHUP, upon which the program reads its settings file again.
-    pub fn hang_up(&self) {
+    pub fn signal_reload(&self) {
         self.signal(Signal::HUP);
     }
 
@@ -111,7 +111,7 @@
     }
 
     /// Its exit status, none while it runs.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
--- a/testbed/src/soak/inflict.rs
+++ b/testbed/src/soak/inflict.rs
@@ -131,7 +131,7 @@
         let mut process = self.routers[router].lock().await;
         let began = Instant::now();
         process.terminate();
-        while process.ended().is_none() {
+        while process.exit_status().is_none() {
             sleep(LOOK).await;
         }
         process.restart().expect("the router starts again");
@@ -147,10 +147,10 @@
     ) -> Instant {
         let mut process = self.routers[router].lock().await;
         let began = Instant::now();
-        process.hang_up();
+        process.signal_reload();
         let is_young = began.duration_since(process.started()) < YOUNG;
         sleep(LOOK).await;
-        if is_young && process.ended().is_some() {
+        if is_young && process.exit_status().is_some() {
             process.restart().expect("the router starts again");
             let span = FaultSpan {
                 fault: Fault::KillRouter(router),
--- a/testbed/src/soak/operator_inflict.rs
+++ b/testbed/src/soak/operator_inflict.rs
@@ -109,10 +109,10 @@
     ) {
         let mut process = self.routers[router].lock().await;
         process.terminate();
-        while process.ended().is_none() {
+        while process.exit_status().is_none() {
             sleep(LOOK).await;
         }
-        process.become_build(program);
+        process.set_program(program);
         process.restart().expect("the router starts again");
     }
 }
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -169,10 +169,13 @@
     wait_until_async("late requests are refused", refused).await;
     let answer = busy.answer().await;
     assert!(answer.status == 200 && answer.whole);
-    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
     assert!(
         fleet.routers[0]
-            .ended()
+            .exit_status()
             .is_some_and(|status| status.success())
     );
 }
@@ -182,7 +185,7 @@
     let (mut fleet, _replica) = fleet_of(1).await;
     let path = fleet.settings[0].clone();
     let mut text = std::fs::read_to_string(&path).expect("settings");
-    fleet.routers[0].hang_up();
+    fleet.routers[0].signal_reload();
     wait_until("it reads them again", || {
         fleet.routers[0]
             .log_text()
@@ -205,7 +208,7 @@
         fleet.routers[0].log_text().contains("settings refused")
     })
     .await;
-    assert!(fleet.routers[0].ended().is_none());
+    assert!(fleet.routers[0].exit_status().is_none());
     assert_eq!(status(&fleet, 0, "/first/").await, 200);
 }
 
--- a/testbed/tests/early_signals.rs
+++ b/testbed/tests/early_signals.rs
@@ -28,8 +28,8 @@
         while TcpStream::connect(callers).await.is_err() {
             tokio::task::yield_now().await;
         }
-        fleet.routers[0].hang_up();
+        fleet.routers[0].signal_reload();
         wait_until_async("it serves, or has ended", async || fleet.is_ready(0).await).await;
-        assert!(fleet.routers[0].ended().is_none());
+        assert!(fleet.routers[0].exit_status().is_none());
     }
 }
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -88,7 +88,10 @@
     assert!(answer.status == 200 && answer.whole);
     assert!(answer.text().contains("piece 8"));
     drop(client);
-    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -132,7 +135,7 @@
     let settings = std::fs::read_to_string(&fleet.settings[1]).expect("settings");
     let settings = settings.replace("hand_on = 0.0", "hand_on = 1.0");
     std::fs::write(&fleet.settings[1], settings).expect("written");
-    fleet.routers[1].hang_up();
+    fleet.routers[1].signal_reload();
     wait_until_async("the neighbour keeps connections", async || {
         let request = ClientRequest::get("/plain/", "own-1");
         let answer = Client::ask(fleet.callers[1], &request).await;
@@ -188,5 +191,8 @@
     .await;
     assert!(refused > 0, "what came late was handed on, or lost");
     drop(busy);
-    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
 }
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -192,7 +192,7 @@
 async fn says_leaving_or_gone(fleet: &mut Fleet) {
     let operator = fleet.sidecars[0].operator;
     loop {
-        let gone = fleet.sidecars[0].process.ended().is_some();
+        let gone = fleet.sidecars[0].process.exit_status().is_some();
         if gone || fleet.status(operator).await.is_some_and(|s| s.leaving) {
             return;
         }
@@ -205,11 +205,14 @@
     let callers = Callers::start(&fleet, &[0, 1], 40);
     others_serve(&fleet).await;
     fleet.sidecars[0].process.terminate();
-    wait_until("it ends", || fleet.sidecars[0].process.ended().is_some()).await;
+    wait_until("it ends", || {
+        fleet.sidecars[0].process.exit_status().is_some()
+    })
+    .await;
     others_serve(&fleet).await;
     let outcomes = callers.end().await;
     assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
-    let status = fleet.sidecars[0].process.ended().expect("it ended");
+    let status = fleet.sidecars[0].process.exit_status().expect("it ended");
     assert!(status.success(), "{status}");
 }
 
@@ -244,8 +247,11 @@
     assert!(after.is_complete() || after.is_not_run(), "{after:?}");
     let outcomes = requests.join_all().await;
     assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
-    wait_until("it ends", || fleet.routers[0].process.ended().is_some()).await;
-    let status = fleet.routers[0].process.ended().expect("it ended");
+    wait_until("it ends", || {
+        fleet.routers[0].process.exit_status().is_some()
+    })
+    .await;
+    let status = fleet.routers[0].process.exit_status().expect("it ended");
     assert!(status.success(), "{status}");
 }
 
@@ -258,7 +264,7 @@
         wait_until("requests run", || fleet.runs_by_nonce().len() > before + 30).await;
         fleet.sidecars[index].process.terminate();
         wait_until("it ends", || {
-            fleet.sidecars[index].process.ended().is_some()
+            fleet.sidecars[index].process.exit_status().is_some()
         })
         .await;
         fleet.sidecars[index].process.restart().expect("it starts");
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -243,5 +243,8 @@
         assert!(answer.status == 200 && answer.whole, "{answer:?}");
         assert_eq!(answer.text(), whole);
     }
-    wait_until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
 }
