--- a/testbed/src/command/fairness.rs
+++ b/testbed/src/command/fairness.rs
@@ -66,7 +66,7 @@
     FleetPlan::new(text)
         .routers(4)
         .engines(20, engine)
-        .one_way(Duration::from_millis(1))
+        .one_way_delay(Duration::from_millis(1))
 }
 
 fn print_result(
--- a/testbed/src/direct/direct_fleet.rs
+++ b/testbed/src/direct/direct_fleet.rs
@@ -84,7 +84,7 @@
             _folder: folder,
         };
         for (index, peer) in peers.iter().enumerate() {
-            let port = StorePort::start(fleet.loopback.standins, store.clone()).await;
+            let port = StorePort::start(fleet.loopback.standin_ip, store.clone()).await;
             let free = || fleet.loopback.free_tcp().expect("a free port");
             let (callers, ready, operator) = (free(), free(), free());
             let update_listen = fleet.loopback.free_udp().expect("a free port");
@@ -133,7 +133,7 @@
 
     /// The IP address on which stand-ins listen.
     pub fn standins(&self) -> IpAddr {
-        self.loopback.standins
+        self.loopback.standin_ip
     }
 
     /// Starts a replica and lists it as ready in the store, in the first zone.
@@ -143,7 +143,7 @@
         service: &str,
         default_answer: ReplicaAnswer,
     ) -> Replica {
-        let replica = Replica::start(self.loopback.standins, id, default_answer).await;
+        let replica = Replica::start(self.loopback.standin_ip, id, default_answer).await;
         self.store.list(id, service, replica.address, "ready");
         replica
     }
--- a/testbed/src/fleet/deployments.rs
+++ b/testbed/src/fleet/deployments.rs
@@ -171,7 +171,7 @@
     let text = shares.iter().fold(text, |text, (account, share)| {
         text.account(account, *share, default_class, "")
     });
-    FleetPlan::new(text).one_way(Duration::from_millis(1))
+    FleetPlan::new(text).one_way_delay(Duration::from_millis(1))
 }
 
 fn deployment(
--- a/testbed/src/fleet/fleet.rs
+++ b/testbed/src/fleet/fleet.rs
@@ -64,7 +64,7 @@
     pub async fn start_unready(plan: FleetPlan) -> Self {
         install_crypto();
         let loopback = Loopback::new();
-        let ip = loopback.standins;
+        let ip = loopback.standin_ip;
         let folder =
             std::env::temp_dir().join(format!("archmast-{}", ip.to_string().replace('.', "-")));
         if folder.exists() {
--- a/testbed/src/fleet/loopback.rs
+++ b/testbed/src/fleet/loopback.rs
@@ -17,7 +17,7 @@
 /// outgoing connections, so that nothing else takes a port between the time it is found
 /// free and the time a process binds it.
 pub struct Loopback {
-    pub standins: IpAddr,
+    pub standin_ip: IpAddr,
     processes: IpAddr,
     given: Mutex<HashSet<u16>>, // ports already handed out
 }
@@ -37,7 +37,7 @@
         let (high, low) = ((1 + (process >> 8) % 250) as u8, (process % 256) as u8);
         let address = |last| IpAddr::V4(Ipv4Addr::new(127, high, low, last));
         Self {
-            standins: address(number + 1),
+            standin_ip: address(number + 1),
             processes: address(number + 2),
             given: Mutex::default(),
         }
--- a/testbed/src/fleet/plan.rs
+++ b/testbed/src/fleet/plan.rs
@@ -41,7 +41,7 @@
     pub config: FleetText,                       // without the hosts' labels
     pub router_settings: Vec<(String, String)>,  // section.key and value
     pub sidecar_settings: Vec<(String, String)>, // section.key and value
-    pub one_way: Duration, // delay added to each packet between routers and sidecars
+    pub one_way_delay: Duration, // delay added to each packet between routers and sidecars
 }
 
 impl FleetPlan {
@@ -122,11 +122,11 @@
     }
 
     /// Delays every packet between routers and sidecars by this much.
-    pub fn one_way(
+    pub fn one_way_delay(
         mut self,
         delay: Duration,
     ) -> Self {
-        self.one_way = delay;
+        self.one_way_delay = delay;
         self
     }
 
--- a/testbed/src/fleet/starter.rs
+++ b/testbed/src/fleet/starter.rs
@@ -112,7 +112,7 @@
         let proxy = UdpProxy::start(self.ip, target)
             .await
             .expect("a proxy can start");
-        let delay = self.plan.one_way;
+        let delay = self.plan.one_way_delay;
         proxy.update_faults(|faults| faults.delay = delay);
         proxy
     }
--- a/testbed/src/measure/ahead.rs
+++ b/testbed/src/measure/ahead.rs
@@ -35,7 +35,7 @@
     let plan = FleetPlan::new(text)
         .routers(2)
         .plains(3, 4, Duration::from_millis(20))
-        .one_way(Duration::from_millis(1))
+        .one_way_delay(Duration::from_millis(1))
         .set_sidecar("upstream.ahead", &ahead.to_string());
     let fleet = Fleet::start(plan).await;
     let stop = Arc::new(AtomicBool::new(false));
--- a/testbed/src/measure/prefix.rs
+++ b/testbed/src/measure/prefix.rs
@@ -50,7 +50,7 @@
     let plan = FleetPlan::new(text)
         .routers(2)
         .engines(4, engine)
-        .one_way(Duration::from_millis(1))
+        .one_way_delay(Duration::from_millis(1))
         .set_router("dispatch.prefix_slack", slack);
     let fleet = Fleet::start(plan).await;
     let shares: BTreeMap<String, f64> = (1..=4).map(|n| (format!("a{n}"), 1.0)).collect();
