--- a/testbed/src/direct/client.rs
+++ b/testbed/src/direct/client.rs
@@ -95,7 +95,7 @@
     }
 
     /// Sends one request on a new connection and reads its answer.
-    pub async fn ask(
+    pub async fn call_once(
         address: SocketAddr,
         request: &ClientRequest,
     ) -> ClientAnswer {
@@ -183,7 +183,7 @@
             status: status.unwrap_or(0),
             headers,
             body,
-            whole,
+            is_complete: whole,
         }
     }
 
@@ -239,6 +239,6 @@
         status: 0,
         headers: HashMap::new(),
         body: Vec::new(),
-        whole: false,
+        is_complete: false,
     }
 }
--- a/testbed/src/direct/client_answer.rs
+++ b/testbed/src/direct/client_answer.rs
@@ -6,7 +6,7 @@
     pub status: u16,                      // 0 if the connection ended before the head did
     pub headers: HashMap<String, String>, // names in lower case
     pub body: Vec<u8>,
-    pub whole: bool, // the body was received up to its declared end
+    pub is_complete: bool, // the body was received up to its declared end
 }
 
 impl ClientAnswer {
--- a/testbed/src/direct/config_text.rs
+++ b/testbed/src/direct/config_text.rs
@@ -8,9 +8,9 @@
 pub struct ConfigText<'c> {
     pub version: u64,
     pub routes: &'c [RouteText],
-    pub keys: &'c [&'c str], // API keys of the account
-    pub details: Value,      // JSON object of fields that are added to each service
-    pub max_body: usize,     // bytes of a request's body
+    pub keys: &'c [&'c str],   // API keys of the account
+    pub service_fields: Value, // JSON object of fields that are added to each service
+    pub max_body: usize,       // bytes of a request's body
 }
 
 impl<'c> ConfigText<'c> {
@@ -23,7 +23,7 @@
             version,
             routes,
             keys: &["key-1"],
-            details: json!({}),
+            service_fields: json!({}),
             max_body: 64 << 10,
         }
     }
@@ -52,7 +52,7 @@
             "name": route.service, "health_path": "/health", "max_connections": 100,
             "protocol": "h1",
         });
-        for (name, value) in self.details.as_object().into_iter().flatten() {
+        for (name, value) in self.service_fields.as_object().into_iter().flatten() {
             service[name] = value.clone();
         }
         service
--- a/testbed/src/direct/direct_fleet.rs
+++ b/testbed/src/direct/direct_fleet.rs
@@ -11,11 +11,11 @@
 /// vectors are indexed by router.
 pub struct DirectFleet {
     pub store: Store,
-    pub ports: Vec<StorePort>, // each router has its own
+    pub store_ports: Vec<StorePort>, // each router has its own
     pub routers: Vec<Process>,
-    pub callers: Vec<SocketAddr>, // HTTP addresses for callers
-    pub ready: Vec<SocketAddr>,   // addresses of the readiness check
-    pub settings: Vec<PathBuf>,   // settings files
+    pub caller_addresses: Vec<SocketAddr>, // HTTP addresses for callers
+    pub ready_addresses: Vec<SocketAddr>,  // addresses of the readiness check
+    pub settings: Vec<PathBuf>,            // settings files
     loopback: Loopback,
     _folder: Folder,
 }
@@ -75,10 +75,10 @@
         let seeds: Vec<String> = seeds.collect();
         let mut fleet = Self {
             store: store.clone(),
-            ports: Vec::new(),
+            store_ports: Vec::new(),
             routers: Vec::new(),
-            callers: Vec::new(),
-            ready: Vec::new(),
+            caller_addresses: Vec::new(),
+            ready_addresses: Vec::new(),
             settings: Vec::new(),
             loopback,
             _folder: folder,
@@ -102,9 +102,9 @@
             let log = fleet._folder.0.join(format!("router-{index}.log"));
             let process = Process::start_with("archmast-router", &["--direct"], &settings, &log);
             fleet.routers.push(process.expect("the router starts"));
-            fleet.ports.push(port);
-            fleet.callers.push(callers);
-            fleet.ready.push(ready);
+            fleet.store_ports.push(port);
+            fleet.caller_addresses.push(callers);
+            fleet.ready_addresses.push(ready);
             fleet.settings.push(settings);
         }
         fleet
@@ -118,8 +118,10 @@
     ) -> (Self, [Replica; 2]) {
         let fleet = Self::start(1, "").await;
         let replicas = [
-            fleet.replica("i-a", "s", default_answer.clone()).await,
-            fleet.replica("i-b", "s", default_answer).await,
+            fleet
+                .start_replica("i-a", "s", default_answer.clone())
+                .await,
+            fleet.start_replica("i-b", "s", default_answer).await,
         ];
         fleet.store.publish(1, routes);
         fleet.wait_until_ready().await;
@@ -137,7 +139,7 @@
     }
 
     /// Starts a replica and lists it as ready in the store, in the first zone.
-    pub async fn replica(
+    pub async fn start_replica(
         &self,
         id: &str,
         service: &str,
@@ -154,7 +156,10 @@
         router: usize,
     ) -> bool {
         let request = ClientRequest::get("/v1/ready", "ready");
-        Client::ask(self.ready[router], &request).await.status == 200
+        Client::call_once(self.ready_addresses[router], &request)
+            .await
+            .status
+            == 200
     }
 
     /// Waits until every router is ready.
@@ -165,7 +170,7 @@
     }
 
     /// Waits until a router answers requests for a path with this status.
-    pub async fn serves(
+    pub async fn wait_until_served(
         &self,
         router: usize,
         path: &str,
@@ -173,7 +178,10 @@
     ) {
         wait_until_async("the path is served", async || {
             let request = ClientRequest::get(path, "probe");
-            Client::ask(self.callers[router], &request).await.status == status
+            Client::call_once(self.caller_addresses[router], &request)
+                .await
+                .status
+                == status
         })
         .await;
     }
--- a/testbed/src/direct/store.rs
+++ b/testbed/src/direct/store.rs
@@ -58,7 +58,7 @@
         routes: &[RouteText],
     ) {
         self.publish_config(&ConfigText {
-            details: json!({"engine": {"slots": 8, "kv_capacity_tokens": 100_000}}),
+            service_fields: json!({"engine": {"slots": 8, "kv_capacity_tokens": 100_000}}),
             ..ConfigText::new(version, routes)
         });
     }
@@ -72,7 +72,7 @@
         per_second: f64,
     ) {
         self.publish_config(&ConfigText {
-            details: json!({"cold_start_s": 3.0, "cold_per_s": per_second}),
+            service_fields: json!({"cold_start_s": 3.0, "cold_per_s": per_second}),
             ..ConfigText::new(version, routes)
         });
     }
--- a/testbed/src/measure/request_costs.rs
+++ b/testbed/src/measure/request_costs.rs
@@ -73,7 +73,9 @@
     requests: usize,
 ) {
     let callers = (0..CONNECTIONS).map(|_| async {
-        let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+        let mut client = Client::connect(fleet.caller_addresses[0])
+            .await
+            .expect("connected");
         for _ in 0..requests / CONNECTIONS {
             let answer = client.call(request).await;
             assert_eq!(answer.status, status, "{}", answer.text());
--- a/testbed/src/soak/callers.rs
+++ b/testbed/src/soak/callers.rs
@@ -121,5 +121,5 @@
 }
 
 fn may_go_on(answer: &ClientAnswer) -> bool {
-    answer.status != 0 && answer.whole && answer.header("connection") != "close"
+    answer.status != 0 && answer.is_complete && answer.header("connection") != "close"
 }
--- a/testbed/src/soak/checks.rs
+++ b/testbed/src/soak/checks.rs
@@ -82,7 +82,7 @@
 /// A success must be the replica's whole answer to this very request.
 fn mixed(attempt: &Attempt) -> Option<String> {
     let answer = attempt.answer.as_ref()?;
-    if answer.status != 200 || !answer.whole {
+    if answer.status != 200 || !answer.is_complete {
         return None;
     }
     if answer.header("archmast-attempt-id") != attempt.id {
@@ -117,7 +117,7 @@
     if is_starved(record, attempt, answer) {
         return None;
     }
-    let served = answer.status == 200 && answer.whole;
+    let served = answer.status == 200 && answer.is_complete;
     let crossed = answer.status == 0 && !ran;
     let refused = NOT_RUN.contains(&answer.status);
     let calm = !record.spans.iter().any(|span| touching(&span));
@@ -127,7 +127,7 @@
             "got {} (code {:?}, whole: {}) with ran = {ran}",
             answer.status,
             answer.code(),
-            answer.whole
+            answer.is_complete
         )
     })
 }
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -79,13 +79,13 @@
     };
     fleet.store.publish(1, &[read, fatal]);
     fleet.wait_until_ready().await;
-    for router in 0..fleet.callers.len() {
-        fleet.serves(router, "/read/", 200).await;
+    for router in 0..fleet.caller_addresses.len() {
+        fleet.wait_until_served(router, "/read/", 200).await;
     }
     let stop = watch::Sender::new(false);
     let tally: Arc<Mutex<Tally>> = Arc::default();
     let mut work = JoinSet::new();
-    for (number, router) in fleet.callers.clone().into_iter().enumerate() {
+    for (number, router) in fleet.caller_addresses.clone().into_iter().enumerate() {
         for caller in 0..CALLERS {
             let random = StdRng::seed_from_u64(seed ^ ((number * CALLERS + caller) as u64) << 32);
             let harmless = harmless(kind, router, random, stop.subscribe(), tally.clone());
@@ -94,7 +94,11 @@
     }
     if kind != EndingKind::CutOff {
         let random = StdRng::seed_from_u64(seed);
-        work.spawn(fatal_again(fleet.callers.clone(), random, stop.subscribe()));
+        work.spawn(fatal_again(
+            fleet.caller_addresses.clone(),
+            random,
+            stop.subscribe(),
+        ));
     }
     let seen = play(&mut fleet, kind, seed, length, places).await;
     stop.send_replace(true);
@@ -276,7 +280,7 @@
         let id = format!("{:016x}", random.random::<u64>());
         sent.spawn(async move {
             let request = ClientRequest::post("/fatal/", &id, FATAL);
-            let answer = timeout(GIVES_UP, Client::ask(router, &request)).await;
+            let answer = timeout(GIVES_UP, Client::call_once(router, &request)).await;
             log::debug!("{id}: {:?}", answer.map(|answer| answer.status));
         });
         sleep(FATAL_EVERY).await;
--- a/testbed/src/soak/notice_check.rs
+++ b/testbed/src/soak/notice_check.rs
@@ -64,7 +64,8 @@
         let sender = record.sender(&attempt.id, &seen.replica);
         let answer = attempt.answer.as_ref();
         (attempt.router == router || sender == Some(router))
-            && answer.is_some_and(|answer| answer.whole && answer.header("server-leaving") == "1")
+            && answer
+                .is_some_and(|answer| answer.is_complete && answer.header("server-leaving") == "1")
     });
     let told = passed_on.map(|attempt| attempt.ended).min()?;
     let late = arrivals.iter().find(|(arrival, _)| {
--- a/testbed/src/soak/soak.rs
+++ b/testbed/src/soak/soak.rs
@@ -29,7 +29,9 @@
     world.publish();
     fleet.wait_until_ready().await;
     for router in 0..routers {
-        fleet.serves(router, Kind::Events.path(), 200).await;
+        fleet
+            .wait_until_served(router, Kind::Events.path(), 200)
+            .await;
     }
     let callers = Callers::start(seed, &world.caller_addresses(), plan.callers);
     let lateness = Lateness::start();
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -85,13 +85,13 @@
         }
         let routers = std::mem::take(&mut fleet.routers);
         let mut proxies = Vec::new();
-        for router in &fleet.callers {
+        for router in &fleet.caller_addresses {
             proxies.push(TcpProxy::start(ip, *router).await.expect("a free port"));
         }
         Self {
             store: fleet.store.clone(),
-            ports: std::mem::take(&mut fleet.ports),
-            callers: fleet.callers.clone(),
+            ports: std::mem::take(&mut fleet.store_ports),
+            callers: fleet.caller_addresses.clone(),
             routers: routers.into_iter().map(AsyncMutex::new).collect(),
             slots,
             proxies,
@@ -334,7 +334,7 @@
     address: SocketAddr,
     path: &str,
 ) -> u16 {
-    Client::ask(address, &ClientRequest::post(path, "probe", "{}"))
+    Client::call_once(address, &ClientRequest::post(path, "probe", "{}"))
         .await
         .status
 }
@@ -344,7 +344,7 @@
     address: SocketAddr,
     path: &str,
 ) -> bool {
-    let answer = Client::ask(address, &ClientRequest::post(path, "probe", "{}")).await;
+    let answer = Client::call_once(address, &ClientRequest::post(path, "probe", "{}")).await;
     let knows_nothing = answer.text().contains(NO_CONFIGURATION);
     answer.status != 0 && answer.status != 404 && !knows_nothing
 }
--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -57,7 +57,7 @@
     until_logged(&fleet, "replica asked what it keeps", 2).await;
     for (index, shared) in SHARED.iter().enumerate() {
         let own = format!("b{index}");
-        let answer = Client::ask(fleet.callers[0], &prompt(shared, &own)).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &prompt(shared, &own)).await;
         assert_eq!(answer.status, 200);
     }
     assert_eq!(replicas[0].seen().len(), 0);
@@ -74,7 +74,7 @@
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
     fleet.store.list("i-a", "s", silent.address, "ready");
     fleet.wait_until_ready().await;
-    let answer = Client::ask(fleet.callers[0], &prompt("a1", "b1")).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &prompt("a1", "b1")).await;
     assert_eq!(answer.status, 200);
     until_logged(&fleet, "replica did not say what it keeps", 1).await;
 }
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -21,12 +21,16 @@
     path: &str,
 ) -> u16 {
     let request = ClientRequest::get(path, "probe");
-    Client::ask(fleet.callers[router], &request).await.status
+    Client::call_once(fleet.caller_addresses[router], &request)
+        .await
+        .status
 }
 
 async fn fleet_of(count: usize) -> (DirectFleet, Replica) {
     let fleet = DirectFleet::start(count, "").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
     fleet.wait_until_ready().await;
     (fleet, replica)
@@ -39,7 +43,11 @@
         status(&fleet, 0, "/first/").await != 0
     })
     .await;
-    let answer = Client::ask(fleet.callers[0], &ClientRequest::get("/first/", "x")).await;
+    let answer = Client::call_once(
+        fleet.caller_addresses[0],
+        &ClientRequest::get("/first/", "x"),
+    )
+    .await;
     assert_eq!((answer.status, answer.code()), (503, Some(25)));
     assert!(!fleet.is_ready(0).await);
 }
@@ -51,14 +59,14 @@
         .store
         .publish_with_keys(4, &[route("/second/")], &["key-1", "key-2"]);
     for router in 0..2 {
-        fleet.serves(router, "/second/", 200).await;
+        fleet.wait_until_served(router, "/second/", 200).await;
         assert_eq!(status(&fleet, router, "/first/").await, 404);
     }
     fleet
         .store
         .publish_with_keys(5, &[route("/second/")], &["key-2"]);
     for router in 0..2 {
-        fleet.serves(router, "/second/", 401).await;
+        fleet.wait_until_served(router, "/second/", 401).await;
     }
 }
 
@@ -66,48 +74,52 @@
 async fn a_router_that_the_store_turns_away_learns_from_its_peers() {
     for mode in [StoreMode::Busy, StoreMode::Many, StoreMode::Silent] {
         let (fleet, replica) = fleet_of(2).await;
-        fleet.ports[1].set(mode);
+        fleet.store_ports[1].set(mode);
         fleet.store.publish(7, &[route("/second/")]);
-        fleet.serves(1, "/second/", 200).await;
+        fleet.wait_until_served(1, "/second/", 200).await;
         fleet.store.list("i-a", "s", replica.address, "draining");
-        fleet.serves(1, "/second/", 503).await;
+        fleet.wait_until_served(1, "/second/", 503).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_starts_anew_without_the_store_learns_from_its_peers() {
     let (mut fleet, _replica) = fleet_of(2).await;
-    fleet.ports[1].set(StoreMode::Silent);
+    fleet.store_ports[1].set(StoreMode::Silent);
     fleet.routers[1].kill();
     fleet.store.publish(9, &[route("/second/")]);
-    fleet.serves(0, "/second/", 200).await;
+    fleet.wait_until_served(0, "/second/", 200).await;
     fleet.routers[1].restart().expect("it starts again");
     wait_until_async("it is ready again", async || fleet.is_ready(1).await).await;
-    fleet.serves(1, "/second/", 200).await;
+    fleet.wait_until_served(1, "/second/", 200).await;
     assert_eq!(status(&fleet, 1, "/first/").await, 404);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_forgot_its_history_is_read_anew() {
     let (fleet, replica) = fleet_of(1).await;
-    fleet.ports[0].set(StoreMode::Busy);
+    fleet.store_ports[0].set(StoreMode::Busy);
     fleet.store.remove("i-a");
     fleet.store.publish(3, &[route("/second/")]);
     fleet.store.forget_history();
-    fleet.ports[0].set(StoreMode::Well);
-    fleet.serves(0, "/second/", 503).await;
+    fleet.store_ports[0].set(StoreMode::Well);
+    fleet.wait_until_served(0, "/second/", 503).await;
     fleet.store.list("i-b", "s", replica.address, "ready");
     replica.become_another("i-b");
-    fleet.serves(0, "/second/", 200).await;
+    fleet.wait_until_served(0, "/second/", 200).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_drains_or_is_gone_gets_nothing_more() {
     let (fleet, first) = fleet_of(2).await;
-    let second = fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await;
+    let second = fleet
+        .start_replica("i-b", "s", ReplicaAnswer::ok("b"))
+        .await;
     let got_by = async |router: usize| {
         let request = ClientRequest::get("/first/", "probe");
-        Client::ask(fleet.callers[router], &request).await.text()
+        Client::call_once(fleet.caller_addresses[router], &request)
+            .await
+            .text()
     };
     fleet.store.list("i-a", "s", first.address, "draining");
     for router in 0..2 {
@@ -139,15 +151,15 @@
     fleet
         .store
         .publish(2, &[RouteText::new("/slow/", "s", "non_idempotent")]);
-    fleet.serves(0, "/slow/", 200).await;
-    let mut kept = Client::connect(fleet.callers[0])
+    fleet.wait_until_served(0, "/slow/", 200).await;
+    let mut kept = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     assert_eq!(
         kept.call(&ClientRequest::get("/slow/", "k-1")).await.status,
         200
     );
-    let mut busy = Client::connect(fleet.callers[0])
+    let mut busy = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::get("/slow/", "b-1");
@@ -163,12 +175,12 @@
     // What comes too late to be done is refused at once, with the proof.
     let refused = async || {
         let late = ClientRequest::get("/nowhere/", "late");
-        let answer = Client::ask(fleet.callers[0], &late).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &late).await;
         (answer.status, answer.code()) == (503, Some(39))
     };
     wait_until_async("late requests are refused", refused).await;
     let answer = busy.answer().await;
-    assert!(answer.status == 200 && answer.whole);
+    assert!(answer.status == 200 && answer.is_complete);
     wait_until("it stops by itself", || {
         fleet.routers[0].exit_status().is_some()
     })
@@ -215,12 +227,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_at_rest_are_closed_when_there_are_too_many() {
     let fleet = DirectFleet::start(1, "max_connections = 10\n").await;
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
     fleet.wait_until_ready().await;
     let mut clients = Vec::new();
     for _ in 0..30 {
-        let mut client = Client::connect(fleet.callers[0])
+        let mut client = Client::connect(fleet.caller_addresses[0])
             .await
             .expect("a connection");
         let answer = client.call(&ClientRequest::get("/first/", "x")).await;
@@ -251,7 +265,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn two_of_five_routers_read_the_store_and_others_when_these_cannot() {
     let fleet = DirectFleet::start(5, "").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet
         .store
         .publish(1, &[RouteText::new("/one/", "s", "idempotent")]);
@@ -270,12 +286,12 @@
     wait_until("two of them read", || readers().len() == 2).await;
     let first = readers();
     for reader in &first {
-        fleet.ports[*reader].set(StoreMode::Silent);
+        fleet.store_ports[*reader].set(StoreMode::Silent);
     }
     let routes = ["/one/", "/two/"].map(|path| RouteText::new(path, "s", "idempotent"));
     fleet.store.publish(2, &routes);
     for router in 0..5 {
-        fleet.serves(router, "/two/", 200).await;
+        fleet.wait_until_served(router, "/two/", 200).await;
     }
     // Lines are written some time after what they tell, and the news may be there before.
     wait_until("another reads the store", || {
--- a/testbed/tests/direct_requests.rs
+++ b/testbed/tests/direct_requests.rs
@@ -50,7 +50,7 @@
     fleet: &DirectFleet,
     request: ClientRequest,
 ) -> ClientAnswer {
-    Client::ask(fleet.callers[0], &request).await
+    Client::call_once(fleet.caller_addresses[0], &request).await
 }
 
 fn runs(
@@ -135,7 +135,7 @@
         format!("{head}X-Folded: a\r\n b\r\nContent-Length: 0\r\n\r\n{inner}"),
     ];
     for (number, case) in cases.iter().enumerate() {
-        let mut client = Client::connect(fleet.callers[0])
+        let mut client = Client::connect(fleet.caller_addresses[0])
             .await
             .expect("a connection");
         client.send(case.as_bytes()).await.expect("sent");
@@ -202,7 +202,7 @@
         replicas[chosen].next(trouble.clone());
         let answer = ask(&fleet, ClientRequest::get("/read/", &id)).await;
         assert!(
-            answer.status == 200 && answer.whole,
+            answer.status == 200 && answer.is_complete,
             "{trouble:?}: {answer:?}"
         );
         assert!((1..=2).contains(&runs(&replicas, &id)), "{trouble:?}");
@@ -273,7 +273,7 @@
         body: "mine".to_owned(),
     };
     let (fleet, replicas) = two_replicas(surplus).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     for number in 0..20 {
@@ -313,7 +313,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_client_that_leaves_stops_the_work() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::Silent).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/charge/", "id-1", "10");
@@ -330,7 +330,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_in_chunks_arrive_whole() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::get("/read/", "id-1").header("Transfer-Encoding", "chunked");
--- a/testbed/tests/direct_streams.rs
+++ b/testbed/tests/direct_streams.rs
@@ -36,7 +36,7 @@
         pause: Duration::from_millis(100),
     };
     let (fleet, _replicas) = two_replicas(slow).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/chat/", "id-1", "prompt");
@@ -53,8 +53,8 @@
     ] {
         let (fleet, replicas) = two_replicas(trouble.clone()).await;
         let first = ClientRequest::post("/chat/", "id-1", "prompt");
-        let answer = Client::ask(fleet.callers[0], &first).await;
-        assert!(answer.status == 200 && answer.whole, "{trouble:?}");
+        let answer = Client::call_once(fleet.caller_addresses[0], &first).await;
+        assert!(answer.status == 200 && answer.is_complete, "{trouble:?}");
         assert_eq!(answer.text(), events(1..=9), "{trouble:?}");
         let mut starts = starts(&replicas);
         starts.sort();
@@ -75,9 +75,9 @@
 async fn a_stream_that_runs_once_is_cut_visibly() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::EventsCut { after: 4, last: 9 }).await;
     let request = ClientRequest::post("/digest/", "id-1", "prompt");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     assert_eq!(answer.status, 200);
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.text(), events(1..=4));
     assert_eq!(starts(&replicas).len(), 1);
 }
@@ -86,7 +86,7 @@
 async fn a_stream_that_ends_before_its_first_event_is_a_plain_error() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::EventsCut { after: 0, last: 9 }).await;
     let request = ClientRequest::post("/digest/", "id-1", "prompt");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     assert_eq!((answer.status, answer.code()), (502, Some(51)));
     assert_eq!(starts(&replicas).len(), 1);
 }
@@ -95,7 +95,7 @@
 async fn a_client_takes_a_stream_up_where_it_was() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::events(6)).await;
     let request = ClientRequest::post("/chat/", "id-1", "prompt").header("Last-Event-Id", "3");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     assert_eq!(answer.text(), events(4..=6));
     assert_eq!(starts(&replicas), ["3"]);
 }
@@ -103,7 +103,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_client_left_stops() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::EventsStall { after: 2, last: 9 }).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/digest/", "id-1", "prompt");
--- a/testbed/tests/early_signals.rs
+++ b/testbed/tests/early_signals.rs
@@ -16,7 +16,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_listens_lives_on_when_told_of_new_settings() {
     let mut fleet = DirectFleet::start(1, "").await;
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("served")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("served"))
+        .await;
     fleet
         .store
         .publish(1, &[RouteText::new("/read/", "s", "idempotent")]);
@@ -24,7 +26,7 @@
     for _ in 0..STARTS {
         fleet.routers[0].kill();
         fleet.routers[0].restart().expect("it starts again");
-        let callers = fleet.callers[0];
+        let callers = fleet.caller_addresses[0];
         while TcpStream::connect(callers).await.is_err() {
             tokio::task::yield_now().await;
         }
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -25,7 +25,7 @@
     router: usize,
 ) -> ClientAnswer {
     let request = ClientRequest::get("/first/", "probe");
-    Client::ask(fleet.callers[router], &request).await
+    Client::call_once(fleet.caller_addresses[router], &request).await
 }
 
 /// Two routers in each of three zones, with one replica a zone that says its name.
@@ -108,10 +108,10 @@
         after: Duration::from_millis(1500),
     };
     replicas[1].next(slow);
-    let callers = fleet.callers[2];
+    let callers = fleet.caller_addresses[2];
     let running = tokio::spawn(async move {
         let request = ClientRequest::get("/once/", "slow");
-        Client::ask(callers, &request).await
+        Client::call_once(callers, &request).await
     });
     wait_until_async("the request is at the replica", async || {
         replicas[1].seen().iter().any(|seen| seen.id() == "slow")
@@ -157,7 +157,7 @@
     let (mut fleet, replicas) = fleet().await;
     fleet.store.empty_zone("z-1");
     gets_nothing(&fleet, &replicas[1]).await;
-    fleet.ports[2].set(StoreMode::Silent);
+    fleet.store_ports[2].set(StoreMode::Silent);
     fleet.routers[2].kill();
     fleet.routers[2].restart().expect("it starts again");
     wait_until_async("it is ready again", async || fleet.is_ready(2).await).await;
@@ -172,7 +172,7 @@
 async fn a_zone_cut_off_from_the_store_hears_of_it_from_another_zone() {
     let (fleet, replicas) = fleet().await;
     for port in [2, 3] {
-        fleet.ports[port].set(StoreMode::Silent);
+        fleet.store_ports[port].set(StoreMode::Silent);
     }
     is_emptied_and_taken_back(&fleet, &replicas[1]).await;
 }
@@ -182,12 +182,12 @@
     let (fleet, replicas) = fleet().await;
     fleet.store.empty_zone("z-1");
     gets_nothing(&fleet, &replicas[1]).await;
-    for port in &fleet.ports {
+    for port in &fleet.store_ports {
         port.set(StoreMode::Busy);
     }
     fleet.store.take_zone_back("z-1");
     fleet.store.forget_history();
-    for port in &fleet.ports {
+    for port in &fleet.store_ports {
         port.set(StoreMode::Well);
     }
     for router in [2, 3] {
--- a/testbed/tests/first_reading.rs
+++ b/testbed/tests/first_reading.rs
@@ -14,12 +14,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn routers_that_know_nothing_serve_as_soon_as_the_store_speaks() {
     let mut fleet = DirectFleet::start(ROUTERS, "").await;
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("whole")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("whole"))
+        .await;
     fleet
         .store
         .publish(1, &[RouteText::new("/first/", "s", "idempotent")]);
     fleet.wait_until_ready().await;
-    for port in &fleet.ports {
+    for port in &fleet.store_ports {
         port.set(StoreMode::Silent);
     }
     let lost = |fleet: &DirectFleet, router: usize| {
@@ -34,14 +36,17 @@
         wait_until("its first call is lost", || lost(&fleet, router) > *before).await;
     }
     let at_return: Vec<usize> = (0..ROUTERS).map(|router| lost(&fleet, router)).collect();
-    for port in &fleet.ports {
+    for port in &fleet.store_ports {
         port.set(StoreMode::Well);
     }
     fleet.wait_until_ready().await;
     for (router, at_return) in at_return.into_iter().enumerate() {
         wait_until_async("the route is served", async || {
             let request = ClientRequest::get("/first/", "asked");
-            Client::ask(fleet.callers[router], &request).await.status == 200
+            Client::call_once(fleet.caller_addresses[router], &request)
+                .await
+                .status
+                == 200
         })
         .await;
         // No call that was sent into the silence was waited for to its end.
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -60,15 +60,21 @@
     router: usize,
 ) -> String {
     let request = ClientRequest::get("/first/", "probe");
-    Client::ask(fleet.callers[router], &request).await.text()
+    Client::call_once(fleet.caller_addresses[router], &request)
+        .await
+        .text()
 }
 
 /// Three routers that know two replicas.
 async fn fleet() -> (DirectFleet, [Replica; 2]) {
     let fleet = DirectFleet::start(3, "").await;
     let replicas = [
-        fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await,
-        fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await,
+        fleet
+            .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+            .await,
+        fleet
+            .start_replica("i-b", "s", ReplicaAnswer::ok("b"))
+            .await,
     ];
     fleet.store.publish(1, &[route("/first/")]);
     fleet.wait_until_ready().await;
@@ -84,8 +90,8 @@
     fleet
         .store
         .publish(version, &[route("/first/"), route(prefix)]);
-    for router in 0..fleet.callers.len() {
-        fleet.serves(router, prefix, 200).await;
+    for router in 0..fleet.caller_addresses.len() {
+        fleet.wait_until_served(router, prefix, 200).await;
     }
 }
 
@@ -116,11 +122,13 @@
             .store
             .put_bytes(key, br#"{"service":"s","address":"127.0.0.1:9","zone":"z","slots":4,"state":"ready","sequence":1}"#);
     }
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
     fleet.wait_until_ready().await;
     for router in 0..2 {
-        fleet.serves(router, "/first/", 200).await;
+        fleet.wait_until_served(router, "/first/", 200).await;
     }
     follows(&fleet, 2, "/second/").await;
 }
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -11,7 +11,9 @@
 /// Two routers that hand on whatever callers of their own bring, and a replica.
 async fn fleet_that_hands_on() -> (DirectFleet, Replica) {
     let fleet = DirectFleet::start(2, "hand_on = 0.0\n").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("answer")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("answer"))
+        .await;
     let plain = RouteText::new("/plain/", "s", "non_idempotent");
     let chat = RouteText::new("/chat/", "s", "streaming");
     fleet.store.publish(1, &[plain, chat]);
@@ -39,14 +41,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_busy_routers_callers_are_served_by_its_neighbour_and_handed_on_once() {
     let (fleet, replica) = fleet_that_hands_on().await;
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     for id in ["first-1", "first-2"] {
         let answer = client.call(&ClientRequest::get("/plain/", id)).await;
         assert_eq!((answer.status, answer.text()), (200, "answer".to_owned()));
         wait_until("the neighbour sent it", || sent_by(&fleet, 1, id)).await;
         assert!(!sent_by(&fleet, 0, id));
         if answer.header("connection") == "close" {
-            client = Client::connect(fleet.callers[0]).await.expect("connected");
+            client = Client::connect(fleet.caller_addresses[0])
+                .await
+                .expect("connected");
         }
     }
     assert_eq!(replica.seen().len(), 2);
@@ -56,18 +62,25 @@
 async fn a_caller_whose_neighbour_is_gone_is_told_that_the_outcome_is_unknown() {
     let (mut fleet, replica) = fleet_that_hands_on().await;
     replica.usually(ReplicaAnswer::Silent);
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let request = ClientRequest::get("/plain/", "lost-1");
     client.send(&request.bytes()).await.expect("sent");
     wait_until("the replica has it", || !replica.seen().is_empty()).await;
     fleet.routers[1].kill();
     let answer = client.answer().await;
     assert_eq!((answer.status, answer.code()), (502, Some(50)));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     // With nobody to hand on to, the router serves for itself again.
     replica.usually(ReplicaAnswer::ok("answer"));
     let own = ClientRequest::get("/plain/", "own-1");
-    assert_eq!(Client::ask(fleet.callers[0], &own).await.status, 200);
+    assert_eq!(
+        Client::call_once(fleet.caller_addresses[0], &own)
+            .await
+            .status,
+        200
+    );
     wait_until("it sent it by itself", || sent_by(&fleet, 0, "own-1")).await;
 }
 
@@ -78,14 +91,16 @@
         last: 8,
         pause: Duration::from_millis(200),
     });
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let request = ClientRequest::post("/chat/", "stream-1", "prompt");
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 2").await);
     wait_until("the neighbour sent it", || sent_by(&fleet, 1, "stream-1")).await;
     fleet.routers[0].terminate();
     let answer = client.answer().await;
-    assert!(answer.status == 200 && answer.whole);
+    assert!(answer.status == 200 && answer.is_complete);
     assert!(answer.text().contains("piece 8"));
     drop(client);
     wait_until("it stops by itself", || {
@@ -98,7 +113,9 @@
 async fn a_caller_that_leaves_ends_its_request_behind_the_neighbour_too() {
     let (fleet, replica) = fleet_that_hands_on().await;
     replica.usually(ReplicaAnswer::Silent);
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let request = ClientRequest::get("/plain/", "left-1");
     client.send(&request.bytes()).await.expect("sent");
     wait_until("the replica has it", || replica.open() == 1).await;
@@ -112,7 +129,9 @@
     for round in 0..20 {
         let (left, stays) = (format!("left-{round}"), format!("stays-{round}"));
         fleet.routers[0].freeze();
-        let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+        let mut client = Client::connect(fleet.caller_addresses[0])
+            .await
+            .expect("connected");
         let request = ClientRequest::get("/plain/", &left);
         client.send(&request.bytes()).await.expect("sent");
         drop(client);
@@ -120,7 +139,10 @@
         // Connections are taken in their order: what follows is served after it.
         wait_until_async("a caller that stays is served", async || {
             let request = ClientRequest::get("/plain/", &stays);
-            Client::ask(fleet.callers[0], &request).await.status == 200
+            Client::call_once(fleet.caller_addresses[0], &request)
+                .await
+                .status
+                == 200
         })
         .await;
         let seen = replica.seen();
@@ -138,11 +160,13 @@
     fleet.routers[1].signal_reload();
     wait_until_async("the neighbour keeps connections", async || {
         let request = ClientRequest::get("/plain/", "own-1");
-        let answer = Client::ask(fleet.callers[1], &request).await;
+        let answer = Client::call_once(fleet.caller_addresses[1], &request).await;
         answer.status == 200 && answer.header("connection") != "close"
     })
     .await;
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     for id in ["kept-1", "kept-2"] {
         let answer = client.call(&ClientRequest::get("/plain/", id)).await;
         assert_eq!((answer.status, answer.header("connection")), (200, ""));
@@ -156,7 +180,7 @@
     assert!(client.wait_for("piece 2").await);
     // All routers of these tests have one address: it is the first that stops.
     fleet.routers[0].terminate();
-    assert!(client.answer().await.whole);
+    assert!(client.answer().await.is_complete);
     // What came on it now might not be done before the router in between is killed: it
     // ends without waiting for another request, and without a word.
     assert!(client.is_closed_by_router().await);
@@ -166,7 +190,9 @@
 async fn a_router_that_stops_hands_nothing_on_that_it_would_refuse() {
     let (mut fleet, replica) = fleet_that_hands_on().await;
     replica.usually(ReplicaAnswer::Silent);
-    let mut busy = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut busy = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let held = ClientRequest::get("/plain/", "held-1");
     busy.send(&held.bytes()).await.expect("sent");
     wait_until("the replica has it", || !replica.seen().is_empty()).await;
@@ -176,7 +202,7 @@
         "late requests are refused, or no longer taken",
         async || {
             let late = ClientRequest::get("/plain/", &format!("late-{refused}"));
-            let mut client = match Client::connect(fleet.callers[0]).await {
+            let mut client = match Client::connect(fleet.caller_addresses[0]).await {
                 Ok(client) => client,
                 Err(_) => return refused > 0,
             };
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -58,7 +58,7 @@
     let before = count();
     wait_until_async("a part known that was placed by nobody", async || {
         let part = parts.next().expect("parts enough");
-        let answer = Client::ask(fleet.callers[router], &prompt(part)).await;
+        let answer = Client::call_once(fleet.caller_addresses[router], &prompt(part)).await;
         assert_eq!(answer.status, 200);
         count() > before
     })
@@ -103,7 +103,7 @@
     let refused = "replica does not say what it keeps";
     until_one_logs(&fleet, &[0], refused, &HashMap::new()).await;
     for own in [1, 1] {
-        let answer = Client::ask(fleet.callers[0], &prompt(own)).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &prompt(own)).await;
         assert_eq!(answer.status, 200);
     }
     until_one_logs(&fleet, &[0], "\"reading_tokens\":0,", &HashMap::new()).await;
@@ -123,7 +123,7 @@
     let asked = replica.events_asked();
     // An answer is taken in before the next call.
     wait_until_async("asked again", async || replica.events_asked() > asked + 1).await;
-    let answer = Client::ask(fleet.callers[0], &prompt(1)).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &prompt(1)).await;
     assert_eq!(answer.status, 200);
     let reads_all = "\"reading_tokens\":3100,";
     until_one_logs(&fleet, &[0], reads_all, &HashMap::new()).await;
--- a/testbed/tests/leaving_upstreams.rs
+++ b/testbed/tests/leaving_upstreams.rs
@@ -23,8 +23,12 @@
 /// used it.
 async fn fleet() -> (DirectFleet, [Replica; 2]) {
     let fleet = DirectFleet::start(3, "").await;
-    let leaves = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
-    let stays = fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await;
+    let leaves = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
+    let stays = fleet
+        .start_replica("i-b", "s", ReplicaAnswer::ok("b"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
     fleet.wait_until_ready().await;
     for router in 0..3 {
@@ -46,13 +50,15 @@
     router: usize,
 ) -> String {
     let request = ClientRequest::get("/first/", "probe");
-    Client::ask(fleet.callers[router], &request).await.text()
+    Client::call_once(fleet.caller_addresses[router], &request)
+        .await
+        .text()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstream_that_left_while_the_others_restarted_gets_nothing() {
     let (mut fleet, [leaves, _stays]) = fleet().await;
-    fleet.ports[0].set(StoreMode::Busy);
+    fleet.store_ports[0].set(StoreMode::Busy);
     fleet.routers[1].kill();
     fleet.routers[2].kill();
     fleet.store.remove("i-a");
@@ -64,7 +70,7 @@
         .store
         .publish(2, &[route("/first/"), route("/second/")]);
     for router in 0..3 {
-        fleet.serves(router, "/second/", 200).await;
+        fleet.wait_until_served(router, "/second/", 200).await;
     }
     wait_until_async("the other one serves", async || {
         got_by(&fleet, 0).await == "b"
--- a/testbed/tests/odd_answers.rs
+++ b/testbed/tests/odd_answers.rs
@@ -119,7 +119,7 @@
         let long = ClientRequest::post("/charge/", &format!("long-{number}"), &body);
         let short = ClientRequest::post("/charge/", &format!("short-{number}"), "bb");
         for request in [long, short] {
-            let answer = Client::ask(fleet.callers[0], &request).await;
+            let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
             assert_eq!(
                 (answer.status, answer.text().as_str()),
                 (200, "ok"),
@@ -159,7 +159,7 @@
         }
     });
     let request = ClientRequest::get("/charge/", "id-1");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     answering.abort();
     (answer.status, answer.code())
 }
--- a/testbed/tests/plain_services.rs
+++ b/testbed/tests/plain_services.rs
@@ -21,7 +21,9 @@
     });
     let ask = async || {
         let request = ClientRequest::get("/first/", "probe");
-        Client::ask(fleet.callers[0], &request).await.text()
+        Client::call_once(fleet.caller_addresses[0], &request)
+            .await
+            .text()
     };
     wait_until_async("the quick one is asked", async || ask().await == "quick").await;
     let before = slow.seen().len();
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -38,8 +38,9 @@
         log().matches("upstream Ready").count() >= 2
     })
     .await;
-    let ask =
-        async |path: &str| Client::ask(fleet.callers[0], &ClientRequest::get(path, "x")).await;
+    let ask = async |path: &str| {
+        Client::call_once(fleet.caller_addresses[0], &ClientRequest::get(path, "x")).await
+    };
     for _ in 0..ASKED {
         assert_eq!(ask("/bounded/").await.text(), "i-north");
     }
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -30,7 +30,11 @@
     fleet: &DirectFleet,
     path: &str,
 ) -> ClientAnswer {
-    Client::ask(fleet.callers[0], &ClientRequest::get(path, "asked")).await
+    Client::call_once(
+        fleet.caller_addresses[0],
+        &ClientRequest::get(path, "asked"),
+    )
+    .await
 }
 
 async fn ask_often(fleet: &DirectFleet) -> Vec<ClientAnswer> {
@@ -62,7 +66,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_says_that_it_leaves_gets_nothing_more() {
     let (fleet, [leaves, stays]) = fleet().await;
-    fleet.ports[0].set(StoreMode::Silent);
+    fleet.store_ports[0].set(StoreMode::Silent);
     leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
     let before = leaves.seen().len();
@@ -185,7 +189,12 @@
         let request = ClientRequest::post("/events/", &format!("asked-{number}"), "{}")
             .header("Archmast-Prefix-Hash", &format!("a{number}:3000"))
             .header("Archmast-Token-Count", "3000,5");
-        assert_eq!(Client::ask(fleet.callers[0], &request).await.status, 200);
+        assert_eq!(
+            Client::call_once(fleet.caller_addresses[0], &request)
+                .await
+                .status,
+            200
+        );
     }
     assert_eq!(rests.seen().len(), 0);
 }
@@ -200,7 +209,7 @@
     let mut replicas = Vec::new();
     for number in 0..TRIES {
         let replica = fleet
-            .replica(&format!("i-{number}"), "s", ReplicaAnswer::ok("whole"))
+            .start_replica(&format!("i-{number}"), "s", ReplicaAnswer::ok("whole"))
             .await;
         replica.set_headers(LEAVES);
         replica.ends_after("unlucky", EndManner::AfterHead);
@@ -219,7 +228,7 @@
     .await;
     for tries in 1..=TRIES {
         let request = ClientRequest::post("/once/", &format!("try-{tries}"), "unlucky");
-        let answer = Client::ask(fleet.callers[0], &request).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
         assert_eq!(answer.code(), Some(69), "try {tries}");
         wait_until("its replica's end is noticed", || {
             let log = fleet.routers[0].log_text();
@@ -238,8 +247,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn fellows_hear_that_a_replica_leaves() {
     let fleet = DirectFleet::start(2, "").await;
-    let leaves = fleet.replica("i-a", "s", ReplicaAnswer::ok("whole")).await;
-    let _stays = fleet.replica("i-b", "s", ReplicaAnswer::ok("whole")).await;
+    let leaves = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("whole"))
+        .await;
+    let _stays = fleet
+        .start_replica("i-b", "s", ReplicaAnswer::ok("whole"))
+        .await;
     let routes = [
         RouteText::new("/first/", "s", "idempotent"),
         RouteText::new("/once/", "s", "non_idempotent"),
@@ -254,7 +267,11 @@
     }
     leaves.set_headers(LEAVES);
     wait_until_async("the other router is told", async || {
-        Client::ask(fleet.callers[1], &ClientRequest::get("/first/", "asked")).await;
+        Client::call_once(
+            fleet.caller_addresses[1],
+            &ClientRequest::get("/first/", "asked"),
+        )
+        .await;
         !leaves.seen().is_empty()
     })
     .await;
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -41,7 +41,9 @@
     let mut replicas = Vec::new();
     for number in 0..REPLICAS {
         let id = format!("i-{number}");
-        let replica = fleet.replica(&id, "s", ReplicaAnswer::ok("served")).await;
+        let replica = fleet
+            .start_replica(&id, "s", ReplicaAnswer::ok("served"))
+            .await;
         replica.ends_under(FATAL);
         replicas.push(replica);
     }
@@ -68,7 +70,7 @@
 ) -> ClientAnswer {
     let id = format!("{:016x}", rand::random::<u64>());
     let request = ClientRequest::post("/once/", &id, body);
-    Client::ask(fleet.callers[router], &request).await
+    Client::call_once(fleet.caller_addresses[router], &request).await
 }
 
 fn ended(replicas: &[Replica]) -> usize {
@@ -278,7 +280,7 @@
     for tries in 1..=KNOWN_AFTER {
         let id = format!("{:016x}", rand::random::<u64>());
         let request = ClientRequest::post("/once/", &id, FATAL);
-        let mut caller = Client::connect(fleet.callers[tries % 3])
+        let mut caller = Client::connect(fleet.caller_addresses[tries % 3])
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
@@ -302,7 +304,7 @@
     }
     for tries in 1..=REPLICAS {
         let request = ClientRequest::post("/once/", &format!("left-{tries}"), "a prompt");
-        let mut caller = Client::connect(fleet.callers[tries % 3])
+        let mut caller = Client::connect(fleet.caller_addresses[tries % 3])
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -47,7 +47,9 @@
     id: &str,
 ) -> u16 {
     let request = ClientRequest::post(path, id, "{}");
-    Client::ask(fleet.callers[0], &request).await.status
+    Client::call_once(fleet.caller_addresses[0], &request)
+        .await
+        .status
 }
 
 /// A charge got no answer on a silent connection; the next one was sent on another
@@ -94,7 +96,7 @@
 async fn a_read_on_a_silent_connection_is_answered_by_another_replica() {
     let (fleet, [first, other], [proxy, _other_proxy]) =
         fleet_of_two(ReplicaAnswer::ok("whole")).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let warm = client
@@ -122,7 +124,7 @@
         pause: Duration::from_millis(50),
     };
     let (fleet, [_first, other], [proxy, _other_proxy]) = fleet_of_two(slow).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/events/", "stream", "{}");
@@ -130,7 +132,7 @@
     assert!(client.wait_for("piece 3").await);
     proxy.stall_connections();
     let answer = client.answer().await;
-    assert!(answer.status == 200 && answer.whole);
+    assert!(answer.status == 200 && answer.is_complete);
     let whole: String = (1..=LAST).map(event).collect();
     assert_eq!(answer.text(), whole);
     assert_eq!(other.seen().len(), 1);
@@ -142,7 +144,7 @@
 async fn callers_whose_connections_fell_silent_are_served_on_new_ones() {
     const CALLERS: usize = 50;
     let (fleet, _replicas, _proxies) = fleet_of_two(ReplicaAnswer::ok("whole")).await;
-    let callers = TcpProxy::start(fleet.standins(), fleet.callers[0])
+    let callers = TcpProxy::start(fleet.standins(), fleet.caller_addresses[0])
         .await
         .expect("a free port");
     let request = |n: usize| ClientRequest::post("/read/", &format!("r-{n}"), "{}");
@@ -156,7 +158,7 @@
     }
     callers.stall_connections();
     for n in 0..CALLERS {
-        let answer = Client::ask(callers.address, &request(CALLERS + n)).await;
+        let answer = Client::call_once(callers.address, &request(CALLERS + n)).await;
         assert_eq!(answer.status, 200);
     }
     drop(held);
@@ -173,7 +175,7 @@
     let (fleet, replicas, proxies) = fleet_of_two(slow).await;
     let read = |id: &str| ClientRequest::post("/read/", id, "{}");
     let warm = ["warm-1", "warm-2"].map(async |id| {
-        let answer = Client::ask(fleet.callers[0], &read(id)).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &read(id)).await;
         answer.status
     });
     assert_eq!(join_all(warm).await, [200, 200]);
@@ -181,7 +183,7 @@
         assert_eq!(replica.seen().len(), 1);
         proxy.stall_connections();
     }
-    let mut leaves = Client::connect(fleet.callers[0])
+    let mut leaves = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     leaves.send(&read("left").bytes()).await.expect("sent");
@@ -189,7 +191,7 @@
         fleet.routers[0].log_text().contains("\"left\"")
     })
     .await;
-    let mut stays = Client::connect(fleet.callers[0])
+    let mut stays = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     stays.send(&read("stays").bytes()).await.expect("sent");
@@ -214,7 +216,7 @@
         pause: Duration::from_millis(50),
     };
     let (mut fleet, _replicas, proxies) = fleet_of_two(events).await;
-    let callers = fleet.callers[0];
+    let callers = fleet.caller_addresses[0];
     let begun = async |path: &str, id: &str| {
         let mut client = Client::connect(callers).await.expect("a connection");
         let request = ClientRequest::post(path, id, "{}");
@@ -240,7 +242,7 @@
     let whole: String = (1..=LAST).map(event).collect();
     for client in [&mut stream, &mut read] {
         let answer = client.answer().await;
-        assert!(answer.status == 200 && answer.whole, "{answer:?}");
+        assert!(answer.status == 200 && answer.is_complete, "{answer:?}");
         assert_eq!(answer.text(), whole);
     }
     wait_until("it stops by itself", || {
--- a/testbed/tests/slow_readers.rs
+++ b/testbed/tests/slow_readers.rs
@@ -15,7 +15,7 @@
 ) -> (DirectFleet, Replica) {
     let fleet = DirectFleet::start(1, &format!("[memory]\nlimit = {memory}\n")).await;
     let replica = fleet
-        .replica("i-a", "s", ReplicaAnswer::events(events))
+        .start_replica("i-a", "s", ReplicaAnswer::events(events))
         .await;
     let routes = [
         RouteText {
@@ -38,7 +38,9 @@
 }
 
 async fn begun_stream(fleet: &DirectFleet) -> Client {
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connects");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connects");
     let request = ClientRequest::post("/events/", "slow", "{}");
     client.send(&request.bytes()).await.expect("is sent");
     assert!(client.wait_for("id: 1\n").await);
@@ -59,7 +61,7 @@
     // Longer than the kernel waits for a replica that takes nothing.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let answer = pauses.answer().await;
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert!(answer.text().ends_with("id: 24000\ndata: piece 24000\n\n"));
 }
 
@@ -72,11 +74,11 @@
         log(&fleet).contains(r#""code":48"#)
     })
     .await;
-    assert!(!stuck.answer().await.whole);
+    assert!(!stuck.answer().await.is_complete);
     for _ in 0..10 {
         let request = ClientRequest::post("/events/", "quick", "{}");
-        let answer = Client::ask(fleet.callers[0], &request).await;
-        assert!((answer.status, answer.whole) == (200, true));
+        let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
+        assert!((answer.status, answer.is_complete) == (200, true));
     }
     assert_eq!(log(&fleet).matches(r#""code":48"#).count(), 1);
 }
@@ -89,15 +91,17 @@
     let sent = "x".repeat(60_000);
     let head = ClientRequest::post("/events/", "slow", "").header("Content-Length", "65000");
     for _ in 0..SLOW {
-        let mut client = Client::connect(fleet.callers[0]).await.expect("connects");
+        let mut client = Client::connect(fleet.caller_addresses[0])
+            .await
+            .expect("connects");
         client.send(&head.bytes()).await.expect("is sent");
         client.send(sent.as_bytes()).await.expect("is sent");
         slow.push(client);
     }
     wait_until("bodies are held", || log(&fleet).contains(r#""code":49"#)).await;
     let request = ClientRequest::post("/events/", "quick", "{}");
-    let answer = Client::ask(fleet.callers[0], &request).await;
-    assert!((answer.status, answer.whole) == (200, true));
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
+    assert!((answer.status, answer.is_complete) == (200, true));
     assert_eq!(replica.seen().len(), 1);
     // Those that were begun first are still read to their ends.
     slow[0].send(&[b'x'; 5_000]).await.expect("is sent");
--- a/testbed/tests/slow_starts.rs
+++ b/testbed/tests/slow_starts.rs
@@ -38,12 +38,12 @@
 
 /// Each router's caller asks again and again, one request after the other.
 async fn load(fleet: &DirectFleet) {
-    let callers = fleet.callers.iter().map(|callers| {
+    let callers = fleet.caller_addresses.iter().map(|callers| {
         let callers = *callers;
         tokio::spawn(async move {
             for number in 0..ASKED {
                 let request = ClientRequest::get("/first/", &format!("r-{number}"));
-                Client::ask(callers, &request).await;
+                Client::call_once(callers, &request).await;
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         })
@@ -99,11 +99,11 @@
     // All others are gone, so that what is refused is what it does not bear.
     wait_until_async("requests are refused", async || {
         let mut refused = 0;
-        for callers in &fleet.callers {
-            let answer = Client::ask(*callers, &ClientRequest::get("/first/", "probe")).await;
+        for callers in &fleet.caller_addresses {
+            let answer = Client::call_once(*callers, &ClientRequest::get("/first/", "probe")).await;
             refused += usize::from(answer.code() == Some(66));
         }
-        refused == fleet.callers.len()
+        refused == fleet.caller_addresses.len()
     })
     .await;
     let before = slow.seen().len();
@@ -118,7 +118,7 @@
         .store
         .list_in("z-1", "i-b", "s", slow.address, "ready");
     for router in 0..6 {
-        fleet.serves(router, "/first/", 200).await;
+        fleet.wait_until_served(router, "/first/", 200).await;
     }
     let before = slow.seen().len();
     load(&fleet).await;
--- a/testbed/tests/soak.rs
+++ b/testbed/tests/soak.rs
@@ -31,7 +31,7 @@
             .map(|(name, value)| (name.to_owned(), value.to_owned()))
             .into(),
         body: body.as_bytes().to_vec(),
-        whole: status != 0,
+        is_complete: status != 0,
     }
 }
 
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -20,15 +20,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn what_waited_for_a_router_that_stood_still_is_not_served_by_what_it_knew_before() {
     let fleet = DirectFleet::start(2, "").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("served")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("served"))
+        .await;
     fleet.store.publish(1, &[route("/old/")]);
     fleet.wait_until_ready().await;
     for router in 0..2 {
-        fleet.serves(router, "/old/", 200).await;
+        fleet.wait_until_served(router, "/old/", 200).await;
     }
     let mut waiting = Vec::new();
     for number in 0..8 {
-        let mut client = Client::connect(fleet.callers[1]).await.expect("it listens");
+        let mut client = Client::connect(fleet.caller_addresses[1])
+            .await
+            .expect("it listens");
         let before = ClientRequest::get("/old/", &format!("before-{number}"));
         assert_eq!(client.call(&before).await.status, 200);
         waiting.push(client);
@@ -36,7 +40,7 @@
     fleet.routers[1].freeze();
     let stopped = std::time::Instant::now();
     fleet.store.publish(2, &[route("/new/")]);
-    fleet.serves(0, "/new/", 200).await;
+    fleet.wait_until_served(0, "/new/", 200).await;
     wait_until_async("it stood still for longer than is let pass", async || {
         stopped.elapsed() > std::time::Duration::from_millis(2000)
     })
@@ -56,7 +60,7 @@
         .iter()
         .filter(|request| request.id().starts_with("late"));
     assert_eq!(late.count(), 0);
-    fleet.serves(1, "/new/", 200).await;
+    fleet.wait_until_served(1, "/new/", 200).await;
     wait_until_async("it says that it stood still", async || {
         fleet.routers[1].log_text().contains(NOTICED)
     })
--- a/testbed/tests/unproved_refusals.rs
+++ b/testbed/tests/unproved_refusals.rs
@@ -43,7 +43,7 @@
             }
             let id = format!("id-{status}-{length}");
             let request = ClientRequest::post("/charge/", &id, "10");
-            let answer = Client::ask(fleet.callers[0], &request).await;
+            let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
             let seen = (answer.status, answer.code());
             assert_eq!(seen, (502, Some(50)), "{status}, {length} bytes");
             assert_eq!(answer.retry_after(), None, "{status}, {length} bytes");
@@ -73,12 +73,15 @@
             replicas[0].usually(unproved.clone());
             for number in 0..4 {
                 let id = format!("one-{status}-{number}");
-                let answer = Client::ask(fleet.callers[0], &ClientRequest::get(path, &id)).await;
+                let answer =
+                    Client::call_once(fleet.caller_addresses[0], &ClientRequest::get(path, &id))
+                        .await;
                 assert_eq!(answer.status, 200, "{path} {status}: {answer:?}");
             }
             replicas[1].usually(unproved);
             let id = format!("both-{status}");
-            let answer = Client::ask(fleet.callers[0], &ClientRequest::get(path, &id)).await;
+            let answer =
+                Client::call_once(fleet.caller_addresses[0], &ClientRequest::get(path, &id)).await;
             assert_eq!(answer.status, 502, "{path} {status}: {answer:?}");
             assert_eq!(answer.code(), Some(50), "{path} {status}");
         }
