--- a/testbed/src/direct/replica.rs
+++ b/testbed/src/direct/replica.rs
@@ -67,7 +67,7 @@
     }
 
     /// Appends an answer to the script, whose answers apply to one request each.
-    pub fn next(
+    pub fn push_answer(
         &self,
         answer: ReplicaAnswer,
     ) {
@@ -75,12 +75,12 @@
     }
 
     /// Removes all remaining answers from the script.
-    pub fn forget_script(&self) {
+    pub fn clear_script(&self) {
         self.state.script.lock().expect("lock").clear();
     }
 
     /// Sets the answer to all requests for which the script is empty.
-    pub fn usually(
+    pub fn set_default_answer(
         &self,
         answer: ReplicaAnswer,
     ) {
@@ -88,7 +88,7 @@
     }
 
     /// Sets the list of cached prompt parts that it reports: their ids and tokens.
-    pub fn keeps(
+    pub fn set_cached_parts(
         &self,
         parts: &[(&str, u32)],
     ) {
@@ -100,7 +100,7 @@
 
     /// Adds a cache event: a prompt part was cached (`kind` is "+") or evicted ("-"), and
     /// `tokens` of it are cached now.
-    pub fn tells(
+    pub fn push_cache_event(
         &self,
         kind: &str,
         part: &str,
@@ -113,12 +113,12 @@
     }
 
     /// How many requests for cache events it received.
-    pub fn events_asked(&self) -> usize {
+    pub fn event_request_count(&self) -> usize {
         self.state.event_requests.load(Ordering::SeqCst)
     }
 
     /// Sets how long it takes to answer a request for its list of cached parts.
-    pub fn list_after(
+    pub fn set_list_delay(
         &self,
         time: Duration,
     ) {
@@ -127,7 +127,7 @@
 
     /// Refuses all further requests with this time in `Retry-After`; with none, it answers
     /// again.
-    pub fn turns_away(
+    pub fn set_backoff(
         &self,
         backoff_seconds: Option<f64>,
     ) {
@@ -135,7 +135,7 @@
     }
 
     /// Refuses all further requests for its list of cached parts and for cache events.
-    pub fn turns_list_away(&self) {
+    pub fn refuse_cache_requests(&self) {
         self.state
             .refuses_cache_requests
             .store(true, Ordering::SeqCst);
@@ -143,15 +143,15 @@
 
     /// Crashes when it starts to run a request whose body contains this text: its
     /// connections are closed and new ones are refused.
-    pub fn ends_under(
+    pub fn crash_on(
         &self,
         text: &str,
     ) {
-        self.ends_after(text, EndManner::AtOnce);
+        self.crash_on_with(text, EndManner::AtOnce);
     }
 
-    /// The same as [`Self::ends_under`], with another timing.
-    pub fn ends_after(
+    /// The same as [`Self::crash_on`], with another timing.
+    pub fn crash_on_with(
         &self,
         text: &str,
         timing: EndManner,
@@ -161,7 +161,7 @@
 
     /// Closes the connection on one in `count` of the requests instead of answering; 0
     /// is none.
-    pub fn cuts_one_in(
+    pub fn close_one_in(
         &self,
         count: usize,
     ) {
@@ -180,12 +180,12 @@
     }
 
     /// Whether it has crashed.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         *self.state.exited.borrow()
     }
 
     /// Changes the replica's id, as if another replica now used its address.
-    pub fn become_another(
+    pub fn set_id(
         &self,
         id: &str,
     ) {
@@ -194,26 +194,26 @@
 
     /// The requests that it received, without those that were meant for a replica with
     /// another id.
-    pub fn seen(&self) -> Vec<SeenRequest> {
+    pub fn received(&self) -> Vec<SeenRequest> {
         self.state.seen.lock().expect("lock").clone()
     }
 
     /// How many requests with this attempt id it received.
-    pub fn got(
+    pub fn received_count(
         &self,
         id: &str,
     ) -> usize {
-        let seen = self.seen();
+        let seen = self.received();
         seen.iter().filter(|request| request.id() == id).count()
     }
 
     /// Number of connections that are open now.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.state.open_connections.load(Ordering::SeqCst)
     }
 
     /// Number of connections that were opened since the start.
-    pub fn opened(&self) -> usize {
+    pub fn total_connections(&self) -> usize {
         self.state.total_connections.load(Ordering::SeqCst)
     }
 }
--- a/testbed/src/measure/request_costs.rs
+++ b/testbed/src/measure/request_costs.rs
@@ -39,7 +39,7 @@
         .header("Archmast-Prefix-Hash", "5c1e:2500,91bd:3800,e440:2900");
     let streamed = cost(&fleet, &prompt, 200, requests).await;
     for replica in &replicas {
-        replica.usually(ReplicaAnswer::ok("answer"));
+        replica.set_default_answer(ReplicaAnswer::ok("answer"));
     }
     let get = ClientRequest::get("/plain/", "id");
     let plain = cost(&fleet, &get, 200, requests).await;
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -127,7 +127,7 @@
         &mut self,
         replica: &Replica,
     ) {
-        let seen = replica.seen();
+        let seen = replica.received();
         let fatal = seen.iter().filter(|request| request.text().contains(FATAL));
         self.arrivals.extend(fatal.map(|request| request.arrived));
     }
@@ -160,9 +160,9 @@
             _ => format!("i-{number}-{lives}"),
         };
         let replica = Replica::start(fleet.standins(), &id, usual).await;
-        replica.ends_under(FATAL);
+        replica.crash_on(FATAL);
         if kind == EndingKind::CutOff {
-            replica.cuts_one_in(5);
+            replica.close_one_in(5);
         }
         let zone = zone_name(number % ZONES.len());
         let born = lives as u64 + 1;
@@ -194,7 +194,7 @@
     let briefly = kind == EndingKind::SameIds;
     while began.elapsed() < length {
         for index in (0..places.len()).rev() {
-            if places[index].replica.has_ended() {
+            if places[index].replica.has_exited() {
                 let now = Instant::now();
                 seen.ends.push(now);
                 away.push((now, places.remove(index)));
--- a/testbed/src/soak/inflict.rs
+++ b/testbed/src/soak/inflict.rs
@@ -238,7 +238,7 @@
         let began = Instant::now();
         slot.spoil_answers();
         sleep(lasts).await;
-        slot.replica.forget_script();
+        slot.replica.clear_script();
         began
     }
 
--- a/testbed/src/soak/notice_inflict.rs
+++ b/testbed/src/soak/notice_inflict.rs
@@ -59,9 +59,9 @@
         lasts: Duration,
     ) -> Instant {
         let began = Instant::now();
-        slot.replica.turns_away(Some(REST.as_secs_f64()));
+        slot.replica.set_backoff(Some(REST.as_secs_f64()));
         sleep(lasts).await;
-        slot.replica.turns_away(None);
+        slot.replica.set_backoff(None);
         // Rests that were asked for last are watched to their end.
         sleep(REST).await;
         self.note_notice(&slot, Notice::Rests(REST), began);
@@ -74,7 +74,7 @@
         notice: Notice,
         began: Instant,
     ) {
-        let seen = slot.replica.seen().into_iter();
+        let seen = slot.replica.received().into_iter();
         let arrivals = seen
             .filter(|request| request.arrived >= began)
             .map(|request| (Arrival::of(&request), request.ran));
--- a/testbed/src/soak/replica_slot.rs
+++ b/testbed/src/soak/replica_slot.rs
@@ -85,7 +85,7 @@
         &self,
         moment: Instant,
     ) -> Vec<Arrival> {
-        let seen = self.replica.seen().into_iter();
+        let seen = self.replica.received().into_iter();
         let after = seen.filter(|request| request.arrived > moment);
         after.map(|request| Arrival::of(&request)).collect()
     }
@@ -122,7 +122,7 @@
             });
         }
         for answer in spoilt.iter().cycle().take(SPOILT) {
-            self.replica.next(answer.clone());
+            self.replica.push_answer(answer.clone());
         }
     }
 
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -313,7 +313,7 @@
     zone: &str,
     replica: &Replica,
 ) {
-    let seen = replica.seen();
+    let seen = replica.received();
     let arrivals = seen.iter().map(Arrival::of);
     record.replicas.push(ReplicaSeen {
         id: replica.id.clone(),
--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -30,7 +30,7 @@
         Replica::start(ip, "i-b", usual).await,
     ];
     let kept: Vec<(&str, u32)> = SHARED.iter().map(|id| (*id, 3000)).collect();
-    replicas[1].keeps(&kept);
+    replicas[1].set_cached_parts(&kept);
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     for replica in &replicas {
@@ -60,15 +60,15 @@
         let answer = Client::call_once(fleet.caller_addresses[0], &prompt(shared, &own)).await;
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(replicas[0].seen().len(), 0);
-    assert_eq!(replicas[1].seen().len(), SHARED.len());
+    assert_eq!(replicas[0].received().len(), 0);
+    assert_eq!(replicas[1].received().len(), SHARED.len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_does_not_say_what_it_keeps_is_served_all_the_same() {
     let fleet = DirectFleet::start(1, "").await;
     let silent = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
-    silent.list_after(Duration::from_secs(3600));
+    silent.set_list_delay(Duration::from_secs(3600));
     fleet
         .store
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -105,7 +105,7 @@
     fleet.store_ports[0].set(StoreMode::Well);
     fleet.wait_until_served(0, "/second/", 503).await;
     fleet.store.list("i-b", "s", replica.address, "ready");
-    replica.become_another("i-b");
+    replica.set_id("i-b");
     fleet.wait_until_served(0, "/second/", 200).await;
 }
 
@@ -125,16 +125,16 @@
     for router in 0..2 {
         wait_until_async("the second serves", async || got_by(router).await == "b").await;
     }
-    let before = first.seen().len();
+    let before = first.received().len();
     for router in 0..2 {
         for _ in 0..20 {
             assert_eq!(got_by(router).await, "b");
         }
     }
-    assert_eq!(first.seen().len(), before);
+    assert_eq!(first.received().len(), before);
     wait_until("its connections are closed when it is off the list", || {
         fleet.store.remove("i-a");
-        first.open() == 0
+        first.open_connections() == 0
     })
     .await;
     drop(second);
@@ -147,7 +147,7 @@
         body: "late".to_owned(),
         after: Duration::from_millis(1500),
     };
-    replica.usually(slow);
+    replica.set_default_answer(slow);
     fleet
         .store
         .publish(2, &[RouteText::new("/slow/", "s", "non_idempotent")]);
@@ -164,11 +164,16 @@
         .expect("a connection");
     let request = ClientRequest::get("/slow/", "b-1");
     busy.send(&request.bytes()).await.expect("sent");
-    let held = || replica.seen().iter().any(|request| request.id() == "b-1");
+    let held = || {
+        replica
+            .received()
+            .iter()
+            .any(|request| request.id() == "b-1")
+    };
     wait_until("the request is at the replica", held).await;
     fleet.routers[0].terminate();
     wait_until_async("it is not ready", async || !fleet.is_ready(0).await).await;
-    replica.next(ReplicaAnswer::ok("a"));
+    replica.push_answer(ReplicaAnswer::ok("a"));
     // A kept connection still serves, and is told to end.
     let answer = kept.call(&ClientRequest::get("/slow/", "k-2")).await;
     assert_eq!((answer.status, answer.header("connection")), (200, "close"));
--- a/testbed/tests/direct_requests.rs
+++ b/testbed/tests/direct_requests.rs
@@ -57,7 +57,10 @@
     replicas: &[Replica],
     id: &str,
 ) -> usize {
-    replicas.iter().map(|replica| replica.got(id)).sum()
+    replicas
+        .iter()
+        .map(|replica| replica.received_count(id))
+        .sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -75,7 +78,7 @@
     assert_eq!((answer.status, answer.text().as_str()), (200, "hello"));
     assert_eq!(answer.header("archmast-replica-signature"), "s.1");
     assert_eq!(answer.header("archmast-attempt-id"), "id-1");
-    let seen: Vec<_> = replicas.iter().flat_map(Replica::seen).collect();
+    let seen: Vec<_> = replicas.iter().flat_map(Replica::received).collect();
     let [seen] = seen.as_slice() else {
         panic!("seen {} times", seen.len());
     };
@@ -166,7 +169,7 @@
     for (number, trouble) in troubles.into_iter().enumerate() {
         replicas
             .iter()
-            .for_each(|replica| replica.usually(trouble.clone()));
+            .for_each(|replica| replica.set_default_answer(trouble.clone()));
         let id = format!("charge-{number}");
         let answer = ask(&fleet, ClientRequest::post("/charge/", &id, "10")).await;
         assert_eq!(answer.status, 502, "{trouble:?}");
@@ -197,9 +200,9 @@
         // Whichever is asked first fails; the other answers.
         replicas
             .iter()
-            .for_each(|replica| replica.usually(ReplicaAnswer::ok("hello")));
+            .for_each(|replica| replica.set_default_answer(ReplicaAnswer::ok("hello")));
         let chosen = chosen_next(&fleet, &replicas).await;
-        replicas[chosen].next(trouble.clone());
+        replicas[chosen].push_answer(trouble.clone());
         let answer = ask(&fleet, ClientRequest::get("/read/", &id)).await;
         assert!(
             answer.status == 200 && answer.is_complete,
@@ -216,7 +219,7 @@
 ) -> usize {
     let id = format!("probe-{:x}", rand::random::<u64>());
     ask(fleet, ClientRequest::get("/one/", &id)).await;
-    let got = |replica: &Replica| replica.seen().iter().any(|request| request.id() == id);
+    let got = |replica: &Replica| replica.received().iter().any(|request| request.id() == id);
     replicas.iter().position(got).unwrap_or(0)
 }
 
@@ -250,7 +253,12 @@
     let answer = ask(&fleet, ClientRequest::post("/hasty/", "id-1", "x")).await;
     assert_eq!((answer.status, answer.code()), (504, Some(58)));
     assert_eq!(runs(&replicas, "id-1"), 1);
-    let open = || replicas.iter().map(Replica::open).sum::<usize>();
+    let open = || {
+        replicas
+            .iter()
+            .map(Replica::open_connections)
+            .sum::<usize>()
+    };
     wait_until("the replica is let go", || open() == 0).await;
 }
 
@@ -286,7 +294,13 @@
             assert_eq!(answer.status, 502);
         }
     }
-    assert!(replicas.iter().map(Replica::opened).sum::<usize>() >= 2);
+    assert!(
+        replicas
+            .iter()
+            .map(Replica::total_connections)
+            .sum::<usize>()
+            >= 2
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -296,15 +310,15 @@
         let request = ClientRequest::get("/read/", &format!("id-{number}"));
         assert_eq!(ask(&fleet, request).await.status, 200);
     }
-    let opened: usize = replicas.iter().map(Replica::opened).sum();
+    let opened: usize = replicas.iter().map(Replica::total_connections).sum();
     assert!(opened <= 3, "{opened} connections for 20 requests");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn another_replica_at_the_same_address_is_never_taken_for_the_old_one() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
-    replicas[0].become_another("i-new");
-    replicas[1].become_another("i-other");
+    replicas[0].set_id("i-new");
+    replicas[1].set_id("i-other");
     let answer = ask(&fleet, ClientRequest::post("/charge/", "id-1", "10")).await;
     assert_eq!(answer.status, 503);
     assert_eq!(runs(&replicas, "id-1"), 0);
@@ -323,7 +337,12 @@
     })
     .await;
     drop(client);
-    let open = || replicas.iter().map(Replica::open).sum::<usize>();
+    let open = || {
+        replicas
+            .iter()
+            .map(Replica::open_connections)
+            .sum::<usize>()
+    };
     wait_until("the replica is let go", || open() == 0).await;
 }
 
@@ -338,7 +357,7 @@
     client.send(b"3\r\nabc\r\n").await.expect("sent");
     client.send(b"4\r\ndefg\r\n0\r\n\r\n").await.expect("sent");
     assert_eq!(client.answer().await.status, 200);
-    let seen = replicas.iter().flat_map(Replica::seen).next();
+    let seen = replicas.iter().flat_map(Replica::received).next();
     assert_eq!(seen.expect("it ran").body, b"abcdefg");
 }
 
--- a/testbed/tests/direct_streams.rs
+++ b/testbed/tests/direct_streams.rs
@@ -24,7 +24,7 @@
 }
 
 fn starts(replicas: &[Replica]) -> Vec<String> {
-    let seen = replicas.iter().flat_map(Replica::seen);
+    let seen = replicas.iter().flat_map(Replica::received);
     seen.map(|request| request.header("last-event-id").to_owned())
         .collect()
 }
@@ -62,7 +62,7 @@
         // The head is the first replica's.
         let first_replica = replicas.iter().find(|replica| {
             replica
-                .seen()
+                .received()
                 .iter()
                 .any(|r| r.header("last-event-id").is_empty())
         });
@@ -110,6 +110,11 @@
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 2").await);
     drop(client);
-    let open = || replicas.iter().map(Replica::open).sum::<usize>();
+    let open = || {
+        replicas
+            .iter()
+            .map(Replica::open_connections)
+            .sum::<usize>()
+    };
     wait_until("the replica is let go", || open() == 0).await;
 }
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -73,11 +73,11 @@
         })
         .await;
     }
-    let before = emptied.seen().len();
+    let before = emptied.received().len();
     for asked in 0..AFTER {
         assert_eq!(answer(fleet, asked % 6).await.status, 200);
     }
-    assert_eq!(emptied.seen().len(), before);
+    assert_eq!(emptied.received().len(), before);
 }
 
 /// The second zone is emptied: its replica gets nothing until the zone is taken back, and
@@ -107,14 +107,17 @@
         body: "late".to_owned(),
         after: Duration::from_millis(1500),
     };
-    replicas[1].next(slow);
+    replicas[1].push_answer(slow);
     let callers = fleet.caller_addresses[2];
     let running = tokio::spawn(async move {
         let request = ClientRequest::get("/once/", "slow");
         Client::call_once(callers, &request).await
     });
     wait_until_async("the request is at the replica", async || {
-        replicas[1].seen().iter().any(|seen| seen.id() == "slow")
+        replicas[1]
+            .received()
+            .iter()
+            .any(|seen| seen.id() == "slow")
     })
     .await;
     fleet.store.empty_zone("z-1");
@@ -139,7 +142,7 @@
     let seen = || {
         replicas
             .iter()
-            .map(|replica| replica.seen().len())
+            .map(|replica| replica.received().len())
             .sum::<usize>()
     };
     let before = seen();
@@ -161,11 +164,11 @@
     fleet.routers[2].kill();
     fleet.routers[2].restart().expect("it starts again");
     wait_until_async("it is ready again", async || fleet.is_ready(2).await).await;
-    let before = replicas[1].seen().len();
+    let before = replicas[1].received().len();
     for _ in 0..AFTER {
         assert_eq!(answer(&fleet, 2).await.status, 200);
     }
-    assert_eq!(replicas[1].seen().len(), before);
+    assert_eq!(replicas[1].received().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -153,13 +153,13 @@
         })
         .await;
     }
-    let before = overwritten.seen().len();
+    let before = overwritten.received().len();
     for _ in 0..20 {
         assert_eq!(got_by(&fleet, 0).await, "b");
     }
-    assert_eq!(overwritten.seen().len(), before);
+    assert_eq!(overwritten.received().len(), before);
     fleet.store.list("i-a", "s", overwritten.address, "ready");
-    other.usually(ReplicaAnswer::NotExecuted { status: 503 });
+    other.set_default_answer(ReplicaAnswer::NotExecuted { status: 503 });
     wait_until_async("it serves again", async || got_by(&fleet, 0).await == "a").await;
 }
 
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -55,25 +55,25 @@
                 .expect("connected");
         }
     }
-    assert_eq!(replica.seen().len(), 2);
+    assert_eq!(replica.received().len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_whose_neighbour_is_gone_is_told_that_the_outcome_is_unknown() {
     let (mut fleet, replica) = fleet_that_hands_on().await;
-    replica.usually(ReplicaAnswer::Silent);
+    replica.set_default_answer(ReplicaAnswer::Silent);
     let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("connected");
     let request = ClientRequest::get("/plain/", "lost-1");
     client.send(&request.bytes()).await.expect("sent");
-    wait_until("the replica has it", || !replica.seen().is_empty()).await;
+    wait_until("the replica has it", || !replica.received().is_empty()).await;
     fleet.routers[1].kill();
     let answer = client.answer().await;
     assert_eq!((answer.status, answer.code()), (502, Some(50)));
     assert!(answer.is_complete);
     // With nobody to hand on to, the router serves for itself again.
-    replica.usually(ReplicaAnswer::ok("answer"));
+    replica.set_default_answer(ReplicaAnswer::ok("answer"));
     let own = ClientRequest::get("/plain/", "own-1");
     assert_eq!(
         Client::call_once(fleet.caller_addresses[0], &own)
@@ -87,7 +87,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_no_stream_that_was_handed_on() {
     let (mut fleet, replica) = fleet_that_hands_on().await;
-    replica.usually(ReplicaAnswer::Events {
+    replica.set_default_answer(ReplicaAnswer::Events {
         last: 8,
         pause: Duration::from_millis(200),
     });
@@ -112,15 +112,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_ends_its_request_behind_the_neighbour_too() {
     let (fleet, replica) = fleet_that_hands_on().await;
-    replica.usually(ReplicaAnswer::Silent);
+    replica.set_default_answer(ReplicaAnswer::Silent);
     let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("connected");
     let request = ClientRequest::get("/plain/", "left-1");
     client.send(&request.bytes()).await.expect("sent");
-    wait_until("the replica has it", || replica.open() == 1).await;
+    wait_until("the replica has it", || replica.open_connections() == 1).await;
     drop(client);
-    wait_until("its connection to the replica ends", || replica.open() == 0).await;
+    wait_until("its connection to the replica ends", || {
+        replica.open_connections() == 0
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -145,7 +148,7 @@
                 == 200
         })
         .await;
-        let seen = replica.seen();
+        let seen = replica.received();
         assert!(seen.iter().all(|request| request.id() != left), "{left}");
     }
 }
@@ -171,7 +174,7 @@
         let answer = client.call(&ClientRequest::get("/plain/", id)).await;
         assert_eq!((answer.status, answer.header("connection")), (200, ""));
     }
-    replica.usually(ReplicaAnswer::Events {
+    replica.set_default_answer(ReplicaAnswer::Events {
         last: 8,
         pause: Duration::from_millis(200),
     });
@@ -189,13 +192,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_stops_hands_nothing_on_that_it_would_refuse() {
     let (mut fleet, replica) = fleet_that_hands_on().await;
-    replica.usually(ReplicaAnswer::Silent);
+    replica.set_default_answer(ReplicaAnswer::Silent);
     let mut busy = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("connected");
     let held = ClientRequest::get("/plain/", "held-1");
     busy.send(&held.bytes()).await.expect("sent");
-    wait_until("the replica has it", || !replica.seen().is_empty()).await;
+    wait_until("the replica has it", || !replica.received().is_empty()).await;
     fleet.routers[0].terminate();
     let mut refused = 0;
     wait_until_async(
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -75,7 +75,7 @@
     fleet.wait_until_ready().await;
     let all = [0, 1, 2];
     let follower = until_one_logs(&fleet, &all, FOLLOWS, &HashMap::new()).await;
-    (0..1000).for_each(|part| replica.tells("+", &format!("a{part:x}"), 3000));
+    (0..1000).for_each(|part| replica.push_cache_event("+", &format!("a{part:x}"), 3000));
     let rest: Vec<usize> = all.into_iter().filter(|it| *it != follower).collect();
     until_known(&fleet, rest[0], &mut (0..1000)).await;
 
@@ -86,7 +86,7 @@
     let before: HashMap<usize, usize> = counts.collect();
     fleet.routers[follower].kill();
     let next = until_one_logs(&fleet, &rest, FOLLOWS, &before).await;
-    (1000..2000).for_each(|part| replica.tells("+", &format!("a{part:x}"), 3000));
+    (1000..2000).for_each(|part| replica.push_cache_event("+", &format!("a{part:x}"), 3000));
     let fellow = rest.into_iter().find(|router| *router != next);
     until_known(&fleet, fellow.expect("a third"), &mut (1000..2000)).await;
 }
@@ -95,7 +95,7 @@
 async fn a_replica_that_does_not_tell_is_served_as_before() {
     let fleet = DirectFleet::start(1, "").await;
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
-    replica.turns_list_away();
+    replica.refuse_cache_requests();
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     fleet.store.list("i-a", "s", replica.address, "ready");
@@ -113,16 +113,19 @@
 async fn a_part_that_its_replica_gave_up_is_read_again_by_belief_too() {
     let fleet = DirectFleet::start(1, "").await;
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
-    replica.keeps(&[("a1", 3000)]);
+    replica.set_cached_parts(&[("a1", 3000)]);
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     fleet.store.list("i-a", "s", replica.address, "ready");
     fleet.wait_until_ready().await;
     until_one_logs(&fleet, &[0], "replica asked what it keeps", &HashMap::new()).await;
-    replica.tells("-", "a1", 0);
-    let asked = replica.events_asked();
+    replica.push_cache_event("-", "a1", 0);
+    let asked = replica.event_request_count();
     // An answer is taken in before the next call.
-    wait_until_async("asked again", async || replica.events_asked() > asked + 1).await;
+    wait_until_async("asked again", async || {
+        replica.event_request_count() > asked + 1
+    })
+    .await;
     let answer = Client::call_once(fleet.caller_addresses[0], &prompt(1)).await;
     assert_eq!(answer.status, 200);
     let reads_all = "\"reading_tokens\":3100,";
--- a/testbed/tests/leaving_upstreams.rs
+++ b/testbed/tests/leaving_upstreams.rs
@@ -76,9 +76,9 @@
         got_by(&fleet, 0).await == "b"
     })
     .await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     for _ in 0..40 {
         assert_eq!(got_by(&fleet, 0).await, "b");
     }
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
 }
--- a/testbed/tests/plain_services.rs
+++ b/testbed/tests/plain_services.rs
@@ -15,7 +15,7 @@
     let route = RouteText::new("/first/", "s", "idempotent");
     let (fleet, [slow, quick]) =
         DirectFleet::with_two_replicas(ReplicaAnswer::ok("quick"), &[route]).await;
-    slow.usually(ReplicaAnswer::Slow {
+    slow.set_default_answer(ReplicaAnswer::Slow {
         body: "slow".to_owned(),
         after: Duration::from_millis(100),
     });
@@ -26,10 +26,10 @@
             .text()
     };
     wait_until_async("the quick one is asked", async || ask().await == "quick").await;
-    let before = slow.seen().len();
+    let before = slow.received().len();
     for _ in 0..40 {
         assert_eq!(ask().await, "quick");
     }
-    assert_eq!(slow.seen().len(), before);
+    assert_eq!(slow.received().len(), before);
     drop(quick);
 }
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -44,17 +44,17 @@
     for _ in 0..ASKED {
         assert_eq!(ask("/bounded/").await.text(), "i-north");
     }
-    assert!(south.seen().is_empty());
-    north.usually(ReplicaAnswer::Close);
+    assert!(south.received().is_empty());
+    north.set_default_answer(ReplicaAnswer::Close);
     for _ in 0..ASKED {
         assert_ne!(ask("/bounded/").await.status, 200);
     }
-    assert!(south.seen().is_empty());
+    assert!(south.received().is_empty());
     fleet.store.remove("i-north");
     wait_until("it is gone", || log().contains("upstream gone")).await;
     let answer = ask("/bounded/").await;
     assert_eq!((answer.status, answer.code()), (503, Some(29)));
     assert!(answer.retry_after().is_some());
-    assert!(south.seen().is_empty());
+    assert!(south.received().is_empty());
     assert_eq!(ask("/any/").await.text(), "i-south");
 }
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -53,7 +53,7 @@
 ) {
     wait_until_async("the replica is asked", async || {
         ask(fleet, "/first/").await;
-        replica.seen().len() > more_than
+        replica.received().len() > more_than
     })
     .await;
 }
@@ -69,19 +69,22 @@
     fleet.store_ports[0].set(StoreMode::Silent);
     leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     let answers = ask_often(&fleet).await;
     assert!(answers.iter().all(|answer| answer.status == 200));
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
     stays.set_headers(LEAVES);
-    until_asked(&fleet, &stays, stays.seen().len()).await;
-    let before = stays.seen().len();
+    until_asked(&fleet, &stays, stays.received().len()).await;
+    let before = stays.received().len();
     // Nobody is left: refused at once, and truly not run.
     for answer in ask_often(&fleet).await {
         assert_eq!((answer.status, answer.code()), (503, Some(65)));
         assert!(answer.retry_after().is_some());
     }
-    assert_eq!((leaves.seen().len(), stays.seen().len()), (1, before));
+    assert_eq!(
+        (leaves.received().len(), stays.received().len()),
+        (1, before)
+    );
 }
 
 /// A replica's entry goes, and comes back as it was.
@@ -105,10 +108,10 @@
     let (fleet, [leaves, _stays]) = fleet().await;
     leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     entry_lapses_and_returns(&fleet, &leaves).await;
     ask_often(&fleet).await;
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -116,9 +119,9 @@
     let (fleet, [leaves, _stays]) = fleet().await;
     leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     ask_often(&fleet).await;
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
     leaves.set_headers(&[]);
     let born = Uptime::unix_millis() + 2_000;
     fleet
@@ -136,10 +139,10 @@
 async fn a_replica_that_asks_for_rest_gets_it_and_is_used_again() {
     const REST: Duration = Duration::from_secs(3);
     let (fleet, [rests, _awake]) = fleet().await;
-    rests.turns_away(Some(3.0));
+    rests.set_backoff(Some(3.0));
     until_asked(&fleet, &rests, 0).await;
     until_asked(&fleet, &rests, 1).await;
-    let arrived: Vec<_> = rests.seen().iter().map(|seen| seen.arrived).collect();
+    let arrived: Vec<_> = rests.received().iter().map(|seen| seen.arrived).collect();
     let gap = arrived[1].duration_since(arrived[0]);
     assert!(gap >= REST, "{gap:?}");
 }
@@ -148,12 +151,12 @@
 async fn replicas_that_all_ask_for_rest_get_it_and_callers_are_told_when_to_come() {
     let (fleet, replicas) = fleet().await;
     for replica in &replicas {
-        replica.turns_away(Some(30.5));
+        replica.set_backoff(Some(30.5));
     }
     for replica in &replicas {
         until_asked(&fleet, replica, 0).await;
     }
-    let seen = || replicas.each_ref().map(|replica| replica.seen().len());
+    let seen = || replicas.each_ref().map(|replica| replica.received().len());
     let before = seen();
     for answer in ask_often(&fleet).await {
         assert_eq!((answer.status, answer.code()), (503, Some(47)));
@@ -171,7 +174,7 @@
     let ip = fleet.standins();
     let rests = Replica::start(ip, "i-a", ReplicaAnswer::events(3)).await;
     let awake = Replica::start(ip, "i-b", ReplicaAnswer::events(3)).await;
-    rests.turns_list_away();
+    rests.refuse_cache_requests();
     rests.set_headers(&[("Retry-After", "30")]);
     fleet
         .store
@@ -196,7 +199,7 @@
             200
         );
     }
-    assert_eq!(rests.seen().len(), 0);
+    assert_eq!(rests.received().len(), 0);
 }
 
 /// Requests that ran at replicas as these ended were held back (code 44) though each replica
@@ -212,7 +215,7 @@
             .start_replica(&format!("i-{number}"), "s", ReplicaAnswer::ok("whole"))
             .await;
         replica.set_headers(LEAVES);
-        replica.ends_after("unlucky", EndManner::AfterHead);
+        replica.crash_on_with("unlucky", EndManner::AfterHead);
         replicas.push(replica);
     }
     let route = RouteText::new("/once/", "s", "non_idempotent");
@@ -272,7 +275,7 @@
             &ClientRequest::get("/first/", "asked"),
         )
         .await;
-        !leaves.seen().is_empty()
+        !leaves.received().is_empty()
     })
     .await;
     wait_until("the first hears of it", || {
@@ -281,9 +284,9 @@
             .contains("a fellow heard that a replica leaves")
     })
     .await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     ask_often(&fleet).await;
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
 }
 
 /// A caller whose request was turned away by a replica that wants three seconds of rest was
@@ -297,7 +300,7 @@
     };
     let (fleet, [rests, _awake]) =
         DirectFleet::with_two_replicas(ReplicaAnswer::ok("whole"), &[single]).await;
-    rests.turns_away(Some(3.0));
+    rests.set_backoff(Some(3.0));
     let mut refused = None;
     wait_until_async("a request is turned away", async || {
         let answer = ask(&fleet, "/single/").await;
@@ -318,10 +321,10 @@
 async fn a_refusal_whose_retry_after_is_no_time_asks_for_no_rest() {
     for no_time in [f64::INFINITY, f64::NAN, -30.0] {
         let (fleet, [refuses, _awake]) = fleet().await;
-        refuses.turns_away(Some(no_time));
+        refuses.set_backoff(Some(no_time));
         until_asked(&fleet, &refuses, 2).await;
-        refuses.turns_away(None);
-        let refused = refuses.seen().len();
+        refuses.set_backoff(None);
+        let refused = refuses.received().len();
         until_asked(&fleet, &refuses, refused).await;
         assert!(
             !fleet.routers[0]
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -44,7 +44,7 @@
         let replica = fleet
             .start_replica(&id, "s", ReplicaAnswer::ok("served"))
             .await;
-        replica.ends_under(FATAL);
+        replica.crash_on(FATAL);
         replicas.push(replica);
     }
     let once = RouteText {
@@ -76,7 +76,7 @@
 fn ended(replicas: &[Replica]) -> usize {
     replicas
         .iter()
-        .filter(|replica| replica.has_ended())
+        .filter(|replica| replica.has_exited())
         .count()
 }
 
@@ -85,7 +85,7 @@
     replicas: &[Replica],
     body: &str,
 ) -> usize {
-    let seen = replicas.iter().flat_map(Replica::seen);
+    let seen = replicas.iter().flat_map(Replica::received);
     seen.filter(|request| request.text() == body).count()
 }
 
@@ -128,7 +128,7 @@
     fleet: &DirectFleet,
     replicas: &[Replica],
 ) {
-    let gone: Vec<&Replica> = replicas.iter().filter(|it| it.has_ended()).collect();
+    let gone: Vec<&Replica> = replicas.iter().filter(|it| it.has_exited()).collect();
     for replica in &gone {
         fleet.store.remove(&replica.id);
     }
@@ -190,14 +190,14 @@
 async fn a_request_whose_connections_are_broken_off_by_living_replicas_is_never_held_back() {
     let (fleet, replicas) = fleet(&[2]).await;
     for replica in &replicas {
-        replica.usually(ReplicaAnswer::Close);
+        replica.set_default_answer(ReplicaAnswer::Close);
     }
     for round in 0..20 {
         let answer = post(&fleet, round % 2, "the same prompt").await;
         assert_eq!((answer.status, answer.code()), (502, Some(50)));
     }
     for replica in &replicas {
-        replica.usually(ReplicaAnswer::ok("served"));
+        replica.set_default_answer(ReplicaAnswer::ok("served"));
     }
     for router in 0..2 {
         assert_eq!(post(&fleet, router, "the same prompt").await.status, 200);
@@ -210,7 +210,7 @@
     for replica in &replicas {
         let after = Duration::from_millis(30);
         let body = "served".to_owned();
-        replica.usually(ReplicaAnswer::Slow { body, after });
+        replica.set_default_answer(ReplicaAnswer::Slow { body, after });
     }
     // Before any whole answer nothing speaks for it: three replicas ended within 9 ms, it
     // was at each of them, and it was held back until its first answer, 22 ms after.
@@ -242,7 +242,7 @@
 async fn fleet_ending(manner: EndManner) -> (DirectFleet, Vec<Replica>) {
     let (fleet, replicas) = fleet(&[2, 1]).await;
     for replica in &replicas {
-        replica.ends_after(FATAL, manner);
+        replica.crash_on_with(FATAL, manner);
     }
     (fleet, replicas)
 }
@@ -300,7 +300,7 @@
 async fn requests_whose_callers_leave_are_not_held_back_where_replicas_live() {
     let (fleet, replicas) = fleet_ending(EndManner::Later).await;
     for replica in &replicas {
-        replica.next(ReplicaAnswer::Silent);
+        replica.push_answer(ReplicaAnswer::Silent);
     }
     for tries in 1..=REPLICAS {
         let request = ClientRequest::post("/once/", &format!("left-{tries}"), "a prompt");
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -102,7 +102,7 @@
     let warm = client
         .call(&ClientRequest::post("/read/", "warm", "{}"))
         .await;
-    assert_eq!((warm.status, first.seen().len()), (200, 1));
+    assert_eq!((warm.status, first.received().len()), (200, 1));
     proxy.stall_connections();
     for id in ["on the silent one", "after it"] {
         let answer = client.call(&ClientRequest::post("/read/", id, "{}")).await;
@@ -110,7 +110,7 @@
     }
     assert!(
         other
-            .seen()
+            .received()
             .iter()
             .any(|seen| seen.id() == "on the silent one")
     );
@@ -135,7 +135,7 @@
     assert!(answer.status == 200 && answer.is_complete);
     let whole: String = (1..=LAST).map(event).collect();
     assert_eq!(answer.text(), whole);
-    assert_eq!(other.seen().len(), 1);
+    assert_eq!(other.received().len(), 1);
 }
 
 /// More callers than the router has workers hold connections that fell silent; they are
@@ -180,7 +180,7 @@
     });
     assert_eq!(join_all(warm).await, [200, 200]);
     for (replica, proxy) in replicas.iter().zip(&proxies) {
-        assert_eq!(replica.seen().len(), 1);
+        assert_eq!(replica.received().len(), 1);
         proxy.stall_connections();
     }
     let mut leaves = Client::connect(fleet.caller_addresses[0])
@@ -201,7 +201,7 @@
     .await;
     drop(leaves);
     assert_eq!(stays.answer().await.status, 200);
-    let seen = replicas.iter().flat_map(Replica::seen);
+    let seen = replicas.iter().flat_map(Replica::received);
     assert!(seen.clone().any(|seen| seen.id() == "stays"));
     assert_eq!(seen.filter(|seen| seen.id() == "left").count(), 0);
 }
--- a/testbed/tests/slow_readers.rs
+++ b/testbed/tests/slow_readers.rs
@@ -69,7 +69,7 @@
 async fn a_caller_that_reads_nothing_loses_only_its_own_stream() {
     let (fleet, replica) = fleet("16 MB", 400_000).await;
     let mut stuck = begun_stream(&fleet).await;
-    replica.usually(ReplicaAnswer::events(3));
+    replica.set_default_answer(ReplicaAnswer::events(3));
     wait_until("the stream is given up", || {
         log(&fleet).contains(r#""code":48"#)
     })
@@ -102,7 +102,7 @@
     let request = ClientRequest::post("/events/", "quick", "{}");
     let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     assert!((answer.status, answer.is_complete) == (200, true));
-    assert_eq!(replica.seen().len(), 1);
+    assert_eq!(replica.received().len(), 1);
     // Those that were begun first are still read to their ends.
     slow[0].send(&[b'x'; 5_000]).await.expect("is sent");
     assert_eq!(slow[0].answer().await.status, 200);
--- a/testbed/tests/slow_starts.rs
+++ b/testbed/tests/slow_starts.rs
@@ -56,7 +56,7 @@
 
 /// The most requests that a replica got in any one second.
 fn most_in_a_second(replica: &Replica) -> usize {
-    let seen = replica.seen();
+    let seen = replica.received();
     let mut arrived: Vec<_> = seen.iter().map(|seen| seen.arrived).collect();
     arrived.sort();
     let counts = arrived.iter().enumerate().map(|(last, end)| {
@@ -79,7 +79,7 @@
     assert!(most_in_a_second(&starts) <= PER_SECOND);
     wait_until_async("it is used all the same", async || {
         load(&fleet).await;
-        !starts.seen().is_empty()
+        !starts.received().is_empty()
     })
     .await;
     assert!(most_in_a_second(&starts) <= PER_SECOND);
@@ -106,9 +106,9 @@
         refused == fleet.caller_addresses.len()
     })
     .await;
-    let before = slow.seen().len();
+    let before = slow.received().len();
     load(&fleet).await;
-    let seen = slow.seen();
+    let seen = slow.received();
     let since = &seen[before..];
     let span = since.last().map_or(Duration::ZERO, |last| {
         last.arrived.duration_since(since[0].arrived)
@@ -120,7 +120,7 @@
     for router in 0..6 {
         fleet.wait_until_served(router, "/first/", 200).await;
     }
-    let before = slow.seen().len();
+    let before = slow.received().len();
     load(&fleet).await;
-    assert_eq!(slow.seen().len() - before, 6 * ASKED);
+    assert_eq!(slow.received().len() - before, 6 * ASKED);
 }
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -55,7 +55,7 @@
         let refused = [Some(UNCONFIRMED), Some(62)];
         assert!(refused.contains(&answer.code()), "{answer:?}");
     }
-    let seen = replica.seen();
+    let seen = replica.received();
     let late = seen
         .iter()
         .filter(|request| request.id().starts_with("late"));
--- a/testbed/tests/unproved_refusals.rs
+++ b/testbed/tests/unproved_refusals.rs
@@ -24,7 +24,10 @@
     replicas: &[Replica],
     id: &str,
 ) -> usize {
-    replicas.iter().map(|replica| replica.got(id)).sum()
+    replicas
+        .iter()
+        .map(|replica| replica.received_count(id))
+        .sum()
 }
 
 /// A request that may run once only: it may have run, and the caller must not be told
@@ -36,7 +39,7 @@
         for length in [5, LONG] {
             let body = "x".repeat(length);
             for replica in &replicas {
-                replica.usually(ReplicaAnswer::Complete {
+                replica.set_default_answer(ReplicaAnswer::Complete {
                     status,
                     body: body.clone(),
                 });
@@ -68,9 +71,9 @@
                 body: "busy".to_owned(),
             };
             for replica in &replicas {
-                replica.usually(usual.clone());
+                replica.set_default_answer(usual.clone());
             }
-            replicas[0].usually(unproved.clone());
+            replicas[0].set_default_answer(unproved.clone());
             for number in 0..4 {
                 let id = format!("one-{status}-{number}");
                 let answer =
@@ -78,7 +81,7 @@
                         .await;
                 assert_eq!(answer.status, 200, "{path} {status}: {answer:?}");
             }
-            replicas[1].usually(unproved);
+            replicas[1].set_default_answer(unproved);
             let id = format!("both-{status}");
             let answer =
                 Client::call_once(fleet.caller_addresses[0], &ClientRequest::get(path, &id)).await;
