--- a/testbed/src/direct/mod.rs
+++ b/testbed/src/direct/mod.rs
@@ -23,7 +23,7 @@
     direct_fleet::{DirectFleet, zone_name},
     replica::Replica,
     replica_answer::ReplicaAnswer,
-    replica_answering::{EndManner, event},
+    replica_answering::{CrashTiming, event},
     route_text::RouteText,
     seen_request::SeenRequest,
     store::Store,
--- a/testbed/src/direct/replica.rs
+++ b/testbed/src/direct/replica.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        ReplicaAnswer, SeenRequest, replica_answering::EndManner, replica_serving::accept,
+        ReplicaAnswer, SeenRequest, replica_answering::CrashTiming, replica_serving::accept,
         replica_state::ReplicaState,
     },
     serde_json::json,
@@ -147,14 +147,14 @@
         &self,
         text: &str,
     ) {
-        self.crash_on_with(text, EndManner::AtOnce);
+        self.crash_on_with(text, CrashTiming::Immediate);
     }
 
     /// The same as [`Self::crash_on`], with another timing.
     pub fn crash_on_with(
         &self,
         text: &str,
-        timing: EndManner,
+        timing: CrashTiming,
     ) {
         *self.state.crash_trigger.lock().expect("lock") = Some((text.to_owned(), timing));
     }
--- a/testbed/src/direct/replica_answering.rs
+++ b/testbed/src/direct/replica_answering.rs
@@ -159,13 +159,13 @@
 
 /// When a replica crashes that runs a request which crashes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndManner {
+pub enum CrashTiming {
     /// When it starts to run the request.
-    AtOnce,
+    Immediate,
     /// After a delay, having sent an answer's head without a signature.
     AfterHead,
     /// After a delay, having sent nothing.
-    Later,
+    Delayed,
 }
 
 /// Crashes while it runs this request, also if the router has closed the connection.
@@ -173,9 +173,9 @@
     state: &ReplicaState,
     out: &mut AnswerWriter<'_>,
     request: &SeenRequest,
-    timing: EndManner,
+    timing: CrashTiming,
 ) {
-    if timing == EndManner::AfterHead {
+    if timing == CrashTiming::AfterHead {
         let text = format!(
             "HTTP/1.1 200 OK\r\nArchmast-Attempt-Id: {}\r\nContent-Length: 9\r\n\r\n",
             request.id()
@@ -184,7 +184,7 @@
             log::debug!("head of the answer not written: {error}");
         }
     }
-    if timing != EndManner::AtOnce {
+    if timing != CrashTiming::Immediate {
         tokio::time::sleep(CRASH_DELAY).await;
     }
     state.exited.send_replace(true);
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -4,7 +4,7 @@
     archmast::ops::Uptime,
     archmast_testbed::{
         direct::{
-            Client, ClientAnswer, ClientRequest, DirectFleet, EndManner, Replica, ReplicaAnswer,
+            Client, ClientAnswer, ClientRequest, CrashTiming, DirectFleet, Replica, ReplicaAnswer,
             RouteText, StoreMode,
         },
         fleet::{wait_until, wait_until_async},
@@ -215,7 +215,7 @@
             .start_replica(&format!("i-{number}"), "s", ReplicaAnswer::ok("whole"))
             .await;
         replica.set_headers(LEAVES);
-        replica.crash_on_with("unlucky", EndManner::AfterHead);
+        replica.crash_on_with("unlucky", CrashTiming::AfterHead);
         replicas.push(replica);
     }
     let route = RouteText::new("/once/", "s", "non_idempotent");
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -15,7 +15,7 @@
 use {
     archmast_testbed::{
         direct::{
-            Client, ClientAnswer, ClientRequest, DirectFleet, EndManner, Replica, ReplicaAnswer,
+            Client, ClientAnswer, ClientRequest, CrashTiming, DirectFleet, Replica, ReplicaAnswer,
             RouteText,
         },
         fleet::wait_until_async,
@@ -239,7 +239,7 @@
 }
 
 /// Replicas that end in this manner, and what routers wrote of runs that were left there.
-async fn fleet_ending(manner: EndManner) -> (DirectFleet, Vec<Replica>) {
+async fn fleet_ending(manner: CrashTiming) -> (DirectFleet, Vec<Replica>) {
     let (fleet, replicas) = fleet(&[2, 1]).await;
     for replica in &replicas {
         replica.crash_on_with(FATAL, manner);
@@ -264,7 +264,7 @@
 /// Before, an attempt that its router had ended itself spoke against nobody: 97 sends.
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_end_after_a_head_without_proof_count_as_others() {
-    let (fleet, replicas) = fleet_ending(EndManner::AfterHead).await;
+    let (fleet, replicas) = fleet_ending(CrashTiming::AfterHead).await;
     for tries in 1..=KNOWN_AFTER {
         let answer = post(&fleet, tries % 3, FATAL).await;
         assert_eq!((answer.status, answer.code()), (502, Some(69)));
@@ -276,7 +276,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_end_when_the_caller_has_left_count_as_others() {
-    let (fleet, replicas) = fleet_ending(EndManner::Later).await;
+    let (fleet, replicas) = fleet_ending(CrashTiming::Delayed).await;
     for tries in 1..=KNOWN_AFTER {
         let id = format!("{:016x}", rand::random::<u64>());
         let request = ClientRequest::post("/once/", &id, FATAL);
@@ -298,7 +298,7 @@
 /// Callers that leave speak against nobody while replicas live.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_whose_callers_leave_are_not_held_back_where_replicas_live() {
-    let (fleet, replicas) = fleet_ending(EndManner::Later).await;
+    let (fleet, replicas) = fleet_ending(CrashTiming::Delayed).await;
     for replica in &replicas {
         replica.push_answer(ReplicaAnswer::Silent);
     }
