--- a/testbed/src/direct/mod.rs
+++ b/testbed/src/direct/mod.rs
@@ -5,13 +5,13 @@
 mod client_answer;
 mod config_text;
 mod direct_fleet;
+mod received_request;
 mod replica;
 mod replica_answer;
 mod replica_answering;
 mod replica_serving;
 mod replica_state;
 mod route_text;
-mod seen_request;
 mod store;
 mod store_mode;
 mod store_port;
@@ -21,11 +21,11 @@
     client_answer::ClientAnswer,
     config_text::ConfigText,
     direct_fleet::{DirectFleet, zone_name},
+    received_request::ReceivedRequest,
     replica::Replica,
     replica_answer::ReplicaAnswer,
     replica_answering::{CrashTiming, event},
     route_text::RouteText,
-    seen_request::SeenRequest,
     store::Store,
     store_mode::StoreMode,
     store_port::StorePort,
--- a/testbed/src/direct/seen_request.rs
+++ b/testbed/src/direct/received_request.rs
@@ -2,16 +2,16 @@
 
 /// A request as a replica received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenRequest {
+pub struct ReceivedRequest {
     pub method: String,
     pub target: String,                   // path and query
     pub headers: HashMap<String, String>, // names in lower case
     pub body: Vec<u8>,
     pub arrived: Instant, // when it was received completely
-    pub ran: bool,        // false if it was refused
+    pub was_run: bool,    // false if it was refused
 }
 
-impl SeenRequest {
+impl ReceivedRequest {
     /// A header's value, empty if there is none. The name is in lower case.
     pub fn header(
         &self,
@@ -25,7 +25,7 @@
     }
 
     /// The attempt id that the client set.
-    pub fn id(&self) -> &str {
+    pub fn attempt_id(&self) -> &str {
         self.header("archmast-attempt-id")
     }
 }
--- a/testbed/src/direct/replica.rs
+++ b/testbed/src/direct/replica.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        ReplicaAnswer, SeenRequest, replica_answering::CrashTiming, replica_serving::accept,
+        ReceivedRequest, ReplicaAnswer, replica_answering::CrashTiming, replica_serving::accept,
         replica_state::ReplicaState,
     },
     serde_json::json,
@@ -42,7 +42,7 @@
             id: Mutex::new(id.to_owned()),
             script: Mutex::default(),
             default_answer: Mutex::new(default_answer),
-            seen: Mutex::default(),
+            received: Mutex::default(),
             cached_parts: Mutex::default(),
             list_delay: Mutex::default(),
             cache_events: watch::Sender::default(),
@@ -194,8 +194,8 @@
 
     /// The requests that it received, without those that were meant for a replica with
     /// another id.
-    pub fn received(&self) -> Vec<SeenRequest> {
-        self.state.seen.lock().expect("lock").clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.state.received.lock().expect("lock").clone()
     }
 
     /// How many requests with this attempt id it received.
@@ -203,8 +203,11 @@
         &self,
         id: &str,
     ) -> usize {
-        let seen = self.received();
-        seen.iter().filter(|request| request.id() == id).count()
+        let received = self.received();
+        received
+            .iter()
+            .filter(|request| request.attempt_id() == id)
+            .count()
     }
 
     /// Number of connections that are open now.
--- a/testbed/src/direct/replica_answering.rs
+++ b/testbed/src/direct/replica_answering.rs
@@ -1,7 +1,7 @@
 //! The answers that a stand-in replica writes.
 
 use {
-    super::{ReplicaAnswer, SeenRequest, replica_state::ReplicaState},
+    super::{ReceivedRequest, ReplicaAnswer, replica_state::ReplicaState},
     serde_json::json,
     std::{io, sync::atomic::Ordering, time::Duration},
     tokio::{
@@ -29,7 +29,7 @@
 /// the request's target, as soon as there are any or the request's waiting time is over.
 pub(super) async fn cache_events(
     state: &ReplicaState,
-    request: &SeenRequest,
+    request: &ReceivedRequest,
 ) -> String {
     state.event_requests.fetch_add(1, Ordering::SeqCst);
     if state.refuses_cache_requests.load(Ordering::SeqCst) {
@@ -80,10 +80,10 @@
 /// Answers one request. Returns false if the connection is to be closed afterwards.
 pub(super) async fn write_answer(
     out: &mut AnswerWriter<'_>,
-    request: &SeenRequest,
+    request: &ReceivedRequest,
     answer: ReplicaAnswer,
 ) -> io::Result<bool> {
-    let id = request.id();
+    let id = request.attempt_id();
     match answer {
         ReplicaAnswer::Complete { status, body } => {
             out.write(&signed_answer(id, status, &body)).await?
@@ -172,13 +172,13 @@
 pub(super) async fn crash(
     state: &ReplicaState,
     out: &mut AnswerWriter<'_>,
-    request: &SeenRequest,
+    request: &ReceivedRequest,
     timing: CrashTiming,
 ) {
     if timing == CrashTiming::AfterHead {
         let text = format!(
             "HTTP/1.1 200 OK\r\nArchmast-Attempt-Id: {}\r\nContent-Length: 9\r\n\r\n",
-            request.id()
+            request.attempt_id()
         );
         if let Err(error) = out.write(&text).await {
             log::debug!("head of the answer not written: {error}");
@@ -194,13 +194,13 @@
 /// `last`.
 async fn write_events(
     out: &mut AnswerWriter<'_>,
-    request: &SeenRequest,
+    request: &ReceivedRequest,
     last: u32,
     pause: Duration,
 ) -> io::Result<()> {
     let head = format!(
         "HTTP/1.1 200 OK\r\nArchmast-Attempt-Id: {}\r\nArchmast-Replica-Signature: s.{}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-        request.id(),
+        request.attempt_id(),
         request.header("archmast-expected-replica")
     );
     out.write(&head).await?;
--- a/testbed/src/direct/replica_serving.rs
+++ b/testbed/src/direct/replica_serving.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        ReplicaAnswer, SeenRequest,
+        ReceivedRequest, ReplicaAnswer,
         replica_answering::{AnswerWriter, cache_events, cache_list, crash, write_answer},
         replica_state::ReplicaState,
     },
@@ -86,9 +86,9 @@
             continue;
         }
         let backoff = *state.backoff_seconds.lock().expect("lock");
-        let mut seen = request.clone();
-        seen.ran = backoff.is_none();
-        state.seen.lock().expect("lock").push(seen);
+        let mut received = request.clone();
+        received.was_run = backoff.is_none();
+        state.received.lock().expect("lock").push(received);
         if let Some(seconds) = backoff {
             out.extra_headers += &format!("Retry-After: {seconds}\r\n");
             write_answer(
@@ -124,7 +124,7 @@
 async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-) -> io::Result<Option<SeenRequest>> {
+) -> io::Result<Option<ReceivedRequest>> {
     let head_end = loop {
         if let Some(at) = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
             break at;
@@ -151,12 +151,12 @@
             return Ok(None);
         }
     }
-    Ok(Some(SeenRequest {
+    Ok(Some(ReceivedRequest {
         method: method.to_owned(),
         target: target.to_owned(),
         headers,
         body: buffer.drain(..length).collect(),
         arrived: Instant::now(),
-        ran: true,
+        was_run: true,
     }))
 }
--- a/testbed/src/direct/replica_state.rs
+++ b/testbed/src/direct/replica_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{ReplicaAnswer, SeenRequest, replica_answering::CrashTiming},
+    super::{ReceivedRequest, ReplicaAnswer, replica_answering::CrashTiming},
     serde_json::Value,
     std::{
         collections::VecDeque,
@@ -17,7 +17,7 @@
     pub id: Mutex<String>,
     pub script: Mutex<VecDeque<ReplicaAnswer>>, // answers to the next requests
     pub default_answer: Mutex<ReplicaAnswer>,   // used while the script is empty
-    pub seen: Mutex<Vec<SeenRequest>>,
+    pub received: Mutex<Vec<ReceivedRequest>>,
     pub cached_parts: Mutex<Vec<Value>>, // prompt parts, as JSON of the cache list
     pub list_delay: Mutex<Duration>,     // before the cache list is sent
     pub cache_events: watch::Sender<Vec<Value>>, // all since the start
--- a/testbed/src/soak/notice_inflict.rs
+++ b/testbed/src/soak/notice_inflict.rs
@@ -77,7 +77,7 @@
         let seen = slot.replica.received().into_iter();
         let arrivals = seen
             .filter(|request| request.arrived >= began)
-            .map(|request| (Arrival::of(&request), request.ran));
+            .map(|request| (Arrival::of(&request), request.was_run));
         let seen = NoticeSeen {
             replica: slot.replica.id.clone(),
             notice,
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -3,7 +3,7 @@
         attempt::Attempt, fault::Fault, fault_span::FaultSpan, soak_fleet::SoakFleet,
         starvation::Starvation,
     },
-    crate::direct::SeenRequest,
+    crate::direct::ReceivedRequest,
     serde_json::Value,
     std::{
         collections::HashMap,
@@ -31,9 +31,9 @@
 
 impl Arrival {
     /// A request as a stand-in saw it.
-    pub fn of(seen: &SeenRequest) -> Self {
+    pub fn of(seen: &ReceivedRequest) -> Self {
         Self {
-            id: seen.id().to_owned(),
+            id: seen.attempt_id().to_owned(),
             at: seen.arrived,
         }
     }
--- a/testbed/src/soak/world.rs
+++ b/testbed/src/soak/world.rs
@@ -320,8 +320,8 @@
         zone: zone.to_owned(),
         arrivals: arrivals.collect(),
     });
-    for seen in seen.iter().filter(|seen| seen.ran) {
-        let runs = record.runs.entry(seen.id().to_owned()).or_default();
+    for seen in seen.iter().filter(|seen| seen.was_run) {
+        let runs = record.runs.entry(seen.attempt_id().to_owned()).or_default();
         runs.push(service);
     }
 }
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -168,7 +168,7 @@
         replica
             .received()
             .iter()
-            .any(|request| request.id() == "b-1")
+            .any(|request| request.attempt_id() == "b-1")
     };
     wait_until("the request is at the replica", held).await;
     fleet.routers[0].terminate();
--- a/testbed/tests/direct_requests.rs
+++ b/testbed/tests/direct_requests.rs
@@ -219,7 +219,12 @@
 ) -> usize {
     let id = format!("probe-{:x}", rand::random::<u64>());
     ask(fleet, ClientRequest::get("/one/", &id)).await;
-    let got = |replica: &Replica| replica.received().iter().any(|request| request.id() == id);
+    let got = |replica: &Replica| {
+        replica
+            .received()
+            .iter()
+            .any(|request| request.attempt_id() == id)
+    };
     replicas.iter().position(got).unwrap_or(0)
 }
 
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -117,7 +117,7 @@
         replicas[1]
             .received()
             .iter()
-            .any(|seen| seen.id() == "slow")
+            .any(|seen| seen.attempt_id() == "slow")
     })
     .await;
     fleet.store.empty_zone("z-1");
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -149,7 +149,10 @@
         })
         .await;
         let seen = replica.received();
-        assert!(seen.iter().all(|request| request.id() != left), "{left}");
+        assert!(
+            seen.iter().all(|request| request.attempt_id() != left),
+            "{left}"
+        );
     }
 }
 
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -112,7 +112,7 @@
         other
             .received()
             .iter()
-            .any(|seen| seen.id() == "on the silent one")
+            .any(|seen| seen.attempt_id() == "on the silent one")
     );
 }
 
@@ -202,8 +202,8 @@
     drop(leaves);
     assert_eq!(stays.answer().await.status, 200);
     let seen = replicas.iter().flat_map(Replica::received);
-    assert!(seen.clone().any(|seen| seen.id() == "stays"));
-    assert_eq!(seen.filter(|seen| seen.id() == "left").count(), 0);
+    assert!(seen.clone().any(|seen| seen.attempt_id() == "stays"));
+    assert_eq!(seen.filter(|seen| seen.attempt_id() == "left").count(), 0);
 }
 
 /// A read waits and a stream runs on silent connections as their router is told to stop:
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -58,7 +58,7 @@
     let seen = replica.received();
     let late = seen
         .iter()
-        .filter(|request| request.id().starts_with("late"));
+        .filter(|request| request.attempt_id().starts_with("late"));
     assert_eq!(late.count(), 0);
     fleet.wait_until_served(1, "/new/", 200).await;
     wait_until_async("it says that it stood still", async || {
