--- a/testbed/src/direct/direct_fleet.rs
+++ b/testbed/src/direct/direct_fleet.rs
@@ -146,7 +146,8 @@
         default_answer: ReplicaAnswer,
     ) -> Replica {
         let replica = Replica::start(self.loopback.standin_ip, id, default_answer).await;
-        self.store.list(id, service, replica.address, "ready");
+        self.store
+            .list_replica(id, service, replica.address, "ready");
         replica
     }
 
--- a/testbed/src/direct/store.rs
+++ b/testbed/src/direct/store.rs
@@ -98,18 +98,18 @@
     }
 
     /// Writes the entry of a replica in the zone `z`.
-    pub fn list(
+    pub fn list_replica(
         &self,
         id: &str,
         service: &str,
         address: SocketAddr,
         state: &str,
     ) {
-        self.list_in("z", id, service, address, state);
+        self.list_replica_in("z", id, service, address, state);
     }
 
     /// Writes the entry of a replica in this zone.
-    pub fn list_in(
+    pub fn list_replica_in(
         &self,
         zone: &str,
         id: &str,
@@ -164,7 +164,7 @@
 
     /// Writes the entry of a ready replica with its start time `born`, by which routers
     /// distinguish successive processes with the same id.
-    pub fn list_start(
+    pub fn list_replica_start(
         &self,
         zone: &str,
         id: &str,
@@ -180,7 +180,7 @@
     }
 
     /// Asks the routers to stop sending requests to a zone.
-    pub fn empty_zone(
+    pub fn start_evacuation(
         &self,
         zone: &str,
     ) {
@@ -188,7 +188,7 @@
     }
 
     /// Ends the evacuation of a zone.
-    pub fn take_zone_back(
+    pub fn end_evacuation(
         &self,
         zone: &str,
     ) {
@@ -196,7 +196,7 @@
     }
 
     /// Deletes the entry of a replica.
-    pub fn remove(
+    pub fn remove_replica(
         &self,
         id: &str,
     ) {
@@ -222,7 +222,7 @@
 
     /// Discards the history of changes, so that older watches are answered with 410. The
     /// items stay.
-    pub fn forget_history(&self) {
+    pub fn compact(&self) {
         let mut state = self.state.lock().expect("store lock");
         state.forgotten = state.revision;
         state.events.clear();
--- a/testbed/src/direct/store_port.rs
+++ b/testbed/src/direct/store_port.rs
@@ -52,7 +52,7 @@
     }
 
     /// Sets how requests are answered from now on, including watches that are waiting.
-    pub fn set(
+    pub fn set_mode(
         &self,
         mode: StoreMode,
     ) {
--- a/testbed/src/soak/ending_run.rs
+++ b/testbed/src/soak/ending_run.rs
@@ -168,7 +168,7 @@
         let born = lives as u64 + 1;
         fleet
             .store
-            .list_start(&zone, &id, born, "s", replica.address);
+            .list_replica_start(&zone, &id, born, "s", replica.address);
         Self {
             replica,
             number,
@@ -206,7 +206,7 @@
                 let (_, place) = away.remove(index);
                 seen.note(&place.replica);
                 if !briefly {
-                    fleet.store.remove(&place.replica.id);
+                    fleet.store.remove_replica(&place.replica.id);
                 }
                 let next = Place::start(fleet, kind, place.number, place.lives + 1).await;
                 places.push(next);
--- a/testbed/src/soak/inflict.rs
+++ b/testbed/src/soak/inflict.rs
@@ -45,7 +45,7 @@
             }
             Fault::StoreDown(mode) => self.trouble(0..self.routers.len(), mode, lasts).await,
             Fault::ForgetHistory => {
-                self.store.forget_history();
+                self.store.compact();
                 Instant::now()
             }
             Fault::Publish => {
@@ -183,11 +183,11 @@
     ) -> Instant {
         let began = Instant::now();
         for router in routers.clone() {
-            self.ports[router].set(mode);
+            self.ports[router].set_mode(mode);
         }
         sleep(lasts).await;
         for router in routers {
-            self.ports[router].set(StoreMode::Well);
+            self.ports[router].set_mode(StoreMode::Well);
         }
         began
     }
--- a/testbed/src/soak/operator_inflict.rs
+++ b/testbed/src/soak/operator_inflict.rs
@@ -29,11 +29,11 @@
         let _one = self.emptying.lock().await;
         let zone = zone_name(zone);
         let began = Instant::now();
-        self.store.empty_zone(&zone);
+        self.store.start_evacuation(&zone);
         let confirmed = Instant::now();
         sleep(lasts).await;
         let taken_back = Instant::now();
-        self.store.take_zone_back(&zone);
+        self.store.end_evacuation(&zone);
         let cordon = CordonSeen {
             zone,
             confirmed,
--- a/testbed/src/soak/replica_slot.rs
+++ b/testbed/src/soak/replica_slot.rs
@@ -65,7 +65,7 @@
         state: &str,
     ) {
         let address = self.proxy.address;
-        store.list_in(&self.zone, &self.replica.id, self.service, address, state);
+        store.list_replica_in(&self.zone, &self.replica.id, self.service, address, state);
     }
 
     /// Lists the present replica as one that has just started. Gives the revision, and
@@ -103,7 +103,7 @@
         &self,
         store: &Store,
     ) {
-        store.remove(&self.replica.id);
+        store.remove_replica(&self.replica.id);
     }
 
     /// Its next requests run, and their answers are lost or spoilt.
--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -34,7 +34,9 @@
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     for replica in &replicas {
-        fleet.store.list(&replica.id, "s", replica.address, "ready");
+        fleet
+            .store
+            .list_replica(&replica.id, "s", replica.address, "ready");
     }
     fleet.wait_until_ready().await;
     (fleet, replicas)
@@ -72,7 +74,9 @@
     fleet
         .store
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
-    fleet.store.list("i-a", "s", silent.address, "ready");
+    fleet
+        .store
+        .list_replica("i-a", "s", silent.address, "ready");
     fleet.wait_until_ready().await;
     let answer = Client::call_once(fleet.caller_addresses[0], &prompt("a1", "b1")).await;
     assert_eq!(answer.status, 200);
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -74,10 +74,12 @@
 async fn a_router_that_the_store_turns_away_learns_from_its_peers() {
     for mode in [StoreMode::Busy, StoreMode::Many, StoreMode::Silent] {
         let (fleet, replica) = fleet_of(2).await;
-        fleet.store_ports[1].set(mode);
+        fleet.store_ports[1].set_mode(mode);
         fleet.store.publish(7, &[route("/second/")]);
         fleet.wait_until_served(1, "/second/", 200).await;
-        fleet.store.list("i-a", "s", replica.address, "draining");
+        fleet
+            .store
+            .list_replica("i-a", "s", replica.address, "draining");
         fleet.wait_until_served(1, "/second/", 503).await;
     }
 }
@@ -85,7 +87,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_starts_anew_without_the_store_learns_from_its_peers() {
     let (mut fleet, _replica) = fleet_of(2).await;
-    fleet.store_ports[1].set(StoreMode::Silent);
+    fleet.store_ports[1].set_mode(StoreMode::Silent);
     fleet.routers[1].kill();
     fleet.store.publish(9, &[route("/second/")]);
     fleet.wait_until_served(0, "/second/", 200).await;
@@ -98,13 +100,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_forgot_its_history_is_read_anew() {
     let (fleet, replica) = fleet_of(1).await;
-    fleet.store_ports[0].set(StoreMode::Busy);
-    fleet.store.remove("i-a");
+    fleet.store_ports[0].set_mode(StoreMode::Busy);
+    fleet.store.remove_replica("i-a");
     fleet.store.publish(3, &[route("/second/")]);
-    fleet.store.forget_history();
-    fleet.store_ports[0].set(StoreMode::Well);
+    fleet.store.compact();
+    fleet.store_ports[0].set_mode(StoreMode::Well);
     fleet.wait_until_served(0, "/second/", 503).await;
-    fleet.store.list("i-b", "s", replica.address, "ready");
+    fleet
+        .store
+        .list_replica("i-b", "s", replica.address, "ready");
     replica.set_id("i-b");
     fleet.wait_until_served(0, "/second/", 200).await;
 }
@@ -121,7 +125,9 @@
             .await
             .text()
     };
-    fleet.store.list("i-a", "s", first.address, "draining");
+    fleet
+        .store
+        .list_replica("i-a", "s", first.address, "draining");
     for router in 0..2 {
         wait_until_async("the second serves", async || got_by(router).await == "b").await;
     }
@@ -133,7 +139,7 @@
     }
     assert_eq!(first.received().len(), before);
     wait_until("its connections are closed when it is off the list", || {
-        fleet.store.remove("i-a");
+        fleet.store.remove_replica("i-a");
         first.open_connections() == 0
     })
     .await;
@@ -291,7 +297,7 @@
     wait_until("two of them read", || readers().len() == 2).await;
     let first = readers();
     for reader in &first {
-        fleet.store_ports[*reader].set(StoreMode::Silent);
+        fleet.store_ports[*reader].set_mode(StoreMode::Silent);
     }
     let routes = ["/one/", "/two/"].map(|path| RouteText::new(path, "s", "idempotent"));
     fleet.store.publish(2, &routes);
--- a/testbed/tests/first_reading.rs
+++ b/testbed/tests/first_reading.rs
@@ -22,7 +22,7 @@
         .publish(1, &[RouteText::new("/first/", "s", "idempotent")]);
     fleet.wait_until_ready().await;
     for port in &fleet.store_ports {
-        port.set(StoreMode::Silent);
+        port.set_mode(StoreMode::Silent);
     }
     let lost = |fleet: &DirectFleet, router: usize| {
         fleet.routers[router].log_text().matches(LOST_CALL).count()
@@ -37,7 +37,7 @@
     }
     let at_return: Vec<usize> = (0..ROUTERS).map(|router| lost(&fleet, router)).collect();
     for port in &fleet.store_ports {
-        port.set(StoreMode::Well);
+        port.set_mode(StoreMode::Well);
     }
     fleet.wait_until_ready().await;
     for (router, at_return) in at_return.into_iter().enumerate() {
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -158,7 +158,9 @@
         assert_eq!(got_by(&fleet, 0).await, "b");
     }
     assert_eq!(overwritten.received().len(), before);
-    fleet.store.list("i-a", "s", overwritten.address, "ready");
+    fleet
+        .store
+        .list_replica("i-a", "s", overwritten.address, "ready");
     other.set_default_answer(ReplicaAnswer::NotExecuted { status: 503 });
     wait_until_async("it serves again", async || got_by(&fleet, 0).await == "a").await;
 }
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -71,7 +71,9 @@
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
-    fleet.store.list("i-a", "s", replica.address, "ready");
+    fleet
+        .store
+        .list_replica("i-a", "s", replica.address, "ready");
     fleet.wait_until_ready().await;
     let all = [0, 1, 2];
     let follower = until_one_logs(&fleet, &all, FOLLOWS, &HashMap::new()).await;
@@ -98,7 +100,9 @@
     replica.refuse_cache_requests();
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
-    fleet.store.list("i-a", "s", replica.address, "ready");
+    fleet
+        .store
+        .list_replica("i-a", "s", replica.address, "ready");
     fleet.wait_until_ready().await;
     let refused = "replica does not say what it keeps";
     until_one_logs(&fleet, &[0], refused, &HashMap::new()).await;
@@ -116,7 +120,9 @@
     replica.set_cached_parts(&[("a1", 3000)]);
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
-    fleet.store.list("i-a", "s", replica.address, "ready");
+    fleet
+        .store
+        .list_replica("i-a", "s", replica.address, "ready");
     fleet.wait_until_ready().await;
     until_one_logs(&fleet, &[0], "replica asked what it keeps", &HashMap::new()).await;
     replica.push_cache_event("-", "a1", 0);
--- a/testbed/tests/leaving_upstreams.rs
+++ b/testbed/tests/leaving_upstreams.rs
@@ -58,10 +58,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstream_that_left_while_the_others_restarted_gets_nothing() {
     let (mut fleet, [leaves, _stays]) = fleet().await;
-    fleet.store_ports[0].set(StoreMode::Busy);
+    fleet.store_ports[0].set_mode(StoreMode::Busy);
     fleet.routers[1].kill();
     fleet.routers[2].kill();
-    fleet.store.remove("i-a");
+    fleet.store.remove_replica("i-a");
     for router in [1, 2] {
         fleet.routers[router].restart().expect("it starts again");
     }
--- a/testbed/tests/odd_answers.rs
+++ b/testbed/tests/odd_answers.rs
@@ -94,7 +94,9 @@
         .await
         .expect("an address");
     let address = listener.local_addr().expect("an address");
-    fleet.store.list_in("z", "i-odd", "s", address, "ready");
+    fleet
+        .store
+        .list_replica_in("z", "i-odd", "s", address, "ready");
     let once = [RouteText::new("/charge/", "s", "non_idempotent")];
     fleet.store.publish_config(&ConfigText {
         max_body: LONG_BODY,
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -14,7 +14,7 @@
 ) -> Replica {
     let replica = Replica::start(fleet.standins(), id, ReplicaAnswer::ok(id)).await;
     let address = replica.address;
-    fleet.store.list_in(zone, id, "s", address, "ready");
+    fleet.store.list_replica_in(zone, id, "s", address, "ready");
     replica
 }
 
@@ -50,7 +50,7 @@
         assert_ne!(ask("/bounded/").await.status, 200);
     }
     assert!(south.received().is_empty());
-    fleet.store.remove("i-north");
+    fleet.store.remove_replica("i-north");
     wait_until("it is gone", || log().contains("upstream gone")).await;
     let answer = ask("/bounded/").await;
     assert_eq!((answer.status, answer.code()), (503, Some(29)));
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -66,7 +66,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_says_that_it_leaves_gets_nothing_more() {
     let (fleet, [leaves, stays]) = fleet().await;
-    fleet.store_ports[0].set(StoreMode::Silent);
+    fleet.store_ports[0].set_mode(StoreMode::Silent);
     leaves.set_headers(LEAVES);
     until_asked(&fleet, &leaves, 0).await;
     let before = leaves.received().len();
@@ -93,10 +93,12 @@
     replica: &Replica,
 ) {
     let log = || fleet.routers[0].log_text();
-    fleet.store.remove(&replica.id);
+    fleet.store.remove_replica(&replica.id);
     wait_until("the entry is gone", || log().contains("upstream gone")).await;
     let listed = log().matches("upstream Ready").count();
-    fleet.store.list(&replica.id, "s", replica.address, "ready");
+    fleet
+        .store
+        .list_replica(&replica.id, "s", replica.address, "ready");
     wait_until("the entry is back", || {
         log().matches("upstream Ready").count() > listed
     })
@@ -126,7 +128,7 @@
     let born = Uptime::unix_millis() + 2_000;
     fleet
         .store
-        .list_start("z", "i-a", born, "s", leaves.address);
+        .list_replica_start("z", "i-a", born, "s", leaves.address);
     until_asked(&fleet, &leaves, before).await;
 }
 
@@ -180,7 +182,9 @@
         .store
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
     for replica in [&rests, &awake] {
-        fleet.store.list(&replica.id, "s", replica.address, "ready");
+        fleet
+            .store
+            .list_replica(&replica.id, "s", replica.address, "ready");
     }
     fleet.wait_until_ready().await;
     wait_until("both were asked", || {
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -130,7 +130,7 @@
 ) {
     let gone: Vec<&Replica> = replicas.iter().filter(|it| it.has_exited()).collect();
     for replica in &gone {
-        fleet.store.remove(&replica.id);
+        fleet.store.remove_replica(&replica.id);
     }
     for router in &fleet.routers {
         wait_until_async("the replicas that ended are off the list", async || {
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -26,7 +26,7 @@
     let proxy = TcpProxy::start(fleet.standins(), replica.address)
         .await
         .expect("a free port");
-    fleet.store.list("i-a", "s", proxy.address, "ready");
+    fleet.store.list_replica("i-a", "s", proxy.address, "ready");
     let hasty = RouteText {
         timeout_ms: 600,
         ..RouteText::new("/hasty/", "s", "non_idempotent")
@@ -74,7 +74,7 @@
         let proxy = TcpProxy::start(fleet.standins(), replica.address)
             .await
             .expect("a free port");
-        fleet.store.list(id, "s", proxy.address, "ready");
+        fleet.store.list_replica(id, "s", proxy.address, "ready");
         (replica, proxy)
     };
     let (first, first_proxy) = behind_proxy("i-a").await;
--- a/testbed/tests/slow_starts.rs
+++ b/testbed/tests/slow_starts.rs
@@ -26,7 +26,9 @@
     let mut replicas = Vec::new();
     for (id, zone) in [("i-a", "z"), ("i-b", "z-1"), ("i-c", "z-2")] {
         let replica = Replica::start(fleet.standins(), id, ReplicaAnswer::ok(id)).await;
-        fleet.store.list_in(zone, id, "s", replica.address, "ready");
+        fleet
+            .store
+            .list_replica_in(zone, id, "s", replica.address, "ready");
         replicas.push(replica);
     }
     fleet
@@ -74,7 +76,7 @@
         .store
         .list_slow("z-1", "i-a-new", "s", starts.address, 600_000);
     // It is the only one of its zone, so that this zone's routers would rather use it.
-    fleet.store.remove("i-b");
+    fleet.store.remove_replica("i-b");
     load(&fleet).await;
     assert!(most_in_a_second(&starts) <= PER_SECOND);
     wait_until_async("it is used all the same", async || {
@@ -91,7 +93,7 @@
     load(&fleet).await;
     let slow = &replicas[1];
     for id in ["i-a", "i-c"] {
-        fleet.store.remove(id);
+        fleet.store.remove_replica(id);
     }
     fleet
         .store
@@ -116,7 +118,7 @@
     assert!(since.len() as f64 <= PER_SECOND as f64 * (span.as_secs_f64() + 1.0));
     fleet
         .store
-        .list_in("z-1", "i-b", "s", slow.address, "ready");
+        .list_replica_in("z-1", "i-b", "s", slow.address, "ready");
     for router in 0..6 {
         fleet.wait_until_served(router, "/first/", 200).await;
     }
