--- a/testbed/src/command/measures.rs
+++ b/testbed/src/command/measures.rs
@@ -51,9 +51,9 @@
             scale.replicas,
             scale.accounts,
             costs.choice,
-            costs.standing,
-            costs.report_made,
-            costs.report_read,
+            costs.share_status,
+            costs.report_encoding,
+            costs.report_decoding,
             costs.report_bytes,
         );
     }
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -58,11 +58,11 @@
 /// Mean time of each step in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct StepCosts {
-    pub choice: f64,         // choosing a replica for a prompt
-    pub standing: f64,       // computing an account's share status
-    pub report_made: f64,    // encoding a report of load at every replica of one zone
-    pub report_read: f64,    // decoding that report and applying it
-    pub report_bytes: usize, // size of that report
+    pub choice: f64,          // choosing a replica for a prompt
+    pub share_status: f64,    // computing an account's share status
+    pub report_encoding: f64, // encoding a report of load at every replica of one zone
+    pub report_decoding: f64, // decoding that report and applying it
+    pub report_bytes: usize,  // size of that report
 }
 
 /// Measures the steps.
@@ -95,9 +95,9 @@
     });
     StepCosts {
         choice,
-        standing,
-        report_made,
-        report_read,
+        share_status: standing,
+        report_encoding: report_made,
+        report_decoding: report_read,
         report_bytes: datagrams.iter().map(Vec::len).sum(),
     }
 }
