--- a/testbed/src/command/measures.rs
+++ b/testbed/src/command/measures.rs
@@ -15,7 +15,7 @@
 
 /// Prints the latency that a fleet adds to a call.
 pub async fn latency() {
-    print(&measure_latency().await);
+    print_json(&measure_latency().await);
 }
 
 /// The fleet sizes for which steps are measured: small, large, three times as large, and
@@ -42,11 +42,13 @@
 /// Prints the time of single steps of a router by fleet size, and its processor time per
 /// request.
 pub async fn costs(matches: &Matches) {
-    println!("routers replicas accounts | us: choice standing report made, read | bytes");
+    println!(
+        "routers replicas accounts | us: choice share status report encoding report decoding | bytes"
+    );
     for scale in FLEETS {
         let costs = step_costs(scale);
         println!(
-            "{:7} {:8} {:8} | {:10.1} {:8.1} {:11.1} {:5.1} | {:5}",
+            "{:7} {:8} {:8} | {:10.1} {:12.1} {:15.1} {:15.1} | {:5}",
             scale.routers,
             scale.replicas,
             scale.accounts,
@@ -69,28 +71,28 @@
 /// Prints the utilisation with and without requests granted ahead of free slots.
 pub async fn ahead(matches: &Matches) {
     for ahead in [0, 1, 8] {
-        print(&measure_ahead(ahead, number(matches, "seconds", 5)).await);
+        print_json(&measure_ahead(ahead, number(matches, "seconds", 5)).await);
     }
 }
 
 /// Prints the prefix cache hits with and without affinity of prompts to upstreams.
 pub async fn prefix(matches: &Matches) {
     for slack in ["0 ms", "200 ms", "1 s"] {
-        print(&measure_prefix(slack, number(matches, "seconds", 10)).await);
+        print_json(&measure_prefix(slack, number(matches, "seconds", 10)).await);
     }
 }
 
 /// Prints the time from publishing a configuration until all processes use it.
 pub async fn revision() {
-    print(&measure_revision(parking().plan).await);
-    print(&measure_revision(association().plan).await);
+    print_json(&measure_revision(parking().plan).await);
+    print_json(&measure_revision(association().plan).await);
 }
 
 /// Prints the outcomes of requests while one availability zone fails.
 pub async fn zone_loss(matches: &Matches) {
     let accounts = ["member-1", "member-2", "member-6", "member-7"];
     let seconds = number(matches, "seconds", 5);
-    print(&measure_zone_loss(association().plan, &accounts, "digester", seconds).await);
+    print_json(&measure_zone_loss(association().plan, &accounts, "digester", seconds).await);
 }
 
 /// Prints the control bytes a second by kind of message, with an idle fleet and with
@@ -103,7 +105,7 @@
     tokio::time::sleep(seconds).await;
     let idle = control_snapshot(&fleet).await;
     println!("idle");
-    print(&control_since(&before, &idle));
+    print_json(&control_since(&before, &idle));
     let load = Backlog::ten_accounts("drafter");
     let start = control_snapshot(&fleet).await;
     let (load, end) = tokio::join!(load.run(&fleet, Duration::ZERO, seconds, |_| {}), async {
@@ -111,9 +113,9 @@
         control_snapshot(&fleet).await
     });
     println!("backlogged, utilisation {:.3}", load.utilisation);
-    print(&control_since(&start, &end));
+    print_json(&control_since(&start, &end));
 }
 
-fn print<T: Serialize>(result: &T) {
+fn print_json<T: Serialize>(result: &T) {
     println!("{}", serde_json::to_string(result).unwrap_or_default());
 }
--- a/testbed/src/direct/client.rs
+++ b/testbed/src/direct/client.rs
@@ -174,7 +174,7 @@
             .get("transfer-encoding")
             .is_some_and(|te| te == "chunked");
         let length: Option<usize> = headers.get("content-length").and_then(|t| t.parse().ok());
-        let (body, whole) = match (chunked, length) {
+        let (body, is_complete) = match (chunked, length) {
             (true, _) => self.read_chunks().await,
             (_, Some(length)) => self.read_exactly(length).await,
             _ => (Vec::new(), true),
@@ -183,7 +183,7 @@
             status: status.unwrap_or(0),
             headers,
             body,
-            is_complete: whole,
+            is_complete,
         }
     }
 
@@ -217,8 +217,8 @@
                 return (body, false);
             };
             self.received.drain(..line_end + 2);
-            let (chunk, whole) = self.read_exactly(size + 2).await;
-            if !whole {
+            let (chunk, is_complete) = self.read_exactly(size + 2).await;
+            if !is_complete {
                 return (body, false);
             }
             body.extend_from_slice(&chunk[..size]);
--- a/testbed/src/fleet/fleet.rs
+++ b/testbed/src/fleet/fleet.rs
@@ -231,7 +231,7 @@
         &self,
         router: usize,
         sidecar: usize,
-        cut: bool,
+        is_blocked: bool,
     ) {
         let (router, sidecar) = (&self.routers[router], &self.sidecars[sidecar]);
         for (link, source) in [
@@ -239,7 +239,7 @@
             (&router.link, sidecar.source),
         ] {
             link.update_faults(|faults| {
-                if cut {
+                if is_blocked {
                     faults.blocked_sources.insert(source);
                 } else {
                     faults.blocked_sources.remove(&source);
--- a/testbed/src/load/replay.rs
+++ b/testbed/src/load/replay.rs
@@ -85,7 +85,7 @@
         utilisation: contended_utilisation(fleet).await,
         router_control: control.router_total,
         sidecar_control: control.sidecar_total,
-        doubled: doubled(fleet),
+        doubled: count_repeated_calls(fleet),
     }
 }
 
@@ -115,7 +115,7 @@
 ) -> JoinSet<(String, Outcome)> {
     let mut requests = JoinSet::new();
     for (number, row) in rows.iter().enumerate() {
-        let router = router_of(number, &row.account, fleet.routers.len());
+        let router = assign_router(number, &row.account, fleet.routers.len());
         let caller = fleet
             .caller(router, &row.account)
             .with_header(LABELS_HEADER, &format!("work={}", row.class));
@@ -140,7 +140,7 @@
 
 /// Assigns a request to a router. Three in five requests of an account go to the same
 /// router, the others in turn to all, so that the routers' loads differ by account.
-fn router_of(
+fn assign_router(
     number: usize,
     account: &str,
     routers: usize,
@@ -176,7 +176,7 @@
 }
 
 /// Number of plain calls that ran more than once. None of them may be repeated.
-fn doubled(fleet: &Fleet) -> u64 {
+fn count_repeated_calls(fleet: &Fleet) -> u64 {
     fleet
         .sidecars
         .iter()
--- a/testbed/src/load/sample.rs
+++ b/testbed/src/load/sample.rs
@@ -34,8 +34,8 @@
         Self {
             started: Instant::now(),
             shares: shares.clone(),
-            service_before: service(fleet, shares),
-            busy_before: busy(fleet),
+            service_before: tokens_by_account(fleet, shares),
+            busy_before: busy_slot_time(fleet),
             slots: fleet.sidecars.iter().map(|s| s.plan.upstream.slots()).sum(),
         }
     }
@@ -45,7 +45,7 @@
         &self,
         fleet: &Fleet,
     ) -> GapSample {
-        let per_share: BTreeMap<String, f64> = service(fleet, &self.shares)
+        let per_share: BTreeMap<String, f64> = tokens_by_account(fleet, &self.shares)
             .into_iter()
             .map(|(account, units)| {
                 let since = units - self.service_before[&account];
@@ -67,31 +67,31 @@
         &self,
         fleet: &Fleet,
     ) -> f64 {
-        let busy = (busy(fleet) - self.busy_before).as_secs_f64();
+        let busy = (busy_slot_time(fleet) - self.busy_before).as_secs_f64();
         busy / (self.started.elapsed().as_secs_f64() * self.slots as f64)
     }
 }
 
 /// Tokens sent by all upstreams since their start, by account.
-fn service(
+fn tokens_by_account(
     fleet: &Fleet,
     shares: &BTreeMap<String, f64>,
 ) -> BTreeMap<String, f64> {
-    let mut service: BTreeMap<String, f64> = shares
+    let mut tokens: BTreeMap<String, f64> = shares
         .keys()
         .map(|account| (account.clone(), 0.0))
         .collect();
     for sidecar in &fleet.sidecars {
-        for (account, (tokens, _)) in sidecar.upstream.log().service_by_account() {
-            if let Some(sum) = service.get_mut(&account) {
-                *sum += tokens as f64;
+        for (account, (sent, _)) in sidecar.upstream.log().service_by_account() {
+            if let Some(sum) = tokens.get_mut(&account) {
+                *sum += sent as f64;
             }
         }
     }
-    service
+    tokens
 }
 
-fn busy(fleet: &Fleet) -> Duration {
+fn busy_slot_time(fleet: &Fleet) -> Duration {
     fleet
         .sidecars
         .iter()
--- a/testbed/src/measure/costs.rs
+++ b/testbed/src/measure/costs.rs
@@ -74,18 +74,18 @@
         std::hint::black_box(table.choose(NOW, &request(prompt)));
     });
     let mut tracker = loaded_tracker(scale);
-    let standing = mean_us(|step| {
+    let share_status = mean_us(|step| {
         let account = step % scale.accounts;
         // The tracker recomputes the sum of the peers' usage every 20 ms. At 400 us per
         // request, that is once in 50 requests.
         let now = NOW + Duration::from_micros(400) * step;
         std::hint::black_box(tracker.account_share(now, account, 100.0));
     });
-    let report_made = mean_us(|_| {
+    let report_encoding = mean_us(|_| {
         std::hint::black_box(encoded_report(&table));
     });
     let datagrams = encoded_report(&table);
-    let report_read = mean_us(|step| {
+    let report_decoding = mean_us(|step| {
         for datagram in &datagrams {
             let message = decode_payload(datagram).expect("just encoded");
             if let PeerMessage::Report(report) = message {
@@ -95,9 +95,9 @@
     });
     StepCosts {
         choice,
-        share_status: standing,
-        report_encoding: report_made,
-        report_decoding: report_read,
+        share_status,
+        report_encoding,
+        report_decoding,
         report_bytes: datagrams.iter().map(Vec::len).sum(),
     }
 }
--- a/testbed/src/standin/engine.rs
+++ b/testbed/src/standin/engine.rs
@@ -161,14 +161,14 @@
         self.prefill().await;
         let mut response = Response::build();
         response.status(Status::Ok);
-        response.raw_header("x-request-id", self.echo());
+        response.raw_header("x-request-id", self.answered_request_id());
         if self.body.stream {
             response.raw_header("content-type", "text/event-stream");
             let reader = StreamReader::new(Box::pin(self.into_stream()));
             response.max_chunk_size(1).streamed_body(reader);
         } else {
             response.raw_header("content-type", "application/json");
-            let body = self.whole().await;
+            let body = self.into_body().await;
             response.sized_body(body.len(), Cursor::new(body));
         }
         response.finalize()
@@ -185,14 +185,14 @@
         }
     }
 
-    fn echo(&self) -> String {
+    fn answered_request_id(&self) -> String {
         match self.fault {
             EngineFault::WrongRequestId => format!("crossed-{}", self.request_id),
             _ => self.request_id.clone(),
         }
     }
 
-    async fn whole(mut self) -> String {
+    async fn into_body(mut self) -> String {
         let mut text = String::new();
         while self.sent < self.body.max_tokens {
             text.push_str(&self.next_token().await);
--- a/testbed/src/standin/platform.rs
+++ b/testbed/src/standin/platform.rs
@@ -78,8 +78,8 @@
             if expect.is_some_and(|expected| expected != newest) {
                 return Err(PublishError::Raced);
             }
-            values.last += 1;
-            let revision = values.last;
+            values.last_revision += 1;
+            let revision = values.last_revision;
             let history = values.history.entry(key.to_owned()).or_default();
             history.push((revision, text.to_owned()));
             revision
@@ -141,7 +141,7 @@
 
     /// The revision published last.
     pub fn last_revision(&self) -> u64 {
-        self.shared.values.lock().expect("value lock").last
+        self.shared.values.lock().expect("value lock").last_revision
     }
 
     /// Number of calls since the start, and how many of them exceeded the rate limit.
@@ -152,7 +152,7 @@
 }
 
 impl Shared {
-    fn newer(
+    fn newer_value(
         &self,
         key: &str,
         after: u64,
@@ -161,11 +161,11 @@
         let values = self.values.lock().expect("value lock");
         let (revision, text) = values.newest_up_to(key, bound)?;
         // A stale service returns its old value also to a client that has a newer one.
-        let serves = revision > after || (bound < after);
-        serves.then(|| (revision, text.to_owned()))
+        let is_served = revision > after || (bound < after);
+        is_served.then(|| (revision, text.to_owned()))
     }
 
-    async fn wait_newer(
+    async fn wait_for_newer_value(
         &self,
         key: &str,
         after: u64,
@@ -173,7 +173,7 @@
         let mut changed = self.changed.subscribe();
         let mut faults = self.faults.subscribe();
         loop {
-            if let Some(found) = self.newer(key, after) {
+            if let Some(found) = self.newer_value(key, after) {
                 return found;
             }
             tokio::select! {
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn wait_down(&self) {
+    async fn wait_until_down(&self) {
         let mut faults = self.faults.subscribe();
         if faults.wait_for(|s| s.down).await.is_err() {
             std::future::pending::<()>().await;
@@ -220,11 +220,11 @@
     admit(shared).await?;
     let wait = Duration::from_millis(query.wait_ms);
     tokio::select! {
-        (revision, text) = shared.wait_newer(key, query.after) => Ok(Watched::Value(Value {
+        (revision, text) = shared.wait_for_newer_value(key, query.after) => Ok(Watched::Value(Value {
             text,
             revision: Header::new(REVISION_HEADER, revision.to_string()),
         })),
-        () = shared.wait_down() => Err(Status::ServiceUnavailable),
+        () = shared.wait_until_down() => Err(Status::ServiceUnavailable),
         () = tokio::time::sleep(wait) => Ok(Watched::Unchanged(())),
     }
 }
--- a/testbed/src/standin/run_log.rs
+++ b/testbed/src/standin/run_log.rs
@@ -22,7 +22,7 @@
 /// Every request that reached a stand-in, as the stand-in itself recorded it. Tests
 /// compare it with what callers and routers report.
 pub struct RunLog {
-    begun: Instant,
+    started: Instant,
     runs: Mutex<Vec<Run>>,
     slots: Mutex<(SlotClock, usize)>, // the clock of busy slots, and how many are busy now
 }
@@ -30,7 +30,7 @@
 impl Default for RunLog {
     fn default() -> Self {
         Self {
-            begun: Instant::now(),
+            started: Instant::now(),
             runs: Mutex::default(),
             slots: Mutex::default(),
         }
@@ -46,14 +46,14 @@
         let mut slots = self.slots.lock().expect("slot lock");
         slots.1 = if taken { slots.1 + 1 } else { slots.1 - 1 };
         let used = slots.1;
-        slots.0.observe(self.begun.elapsed(), used, false);
+        slots.0.observe(self.started.elapsed(), used, false);
     }
 
     /// Time that slots were busy since the start, summed over all slots.
     pub fn busy_slot_time(&self) -> Duration {
         let mut slots = self.slots.lock().expect("slot lock");
         let used = slots.1;
-        slots.0.observe(self.begun.elapsed(), used, false);
+        slots.0.observe(self.started.elapsed(), used, false);
         slots.0.busy()
     }
 
--- a/testbed/src/standin/values.rs
+++ b/testbed/src/standin/values.rs
@@ -3,7 +3,7 @@
 /// The published values with all their past revisions.
 #[derive(Default)]
 pub struct Values {
-    pub last: u64,                                    // highest revision given out
+    pub last_revision: u64,                           // the highest one assigned
     pub history: HashMap<String, Vec<(u64, String)>>, // revisions of each key, oldest first
     pub parts: HashMap<String, String>,               // parts of configurations by SHA-256 digest
 }
