--- a/testbed/src/direct/store.rs
+++ b/testbed/src/direct/store.rs
@@ -22,7 +22,7 @@
     items: BTreeMap<String, Item>,
     events: Vec<Value>,
     revision: u64,
-    forgotten: u64, // events up to this revision are discarded
+    discarded_up_to: u64, // events up to this revision are discarded
 }
 
 struct Item {
@@ -224,7 +224,7 @@
     /// items stay.
     pub fn compact(&self) {
         let mut state = self.state.lock().expect("store lock");
-        state.forgotten = state.revision;
+        state.discarded_up_to = state.revision;
         state.events.clear();
     }
 
@@ -297,7 +297,7 @@
         after: u64,
     ) -> Option<Vec<Value>> {
         let state = self.state.lock().expect("store lock");
-        if after < state.forgotten {
+        if after < state.discarded_up_to {
             return None;
         }
         let fresh = state.events.iter().filter(|event| {
