--- a/testbed/src/direct/store.rs
+++ b/testbed/src/direct/store.rs
@@ -179,16 +179,16 @@
         self.put(&format!("servers/{id}"), &entry);
     }
 
-    /// Asks the routers to stop sending requests to a zone.
-    pub fn start_evacuation(
+    /// Cordons a zone: the routers send no new work to its replicas.
+    pub fn cordon_zone(
         &self,
         zone: &str,
     ) {
         self.put(&format!("op/evacuate/{zone}"), &json!({}));
     }
 
-    /// Ends the evacuation of a zone.
-    pub fn end_evacuation(
+    /// Lets the routers use a cordoned zone again.
+    pub fn uncordon_zone(
         &self,
         zone: &str,
     ) {
--- a/testbed/src/soak/operator_inflict.rs
+++ b/testbed/src/soak/operator_inflict.rs
@@ -29,11 +29,11 @@
         let _one = self.emptying.lock().await;
         let zone = zone_name(zone);
         let began = Instant::now();
-        self.store.start_evacuation(&zone);
+        self.store.cordon_zone(&zone);
         let confirmed = Instant::now();
         sleep(lasts).await;
         let taken_back = Instant::now();
-        self.store.end_evacuation(&zone);
+        self.store.uncordon_zone(&zone);
         let cordon = CordonSeen {
             zone,
             confirmed,
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -88,9 +88,9 @@
     fleet: &DirectFleet,
     replica: &Replica,
 ) {
-    fleet.store.start_evacuation("z-1");
+    fleet.store.cordon_zone("z-1");
     gets_nothing(fleet, replica).await;
-    fleet.store.end_evacuation("z-1");
+    fleet.store.uncordon_zone("z-1");
     for router in [2, 3] {
         serves_by(fleet, router, "i-b").await;
     }
@@ -122,7 +122,7 @@
             .any(|seen| seen.attempt_id() == "slow")
     })
     .await;
-    fleet.store.start_evacuation("z-1");
+    fleet.store.cordon_zone("z-1");
     gets_nothing(&fleet, &replicas[1]).await;
     let ended = running.await.expect("an answer");
     assert_eq!((ended.status, ended.text().as_str()), (200, "late"));
@@ -132,7 +132,7 @@
 async fn with_every_zone_emptied_requests_are_refused_at_once_and_not_run() {
     let (fleet, replicas) = fleet().await;
     for zone in ["z", "z-1", "z-2"] {
-        fleet.store.start_evacuation(zone);
+        fleet.store.cordon_zone(zone);
     }
     for router in 0..6 {
         wait_until_async("requests are refused", async || {
@@ -160,7 +160,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_starts_without_the_store_knows_what_is_emptied() {
     let (mut fleet, replicas) = fleet().await;
-    fleet.store.start_evacuation("z-1");
+    fleet.store.cordon_zone("z-1");
     gets_nothing(&fleet, &replicas[1]).await;
     fleet.store_ports[2].set_mode(StoreMode::Silent);
     fleet.routers[2].kill();
@@ -185,12 +185,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_that_forgot_that_a_zone_was_taken_back_is_read_anew() {
     let (fleet, replicas) = fleet().await;
-    fleet.store.start_evacuation("z-1");
+    fleet.store.cordon_zone("z-1");
     gets_nothing(&fleet, &replicas[1]).await;
     for port in &fleet.store_ports {
         port.set_mode(StoreMode::Busy);
     }
-    fleet.store.end_evacuation("z-1");
+    fleet.store.uncordon_zone("z-1");
     fleet.store.compact();
     for port in &fleet.store_ports {
         port.set_mode(StoreMode::Well);
@@ -208,7 +208,7 @@
     }
     fleet.store.put_bytes("op/evacuate/z-2", b"\xff\xfe\x00");
     fleet.store.put_bytes("op/evacuate/nowhere", b"{}");
-    fleet.store.start_evacuation("z-1");
+    fleet.store.cordon_zone("z-1");
     gets_nothing(&fleet, &replicas[1]).await;
     serves_by(&fleet, 0, "i-a").await;
     serves_by(&fleet, 4, "i-c").await;
