--- a/testbed/src/direct/direct_fleet.rs
+++ b/testbed/src/direct/direct_fleet.rs
@@ -1,28 +1,29 @@
 use {
     super::{Client, ClientRequest, Replica, ReplicaAnswer, RouteText, Store, StorePort},
-    crate::fleet::{Loopback, Process, until_async},
+    crate::fleet::{Loopback, Process, wait_until_async},
     std::{
         net::{IpAddr, SocketAddr},
         path::PathBuf,
     },
 };
 
-/// Routers that carry requests themselves, their replicas and their store.
+/// Router processes of the direct form and the stand-in store that they read. The
+/// vectors are indexed by router.
 pub struct DirectFleet {
     pub store: Store,
-    pub ports: Vec<StorePort>, // one for each router
+    pub store_ports: Vec<StorePort>, // each router has its own
     pub routers: Vec<Process>,
-    pub callers: Vec<SocketAddr>,
-    pub ready: Vec<SocketAddr>,
-    pub settings: Vec<PathBuf>,
+    pub caller_addresses: Vec<SocketAddr>, // HTTP addresses for callers
+    pub ready_addresses: Vec<SocketAddr>,  // addresses of the readiness check
+    pub settings: Vec<PathBuf>,            // settings files
     loopback: Loopback,
     _folder: Folder,
 }
 
-/// Routers that are named as seeds to all.
+/// How many of the routers are listed as seeds in every router's settings.
 const SEEDS: usize = 3;
 
-/// The name of a zone by its number.
+/// The name of the availability zone with this index.
 pub fn zone_name(number: usize) -> String {
     match number {
         0 => "z".to_owned(),
@@ -30,20 +31,20 @@
     }
 }
 
-/// A folder of a test's own, removed with it.
+/// A temporary folder, removed when this is dropped.
 struct Folder(PathBuf);
 
 impl Drop for Folder {
     fn drop(&mut self) {
         if let Err(error) = std::fs::remove_dir_all(&self.0) {
-            log::debug!("folder left behind: {error}");
+            log::debug!("temporary folder not removed: {error}");
         }
     }
 }
 
 impl DirectFleet {
-    /// Starts this many routers of one zone before a store that is empty yet.
-    /// `callers` goes into that section of their settings.
+    /// Starts `count` routers in one zone, with a store that is still empty.
+    /// `callers_text` is added to the section `[callers]` of their settings.
     pub async fn start(
         count: usize,
         callers_text: &str,
@@ -51,7 +52,7 @@
         Self::start_in_zones(&[count], callers_text).await
     }
 
-    /// The same with so many routers in each zone.
+    /// The same as [`Self::start`], with this number of routers in each zone.
     pub async fn start_in_zones(
         counts: &[usize],
         callers_text: &str,
@@ -74,23 +75,23 @@
         let seeds: Vec<String> = seeds.collect();
         let mut fleet = Self {
             store: store.clone(),
-            ports: Vec::new(),
+            store_ports: Vec::new(),
             routers: Vec::new(),
-            callers: Vec::new(),
-            ready: Vec::new(),
+            caller_addresses: Vec::new(),
+            ready_addresses: Vec::new(),
             settings: Vec::new(),
             loopback,
             _folder: folder,
         };
         for (index, peer) in peers.iter().enumerate() {
-            let port = StorePort::start(fleet.loopback.standins, store.clone()).await;
+            let port = StorePort::start(fleet.loopback.standin_ip, store.clone()).await;
             let free = || fleet.loopback.free_tcp().expect("a free port");
             let (callers, ready, operator) = (free(), free(), free());
-            let news = fleet.loopback.free_udp().expect("a free port");
+            let update_listen = fleet.loopback.free_udp().expect("a free port");
             let text = format!(
                 "[process]\nhost = router-{index}\nzone = {}\n[callers]\nlisten = {callers}\n{callers_text}\
                  [ready]\nlisten = {ready}\npath = /v1/ready\n[operator]\nlisten = {operator}\n\
-                 [peers]\nlisten = {peer}\nnews = {news}\nseeds = {}\n[catalog]\naddress = {}\npause = 20 ms\n\
+                 [peers]\nlisten = {peer}\nnews = {update_listen}\nseeds = {}\n[catalog]\naddress = {}\npause = 20 ms\n\
                  retry_pause = 50 ms\n[stop]\ngrace = 20 s\nbalancer_lag = 300 ms\n",
                 zone_name(zones[index]),
                 seeds.join(","),
@@ -101,28 +102,30 @@
             let log = fleet._folder.0.join(format!("router-{index}.log"));
             let process = Process::start_with("archmast-router", &["--direct"], &settings, &log);
             fleet.routers.push(process.expect("the router starts"));
-            fleet.ports.push(port);
-            fleet.callers.push(callers);
-            fleet.ready.push(ready);
+            fleet.store_ports.push(port);
+            fleet.caller_addresses.push(callers);
+            fleet.ready_addresses.push(ready);
             fleet.settings.push(settings);
         }
         fleet
     }
 
-    /// Starts one router before two replicas of service `s`, which it knows, with
-    /// these routes.
+    /// Starts one router and two replicas of service `s`, publishes these routes, and
+    /// waits until the router is ready and knows both replicas.
     pub async fn with_two_replicas(
-        usual: ReplicaAnswer,
+        default_answer: ReplicaAnswer,
         routes: &[RouteText],
     ) -> (Self, [Replica; 2]) {
         let fleet = Self::start(1, "").await;
         let replicas = [
-            fleet.replica("i-a", "s", usual.clone()).await,
-            fleet.replica("i-b", "s", usual).await,
+            fleet
+                .start_replica("i-a", "s", default_answer.clone())
+                .await,
+            fleet.start_replica("i-b", "s", default_answer).await,
         ];
         fleet.store.publish(1, routes);
-        fleet.all_ready().await;
-        until_async("both replicas are known", async || {
+        fleet.wait_until_ready().await;
+        wait_until_async("both replicas are known", async || {
             let log = fleet.routers[0].log_text();
             log.matches("upstream Ready").count() >= 2
         })
@@ -130,49 +133,56 @@
         (fleet, replicas)
     }
 
-    /// The address at which stand-ins listen.
+    /// The IP address on which stand-ins listen.
     pub fn standins(&self) -> IpAddr {
-        self.loopback.standins
+        self.loopback.standin_ip
     }
 
-    /// Starts a replica and lists it as ready.
-    pub async fn replica(
+    /// Starts a replica and lists it as ready in the store, in the first zone.
+    pub async fn start_replica(
         &self,
         id: &str,
         service: &str,
-        usual: ReplicaAnswer,
+        default_answer: ReplicaAnswer,
     ) -> Replica {
-        let replica = Replica::start(self.loopback.standins, id, usual).await;
-        self.store.list(id, service, replica.address, "ready");
+        let replica = Replica::start(self.loopback.standin_ip, id, default_answer).await;
+        self.store
+            .list_replica(id, service, replica.address, "ready");
         replica
     }
 
-    /// Whether a router says that it is ready.
+    /// Whether a router reports that it is ready.
     pub async fn is_ready(
         &self,
         router: usize,
     ) -> bool {
         let request = ClientRequest::get("/v1/ready", "ready");
-        Client::ask(self.ready[router], &request).await.status == 200
+        Client::call_once(self.ready_addresses[router], &request)
+            .await
+            .status
+            == 200
     }
 
     /// Waits until every router is ready.
-    pub async fn all_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         for router in 0..self.routers.len() {
-            until_async("the router is ready", async || self.is_ready(router).await).await;
+            wait_until_async("the router is ready", async || self.is_ready(router).await).await;
         }
     }
 
-    /// Waits until a path is answered by a router with this status.
-    pub async fn serves(
+    /// Waits until a router answers requests for a path with this status.
+    pub async fn wait_until_served(
         &self,
         router: usize,
         path: &str,
         status: u16,
     ) {
-        until_async("the path is served", async || {
+        wait_until_async("the path is served", async || {
             let request = ClientRequest::get(path, "probe");
-            Client::ask(self.callers[router], &request).await.status == status
+            Client::call_once(self.caller_addresses[router], &request)
+                .await
+                .status
+                == status
         })
         .await;
     }
--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the product's real processes on free loopback ports, with stand-ins
-//! around them and proxies between them.
+//! Runs the router and sidecar programs of the granted form on free loopback ports,
+//! with stand-ins for the platform and the upstreams and proxies between all of them.
 
 mod caller;
 mod deployments;
@@ -23,5 +23,5 @@
     plan::{FleetPlan, SidecarPlan, UpstreamPlan},
     process::{Process, program_path},
     sidecar_host::{SidecarHost, Upstream},
-    wait::{until, until_async},
+    wait::{wait_until, wait_until_async},
 };
--- a/testbed/src/soak/checks.rs
+++ b/testbed/src/soak/checks.rs
@@ -83,7 +83,7 @@
 /// very request.
 fn wrong_answer(request: &CallerRequest) -> Option<String> {
     let answer = request.answer.as_ref()?;
-    if answer.status != 200 || !answer.whole {
+    if answer.status != 200 || !answer.is_complete {
         return None;
     }
     if answer.header("archmast-attempt-id") != request.id {
@@ -118,7 +118,7 @@
     if is_starved(record, request, answer) {
         return None;
     }
-    let served = answer.status == 200 && answer.whole;
+    let served = answer.status == 200 && answer.is_complete;
     let closed_unread = answer.status == 0 && !ran;
     let refused = NOT_RUN_STATUSES.contains(&answer.status);
     let no_fault_active = !record.spans.iter().any(|span| affecting(&span));
@@ -128,7 +128,7 @@
             "got {} (code {:?}, whole: {}) with ran = {ran}",
             answer.status,
             answer.code(),
-            answer.whole
+            answer.is_complete
         )
     })
 }
--- a/testbed/src/soak/crash_run.rs
+++ b/testbed/src/soak/crash_run.rs
@@ -78,14 +78,14 @@
         ..RouteText::new("/fatal/", "s", "idempotent")
     };
     fleet.store.publish(1, &[read, fatal]);
-    fleet.all_ready().await;
-    for router in 0..fleet.callers.len() {
-        fleet.serves(router, "/read/", 200).await;
+    fleet.wait_until_ready().await;
+    for router in 0..fleet.caller_addresses.len() {
+        fleet.wait_until_served(router, "/read/", 200).await;
     }
     let stop = watch::Sender::new(false);
     let counts: Arc<Mutex<HarmlessCounts>> = Arc::default();
     let mut work = JoinSet::new();
-    for (number, router) in fleet.callers.clone().into_iter().enumerate() {
+    for (number, router) in fleet.caller_addresses.clone().into_iter().enumerate() {
         for caller in 0..CALLERS_PER_ROUTER {
             let random =
                 StdRng::seed_from_u64(seed ^ ((number * CALLERS_PER_ROUTER + caller) as u64) << 32);
@@ -96,7 +96,11 @@
     }
     if scenario != CrashScenario::CutOff {
         let random = StdRng::seed_from_u64(seed);
-        work.spawn(send_fatal(fleet.callers.clone(), random, stop.subscribe()));
+        work.spawn(send_fatal(
+            fleet.caller_addresses.clone(),
+            random,
+            stop.subscribe(),
+        ));
     }
     let seen = replace_crashed(&mut fleet, scenario, seed, length, running).await;
     stop.send_replace(true);
@@ -125,7 +129,7 @@
         &mut self,
         replica: &Replica,
     ) {
-        let seen = replica.seen();
+        let seen = replica.received();
         let fatal = seen
             .iter()
             .filter(|request| request.text().contains(FATAL_PROMPT));
@@ -163,15 +167,15 @@
             _ => format!("i-{number}-{generation}"),
         };
         let replica = Replica::start(fleet.standins(), &id, default_answer).await;
-        replica.ends_under(FATAL_PROMPT);
+        replica.crash_on(FATAL_PROMPT);
         if scenario == CrashScenario::CutOff {
-            replica.cuts_one_in(5);
+            replica.close_one_in(5);
         }
         let zone = zone_name(number % ROUTERS_PER_ZONE.len());
         let start_number = generation as u64 + 1;
         fleet
             .store
-            .list_start(&zone, &id, start_number, "s", replica.address);
+            .list_replica_start(&zone, &id, start_number, "s", replica.address);
         Self {
             replica,
             number,
@@ -197,7 +201,7 @@
     let keeps_ids = scenario == CrashScenario::SameIds;
     while began.elapsed() < length {
         for index in (0..running.len()).rev() {
-            if running[index].replica.has_ended() {
+            if running[index].replica.has_exited() {
                 let now = Instant::now();
                 seen.crashes.push(now);
                 waiting.push((now, running.remove(index)));
@@ -213,7 +217,7 @@
                 let (_, crashed) = waiting.remove(index);
                 seen.record(&crashed.replica);
                 if !keeps_ids {
-                    fleet.store.remove(&crashed.replica.id);
+                    fleet.store.remove_replica(&crashed.replica.id);
                 }
                 let next =
                     PlacedReplica::start(fleet, scenario, crashed.number, crashed.generation + 1)
@@ -289,7 +293,7 @@
         let id = format!("{:016x}", random.random::<u64>());
         sent.spawn(async move {
             let request = ClientRequest::post("/fatal/", &id, FATAL_PROMPT);
-            let answer = timeout(ANSWER_TIMEOUT, Client::ask(router, &request)).await;
+            let answer = timeout(ANSWER_TIMEOUT, Client::call_once(router, &request)).await;
             log::debug!("{id}: {:?}", answer.map(|answer| answer.status));
         });
         sleep(FATAL_INTERVAL).await;
--- a/testbed/src/soak/fault_injection.rs
+++ b/testbed/src/soak/fault_injection.rs
@@ -48,7 +48,7 @@
                     .await
             }
             Fault::ForgetHistory => {
-                self.store.forget_history();
+                self.store.compact();
                 Instant::now()
             }
             Fault::Publish => {
@@ -63,14 +63,14 @@
             Fault::CutLink(slot) => self.cut(slot, lasts).await,
             Fault::ResetLink(slot) => {
                 let slot = self.slots[slot].lock().await;
-                slot.proxy.cut_connections();
+                slot.proxy.close_connections();
                 Instant::now()
             }
             Fault::SilenceStore(router) => self.silence_stores(router..router + 1),
             Fault::SilenceAllStores => self.silence_stores(0..self.routers.len()),
             Fault::SilenceReplica(slot) => {
                 let slot = self.slots[slot].lock().await;
-                slot.proxy.silence_connections();
+                slot.proxy.stall_connections();
                 Instant::now()
             }
             Fault::SilenceCallers(router) => {
@@ -102,7 +102,7 @@
         routers: Range<usize>,
     ) -> Instant {
         for router in routers {
-            self.ports[router].proxy.silence_connections();
+            self.ports[router].proxy.stall_connections();
         }
         Instant::now()
     }
@@ -134,7 +134,7 @@
         let mut process = self.routers[router].lock().await;
         let began = Instant::now();
         process.terminate();
-        while process.ended().is_none() {
+        while process.exit_status().is_none() {
             sleep(POLL_INTERVAL).await;
         }
         process.restart().expect("the router starts again");
@@ -150,10 +150,10 @@
     ) -> Instant {
         let mut process = self.routers[router].lock().await;
         let began = Instant::now();
-        process.hang_up();
+        process.signal_reload();
         let is_starting = began.duration_since(process.started()) < SIGNAL_SETUP_TIME;
         sleep(POLL_INTERVAL).await;
-        if is_starting && process.ended().is_some() {
+        if is_starting && process.exit_status().is_some() {
             process.restart().expect("the router starts again");
             let span = FaultSpan {
                 fault: Fault::KillRouter(router),
@@ -186,11 +186,11 @@
     ) -> Instant {
         let began = Instant::now();
         for router in routers.clone() {
-            self.ports[router].set(mode);
+            self.ports[router].set_mode(mode);
         }
         sleep(lasts).await;
         for router in routers {
-            self.ports[router].set(StoreMode::Well);
+            self.ports[router].set_mode(StoreMode::Well);
         }
         began
     }
@@ -224,8 +224,8 @@
     ) -> Instant {
         let mut slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.proxy.set(|faults| faults.cut = true);
-        slot.proxy.cut_connections();
+        slot.proxy.update_faults(|faults| faults.blocked = true);
+        slot.proxy.close_connections();
         sleep(lasts).await;
         slot.unlist(&self.store);
         self.replace(&mut slot).await;
@@ -241,7 +241,7 @@
         let began = Instant::now();
         slot.send_faulty_answers();
         sleep(lasts).await;
-        slot.replica.forget_script();
+        slot.replica.clear_script();
         began
     }
 
@@ -252,9 +252,10 @@
     ) -> Instant {
         let slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.proxy.set(|faults| faults.delay = LINK_DELAY);
+        slot.proxy.update_faults(|faults| faults.delay = LINK_DELAY);
         sleep(lasts).await;
-        slot.proxy.set(|faults| faults.delay = Duration::ZERO);
+        slot.proxy
+            .update_faults(|faults| faults.delay = Duration::ZERO);
         began
     }
 
@@ -265,9 +266,9 @@
     ) -> Instant {
         let slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.proxy.set(|faults| faults.cut = true);
+        slot.proxy.update_faults(|faults| faults.blocked = true);
         sleep(lasts).await;
-        slot.proxy.set(|faults| faults.cut = false);
+        slot.proxy.update_faults(|faults| faults.blocked = false);
         began
     }
 }
--- a/testbed/src/soak/fleet_under_test.rs
+++ b/testbed/src/soak/fleet_under_test.rs
@@ -86,13 +86,13 @@
         }
         let routers = std::mem::take(&mut fleet.routers);
         let mut proxies = Vec::new();
-        for router in &fleet.callers {
+        for router in &fleet.caller_addresses {
             proxies.push(TcpProxy::start(ip, *router).await.expect("a free port"));
         }
         Self {
             store: fleet.store.clone(),
-            ports: std::mem::take(&mut fleet.ports),
-            callers: fleet.callers.clone(),
+            ports: std::mem::take(&mut fleet.store_ports),
+            callers: fleet.caller_addresses.clone(),
             routers: routers.into_iter().map(AsyncMutex::new).collect(),
             slots,
             proxies,
@@ -174,7 +174,7 @@
         &self,
         router: usize,
     ) {
-        self.proxies[router].silence_connections();
+        self.proxies[router].stall_connections();
     }
 
     /// Replaces the replica of a slot, and retains the old one for the checks.
@@ -314,15 +314,15 @@
     zone: &str,
     replica: &Replica,
 ) {
-    let seen = replica.seen();
+    let seen = replica.received();
     let arrivals = seen.iter().map(Arrival::of);
     record.replicas.push(ReplicaSeen {
         id: replica.id.clone(),
         zone: zone.to_owned(),
         arrivals: arrivals.collect(),
     });
-    for seen in seen.iter().filter(|seen| seen.ran) {
-        let runs = record.runs.entry(seen.id().to_owned()).or_default();
+    for seen in seen.iter().filter(|seen| seen.was_run) {
+        let runs = record.runs.entry(seen.attempt_id().to_owned()).or_default();
         runs.push(service);
     }
 }
@@ -335,7 +335,7 @@
     address: SocketAddr,
     path: &str,
 ) -> u16 {
-    Client::ask(address, &ClientRequest::post(path, "probe", "{}"))
+    Client::call_once(address, &ClientRequest::post(path, "probe", "{}"))
         .await
         .status
 }
@@ -345,7 +345,7 @@
     address: SocketAddr,
     path: &str,
 ) -> bool {
-    let answer = Client::ask(address, &ClientRequest::post(path, "probe", "{}")).await;
+    let answer = Client::call_once(address, &ClientRequest::post(path, "probe", "{}")).await;
     let has_no_configuration = answer.text().contains(NO_CONFIGURATION);
     answer.status != 0 && answer.status != 404 && !has_no_configuration
 }
--- a/testbed/src/soak/notice_check.rs
+++ b/testbed/src/soak/notice_check.rs
@@ -69,7 +69,8 @@
         let sender = record.sender(&request.id, &seen.replica);
         let answer = request.answer.as_ref();
         (request.router == router || sender == Some(router))
-            && answer.is_some_and(|answer| answer.whole && answer.header("server-leaving") == "1")
+            && answer
+                .is_some_and(|answer| answer.is_complete && answer.header("server-leaving") == "1")
     });
     let known_at = relayed.map(|request| request.ended).min()?;
     let late = arrivals.iter().find(|(arrival, _)| {
--- a/testbed/src/soak/notice_injection.rs
+++ b/testbed/src/soak/notice_injection.rs
@@ -23,7 +23,7 @@
     ) -> Instant {
         let mut slot = self.slots[slot].lock().await;
         let began = Instant::now();
-        slot.replica.says(&[("Server-Leaving", "1")]);
+        slot.replica.set_headers(&[("Server-Leaving", "1")]);
         sleep(self.fleet.drain + EXTRA_SERVING_TIME).await;
         self.record_notice(&slot, Notice::Leaving, began);
         slot.unlist(&self.store);
@@ -63,9 +63,9 @@
         lasts: Duration,
     ) -> Instant {
         let began = Instant::now();
-        slot.replica.turns_away(Some(BACKOFF.as_secs_f64()));
+        slot.replica.set_backoff(Some(BACKOFF.as_secs_f64()));
         sleep(lasts).await;
-        slot.replica.turns_away(None);
+        slot.replica.set_backoff(None);
         // Backoffs that were requested last are observed to their end.
         sleep(BACKOFF).await;
         self.record_notice(&slot, Notice::Backoff(BACKOFF), began);
@@ -78,10 +78,10 @@
         notice: Notice,
         began: Instant,
     ) {
-        let seen = slot.replica.seen().into_iter();
+        let seen = slot.replica.received().into_iter();
         let arrivals = seen
             .filter(|request| request.arrived >= began)
-            .map(|request| (Arrival::of(&request), request.ran));
+            .map(|request| (Arrival::of(&request), request.was_run));
         let seen = NoticeSeen {
             replica: slot.replica.id.clone(),
             notice,
--- a/testbed/src/soak/operator_injection.rs
+++ b/testbed/src/soak/operator_injection.rs
@@ -28,11 +28,11 @@
         let _one_at_a_time = self.cordoning.lock().await;
         let zone = zone_name(zone);
         let began = Instant::now();
-        self.store.empty_zone(&zone);
+        self.store.cordon_zone(&zone);
         let confirmed = Instant::now();
         sleep(lasts).await;
         let uncordoned = Instant::now();
-        self.store.take_zone_back(&zone);
+        self.store.uncordon_zone(&zone);
         let cordon = CordonSeen {
             zone,
             confirmed,
@@ -60,8 +60,8 @@
                 continue;
             };
             if slot.zone == zone_name(zone) {
-                slot.proxy.set(|faults| faults.cut = true);
-                slot.proxy.cut_connections();
+                slot.proxy.update_faults(|faults| faults.blocked = true);
+                slot.proxy.close_connections();
                 away.push(slot);
             }
         }
@@ -71,7 +71,7 @@
         }
         sleep(LISTED_BEFORE_SERVING).await;
         for slot in &away {
-            slot.proxy.set(|faults| faults.cut = false);
+            slot.proxy.update_faults(|faults| faults.blocked = false);
         }
         began
     }
@@ -108,10 +108,10 @@
     ) {
         let mut process = self.routers[router].lock().await;
         process.terminate();
-        while process.ended().is_none() {
+        while process.exit_status().is_none() {
             sleep(POLL_INTERVAL).await;
         }
-        process.become_build(program);
+        process.set_program(program);
         process.restart().expect("the router starts again");
     }
 }
--- a/testbed/src/soak/record.rs
+++ b/testbed/src/soak/record.rs
@@ -3,7 +3,7 @@
         caller_request::CallerRequest, fault::Fault, fault_span::FaultSpan, soak_fleet::SoakFleet,
         starvation::Starvation,
     },
-    crate::direct::SeenRequest,
+    crate::direct::ReceivedRequest,
     serde_json::Value,
     std::{
         collections::HashMap,
@@ -31,9 +31,9 @@
 
 impl Arrival {
     /// Takes over a request that a replica stand-in received.
-    pub fn of(seen: &SeenRequest) -> Self {
+    pub fn of(seen: &ReceivedRequest) -> Self {
         Self {
-            id: seen.id().to_owned(),
+            id: seen.attempt_id().to_owned(),
             at: seen.arrived,
         }
     }
--- a/testbed/src/soak/replica_slot.rs
+++ b/testbed/src/soak/replica_slot.rs
@@ -65,7 +65,7 @@
         state: &str,
     ) {
         let address = self.proxy.address;
-        store.list_in(&self.zone, &self.replica.id, self.service, address, state);
+        store.list_replica_in(&self.zone, &self.replica.id, self.service, address, state);
     }
 
     /// Lists the current replica as one that has just started. Returns the store's revision and
@@ -85,7 +85,7 @@
         &self,
         moment: Instant,
     ) -> Vec<Arrival> {
-        let seen = self.replica.seen().into_iter();
+        let seen = self.replica.received().into_iter();
         let after = seen.filter(|request| request.arrived > moment);
         after.map(|request| Arrival::of(&request)).collect()
     }
@@ -103,7 +103,7 @@
         &self,
         store: &Store,
     ) {
-        store.remove(&self.replica.id);
+        store.remove_replica(&self.replica.id);
     }
 
     /// Lets the next requests run, but sends no answers, or such that are cut, invalid, unsigned
@@ -111,19 +111,19 @@
     pub fn send_faulty_answers(&self) {
         let mut faulty = vec![
             ReplicaAnswer::Close,
-            ReplicaAnswer::Cut,
+            ReplicaAnswer::Truncated,
             ReplicaAnswer::Garbage,
             ReplicaAnswer::WrongId,
             ReplicaAnswer::Unsigned,
         ];
         if self.service == "plain" {
             // A surplus answer with a plain body is no stream of events.
-            faulty.push(ReplicaAnswer::Surplus {
+            faulty.push(ReplicaAnswer::ExtraAnswer {
                 body: PLAIN_BODY.to_owned(),
             });
         }
         for answer in faulty.iter().cycle().take(FAULTY_ANSWERS) {
-            self.replica.next(answer.clone());
+            self.replica.push_answer(answer.clone());
         }
     }
 
--- a/testbed/src/soak/soak.rs
+++ b/testbed/src/soak/soak.rs
@@ -27,9 +27,11 @@
     let mut fleet = DirectFleet::start_in_zones(&vec![plan.per_zone; plan.zones], "").await;
     let fleet_under_test = Arc::new(FleetUnderTest::start(plan.clone(), &mut fleet).await);
     fleet_under_test.publish();
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..routers {
-        fleet.serves(router, RequestKind::Events.path(), 200).await;
+        fleet
+            .wait_until_served(router, RequestKind::Events.path(), 200)
+            .await;
     }
     let callers = Callers::start(seed, &fleet_under_test.caller_addresses(), plan.callers);
     let lateness = Lateness::start();
--- a/testbed/src/standin/engine.rs
+++ b/testbed/src/standin/engine.rs
@@ -21,11 +21,12 @@
     tokio_util::io::StreamReader,
 };
 
-/// The largest prompt the stand-in reads.
+/// The largest request body that the stand-in accepts.
 const MAX_BODY: ByteUnit = ByteUnit::Mebibyte(64);
 
-/// A model engine: batches, streams tokens at a pace, caches prefixes, stops
-/// when its caller is gone. Each token carries the request's mark.
+/// A model engine: runs a batch of requests, generates tokens at a fixed pace,
+/// caches prompt prefixes and cancels a request whose caller has disconnected. Each
+/// token contains the request's nonce, so that mixed-up answers are detected.
 pub struct Engine {
     pub address: SocketAddr,
     pub log: Arc<RunLog>,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Misbehaves from now on.
+    /// Applies `fault` to every request that starts to run after this call.
     pub fn set_fault(
         &self,
         fault: EngineFault,
@@ -74,7 +75,7 @@
         *self.shared.fault.lock().expect("fault lock") = fault;
     }
 
-    /// Prefix cache hits and misses so far.
+    /// Prefix cache hits and misses since the start.
     pub fn cache_counts(&self) -> (u64, u64) {
         let cache = self.shared.cache.lock().expect("cache lock");
         (cache.hits, cache.misses)
@@ -104,13 +105,13 @@
     }
 }
 
-/// One request in the batch. Dropping it frees its slot.
+/// A request that occupies a slot of the batch. Dropping it frees the slot.
 struct GeneratingRun {
     shared: Arc<Shared>,
     body: ChatBody,
     fault: EngineFault,
     request_id: String,
-    number: usize, // in the log
+    number: usize, // index in the run log
     sent: u32,     // tokens
     finished: bool,
     _slot: OwnedSemaphorePermit,
@@ -118,12 +119,12 @@
 
 impl Drop for GeneratingRun {
     fn drop(&mut self) {
-        self.shared.log.slot(false);
+        self.shared.log.record_slot(false);
         let (finished, sent) = (self.finished, self.sent);
         self.shared.log.update(self.number, |run| {
             run.tokens = sent;
-            run.ended = finished;
-            run.dropped = !finished;
+            run.is_complete = finished;
+            run.is_cancelled = !finished;
         });
     }
 }
@@ -137,7 +138,7 @@
     ) -> Self {
         let number = shared.log.start(request_id, body.nonce(), account);
         let slot = shared.slots.clone().acquire_owned().await;
-        shared.log.slot(true);
+        shared.log.record_slot(true);
         let fault = *shared.fault.lock().expect("fault lock");
         Self {
             shared: shared.clone(),
@@ -153,21 +154,21 @@
 
     async fn respond<'r>(self) -> Response<'r> {
         match self.fault {
-            EngineFault::Late(wait) => tokio::time::sleep(wait).await,
-            EngineFault::Never => std::future::pending().await,
+            EngineFault::DelayedAnswer(wait) => tokio::time::sleep(wait).await,
+            EngineFault::NoAnswer => std::future::pending().await,
             _ => {}
         }
         self.prefill().await;
         let mut response = Response::build();
         response.status(Status::Ok);
-        response.raw_header("x-request-id", self.echo());
+        response.raw_header("x-request-id", self.answered_request_id());
         if self.body.stream {
             response.raw_header("content-type", "text/event-stream");
             let reader = StreamReader::new(Box::pin(self.into_stream()));
             response.max_chunk_size(1).streamed_body(reader);
         } else {
             response.raw_header("content-type", "application/json");
-            let body = self.whole().await;
+            let body = self.into_body().await;
             response.sized_body(body.len(), Cursor::new(body));
         }
         response.finalize()
@@ -184,14 +185,14 @@
         }
     }
 
-    fn echo(&self) -> String {
+    fn answered_request_id(&self) -> String {
         match self.fault {
-            EngineFault::Crossed => format!("crossed-{}", self.request_id),
+            EngineFault::WrongRequestId => format!("crossed-{}", self.request_id),
             _ => self.request_id.clone(),
         }
     }
 
-    async fn whole(mut self) -> String {
+    async fn into_body(mut self) -> String {
         let mut text = String::new();
         while self.sent < self.body.max_tokens {
             text.push_str(&self.next_token().await);
@@ -214,7 +215,7 @@
     fn into_stream(self) -> impl Stream<Item = io::Result<Bytes>> + Send {
         stream::unfold(Some(self), |run| async move {
             let mut run = run?;
-            if run.fault == EngineFault::CutAfter(run.sent) {
+            if run.fault == EngineFault::CutAfterTokens(run.sent) {
                 return Some((Err(io::ErrorKind::ConnectionAborted.into()), None));
             }
             if run.sent < run.body.max_tokens {
--- a/testbed/src/standin/platform.rs
+++ b/testbed/src/standin/platform.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        BoundServer, PlatformSwitches, bind_server, call_count::CallCount,
+        BoundServer, PlatformFaults, bind_server, call_count::CallCount,
         publish_error::PublishError, values::Values,
     },
     archmast::{
@@ -20,11 +20,11 @@
     tokio::sync::watch,
 };
 
-/// The largest value.
+/// The largest value that may be published, in bytes.
 pub const MAX_VALUE: usize = 1_000_000;
 
-/// The platform's service: values with revisions that can be watched, and a
-/// way for operators to publish, which the product never uses.
+/// The platform's configuration service: values with revisions that clients watch by
+/// long polling over HTTP. Tests publish values as an operator would, by methods.
 pub struct Platform {
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -34,7 +34,7 @@
 struct Shared {
     values: Mutex<Values>,
     changed: watch::Sender<u64>,
-    switches: watch::Sender<PlatformSwitches>,
+    faults: watch::Sender<PlatformFaults>,
     calls: Mutex<CallCount>,
 }
 
@@ -44,7 +44,7 @@
         let shared = Arc::new(Shared {
             values: Mutex::default(),
             changed: watch::Sender::new(0),
-            switches: watch::Sender::new(PlatformSwitches::default()),
+            faults: watch::Sender::new(PlatformFaults::default()),
             calls: Mutex::default(),
         });
         let managed = shared.clone();
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Publishes a value. With `expect`, only if that is the key's revision.
+    /// Publishes a value and returns its revision. With `expect`, fails unless the key
+    /// is at that revision (0: not published yet).
     pub fn publish(
         &self,
         key: &str,
@@ -77,8 +78,8 @@
             if expect.is_some_and(|expected| expected != newest) {
                 return Err(PublishError::Raced);
             }
-            values.last += 1;
-            let revision = values.last;
+            values.last_revision += 1;
+            let revision = values.last_revision;
             let history = values.history.entry(key.to_owned()).or_default();
             history.push((revision, text.to_owned()));
             revision
@@ -87,7 +88,7 @@
         Ok(revision)
     }
 
-    /// Publishes a configuration.
+    /// Publishes a fleet configuration of one part and returns its revision.
     pub fn publish_fleet(
         &self,
         text: &str,
@@ -96,7 +97,8 @@
             .expect("the configuration fits one value")
     }
 
-    /// Publishes a configuration in parts, with its manifest.
+    /// Publishes a fleet configuration in parts (name and text), with the manifest that
+    /// lists their digests.
     pub fn publish_parts(
         &self,
         parts: &[(String, String)],
@@ -119,7 +121,7 @@
         self.publish(FLEET_KEY, &manifest.to_text(), None)
     }
 
-    /// Publishes a host list.
+    /// Publishes a host list and returns its revision.
     pub fn publish_hosts(
         &self,
         hosts: &HostList,
@@ -129,20 +131,20 @@
             .expect("the host list fits one value")
     }
 
-    /// Misbehaves from now on.
-    pub fn set_switches(
+    /// Replaces the faults that are injected into all further answers.
+    pub fn set_faults(
         &self,
-        switches: PlatformSwitches,
+        faults: PlatformFaults,
     ) {
-        self.shared.switches.send_replace(switches);
+        self.shared.faults.send_replace(faults);
     }
 
     /// The revision published last.
     pub fn last_revision(&self) -> u64 {
-        self.shared.values.lock().expect("value lock").last
+        self.shared.values.lock().expect("value lock").last_revision
     }
 
-    /// Calls so far, and how many of them were refused over the rate.
+    /// Number of calls since the start, and how many of them exceeded the rate limit.
     pub fn calls(&self) -> (u64, u64) {
         let calls = self.shared.calls.lock().expect("call lock");
         (calls.total, calls.refused)
@@ -150,40 +152,40 @@
 }
 
 impl Shared {
-    fn newer(
+    fn newer_value(
         &self,
         key: &str,
         after: u64,
     ) -> Option<(u64, String)> {
-        let bound = self.switches.borrow().stale_at.unwrap_or(u64::MAX);
+        let bound = self.faults.borrow().stale_at.unwrap_or(u64::MAX);
         let values = self.values.lock().expect("value lock");
         let (revision, text) = values.newest_up_to(key, bound)?;
-        // A stale service serves what it has, even to one who has more.
-        let serves = revision > after || (bound < after);
-        serves.then(|| (revision, text.to_owned()))
+        // A stale service returns its old value also to a client that has a newer one.
+        let is_served = revision > after || (bound < after);
+        is_served.then(|| (revision, text.to_owned()))
     }
 
-    async fn wait_newer(
+    async fn wait_for_newer_value(
         &self,
         key: &str,
         after: u64,
     ) -> (u64, String) {
         let mut changed = self.changed.subscribe();
-        let mut switches = self.switches.subscribe();
+        let mut faults = self.faults.subscribe();
         loop {
-            if let Some(found) = self.newer(key, after) {
+            if let Some(found) = self.newer_value(key, after) {
                 return found;
             }
             tokio::select! {
                 _ = changed.changed() => {}
-                _ = switches.changed() => {}
+                _ = faults.changed() => {}
             }
         }
     }
 
-    async fn wait_down(&self) {
-        let mut switches = self.switches.subscribe();
-        if switches.wait_for(|s| s.down).await.is_err() {
+    async fn wait_until_down(&self) {
+        let mut faults = self.faults.subscribe();
+        if faults.wait_for(|s| s.down).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
@@ -195,7 +197,7 @@
     revision: Header<'static>,
 }
 
-/// What a watch gives.
+/// The answer to a watch.
 #[derive(Responder)]
 enum Watched {
     Value(Value),
@@ -218,11 +220,11 @@
     admit(shared).await?;
     let wait = Duration::from_millis(query.wait_ms);
     tokio::select! {
-        (revision, text) = shared.wait_newer(key, query.after) => Ok(Watched::Value(Value {
+        (revision, text) = shared.wait_for_newer_value(key, query.after) => Ok(Watched::Value(Value {
             text,
             revision: Header::new(REVISION_HEADER, revision.to_string()),
         })),
-        () = shared.wait_down() => Err(Status::ServiceUnavailable),
+        () = shared.wait_until_down() => Err(Status::ServiceUnavailable),
         () = tokio::time::sleep(wait) => Ok(Watched::Unchanged(())),
     }
 }
@@ -237,18 +239,19 @@
     values.parts.get(digest).cloned().ok_or(Status::NotFound)
 }
 
+/// Applies the faults to a call: refuses it or delays it.
 async fn admit(shared: &Shared) -> Result<(), Status> {
-    let switches = *shared.switches.borrow();
+    let faults = *shared.faults.borrow();
     let allowed = {
         let mut calls = shared.calls.lock().expect("call lock");
-        calls.allow(switches.calls_per_second)
+        calls.allow(faults.calls_per_second)
     };
     if !allowed {
         return Err(Status::TooManyRequests);
     }
-    if switches.down {
+    if faults.down {
         return Err(Status::ServiceUnavailable);
     }
-    tokio::time::sleep(switches.slow).await;
+    tokio::time::sleep(faults.slow).await;
     Ok(())
 }
--- a/testbed/tests/configuration.rs
+++ b/testbed/tests/configuration.rs
@@ -2,8 +2,8 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, nonce, until_async},
-        standin::{ChatBody, EngineSettings, PlatformSwitches, PublishError},
+        fleet::{Fleet, FleetPlan, FleetText, nonce, wait_until_async},
+        standin::{ChatBody, EngineSettings, PlatformFaults, PublishError},
     },
     std::net::SocketAddr,
 };
@@ -76,7 +76,7 @@
         fleet: &Fleet,
         wanted: u64,
     ) {
-        until_async("the revision is everywhere", async || {
+        wait_until_async("the revision is everywhere", async || {
             self.poll(fleet).await.iter().all(|seen| *seen == wanted)
         })
         .await;
@@ -98,7 +98,7 @@
         .platform
         .publish_fleet("[account broken]\nshare = 1\nclass = none\n");
     for operator in fleet.operators() {
-        until_async("it is refused with its reason", async || {
+        wait_until_async("it is refused with its reason", async || {
             let trail = fleet.audit(operator).await;
             trail.iter().any(|entry| {
                 entry.what == "config_refused"
@@ -121,10 +121,10 @@
     let old = fleet.platform.last_revision();
     let new = fleet.platform.publish_fleet(&with_share(&fleet, 5.0));
     let operators = fleet.operators();
-    fleet.in_force(&operators, new).await;
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.wait_for_revision(&operators, new).await;
+    fleet.platform.set_faults(PlatformFaults {
         stale_at: Some(old),
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     let mut watcher = RevisionWatcher::new(&operators);
     fleet.sidecars[0].process.kill();
@@ -132,7 +132,7 @@
     fleet.sidecars[0].process.restart().expect("it starts");
     fleet.routers[0].process.restart().expect("it starts");
     for operator in [fleet.sidecars[0].operator, fleet.routers[0].operator] {
-        until_async("it is ready", async || {
+        wait_until_async("it is ready", async || {
             let Some(status) = fleet.status(operator).await else {
                 return false;
             };
@@ -152,17 +152,19 @@
 async fn a_restart_while_the_platform_is_down_takes_the_configuration_from_a_peer() {
     let mut fleet = Fleet::start(plan()).await;
     let new = fleet.platform.publish_fleet(&with_share(&fleet, 5.0));
-    fleet.in_force(&fleet.operators(), new).await;
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.wait_for_revision(&fleet.operators(), new).await;
+    fleet.platform.set_faults(PlatformFaults {
         down: true,
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     fleet.sidecars[0].process.kill();
     fleet.sidecars[0].process.restart().expect("it starts");
-    fleet.in_force(&[fleet.sidecars[0].operator], new).await;
-    fleet.all_ready().await;
+    fleet
+        .wait_for_revision(&[fleet.sidecars[0].operator], new)
+        .await;
+    fleet.wait_until_ready().await;
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
-    assert!(fleet.caller(0, "lot-a").chat(&body).await.is_whole());
+    assert!(fleet.caller(0, "lot-a").chat(&body).await.is_complete());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -186,9 +188,9 @@
     // The platform answers one call a second, so that most processes cannot fetch the
     // configuration there.
     let mut watcher = RevisionWatcher::new(&fleet.operators());
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.platform.set_faults(PlatformFaults {
         calls_per_second: Some(1),
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     let revision = fleet.platform.publish_fleet(&with_share(&fleet, 6.0));
     watcher.until_all(&fleet, revision).await;
@@ -225,6 +227,6 @@
         .expect("published");
     watcher.until_all(&fleet, revision).await;
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
-    assert!(fleet.caller(0, "a-7").chat(&body).await.is_whole());
-    assert!(fleet.caller(1, "b-199").chat(&body).await.is_whole());
+    assert!(fleet.caller(0, "a-7").chat(&body).await.is_complete());
+    assert!(fleet.caller(1, "b-199").chat(&body).await.is_complete());
 }
--- a/testbed/tests/direct_caches.rs
+++ b/testbed/tests/direct_caches.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -33,13 +33,15 @@
         Replica::start(ip, "i-b", usual).await,
     ];
     let cached: Vec<(&str, u32)> = SHARED.iter().map(|id| (*id, 3000)).collect();
-    replicas[1].keeps(&cached);
+    replicas[1].set_cached_parts(&cached);
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
     for replica in &replicas {
-        fleet.store.list(&replica.id, "s", replica.address, "ready");
+        fleet
+            .store
+            .list_replica(&replica.id, "s", replica.address, "ready");
     }
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replicas)
 }
 
@@ -48,7 +50,7 @@
     text: &str,
     times: usize,
 ) {
-    until_async(text, async || {
+    wait_until_async(text, async || {
         fleet.routers[0].log_text().matches(text).count() >= times
     })
     .await;
@@ -60,24 +62,26 @@
     until_logged(&fleet, "replica asked what it keeps", 2).await;
     for (index, shared) in SHARED.iter().enumerate() {
         let own = format!("b{index}");
-        let answer = Client::ask(fleet.callers[0], &prompt(shared, &own)).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &prompt(shared, &own)).await;
         assert_eq!(answer.status, 200);
     }
-    assert_eq!(replicas[0].seen().len(), 0);
-    assert_eq!(replicas[1].seen().len(), SHARED.len());
+    assert_eq!(replicas[0].received().len(), 0);
+    assert_eq!(replicas[1].received().len(), SHARED.len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_does_not_list_its_cached_parts_gets_requests_all_the_same() {
     let fleet = DirectFleet::start(1, "").await;
     let silent = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
-    silent.list_after(Duration::from_secs(3600));
+    silent.set_list_delay(Duration::from_secs(3600));
     fleet
         .store
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
-    fleet.store.list("i-a", "s", silent.address, "ready");
-    fleet.all_ready().await;
-    let answer = Client::ask(fleet.callers[0], &prompt("a1", "b1")).await;
+    fleet
+        .store
+        .list_replica("i-a", "s", silent.address, "ready");
+    fleet.wait_until_ready().await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &prompt("a1", "b1")).await;
     assert_eq!(answer.status, 200);
     until_logged(&fleet, "replica did not say what it keeps", 1).await;
 }
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -7,7 +7,7 @@
         direct::{
             Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, StoreMode,
         },
-        fleet::{until, until_async},
+        fleet::{wait_until, wait_until_async},
     },
     std::{fmt::Write, time::Duration},
 };
@@ -22,25 +22,33 @@
     path: &str,
 ) -> u16 {
     let request = ClientRequest::get(path, "probe");
-    Client::ask(fleet.callers[router], &request).await.status
+    Client::call_once(fleet.caller_addresses[router], &request)
+        .await
+        .status
 }
 
 async fn fleet_of(count: usize) -> (DirectFleet, Replica) {
     let fleet = DirectFleet::start(count, "").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replica)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_without_a_configuration_is_not_ready_and_answers_503() {
     let fleet = DirectFleet::start(1, "").await;
-    until_async("the router listens", async || {
+    wait_until_async("the router listens", async || {
         status(&fleet, 0, "/first/").await != 0
     })
     .await;
-    let answer = Client::ask(fleet.callers[0], &ClientRequest::get("/first/", "x")).await;
+    let answer = Client::call_once(
+        fleet.caller_addresses[0],
+        &ClientRequest::get("/first/", "x"),
+    )
+    .await;
     assert_eq!((answer.status, answer.code()), (503, Some(25)));
     assert!(!fleet.is_ready(0).await);
 }
@@ -52,14 +60,14 @@
         .store
         .publish_with_keys(4, &[route("/second/")], &["key-1", "key-2"]);
     for router in 0..2 {
-        fleet.serves(router, "/second/", 200).await;
+        fleet.wait_until_served(router, "/second/", 200).await;
         assert_eq!(status(&fleet, router, "/first/").await, 404);
     }
     fleet
         .store
         .publish_with_keys(5, &[route("/second/")], &["key-2"]);
     for router in 0..2 {
-        fleet.serves(router, "/second/", 401).await;
+        fleet.wait_until_served(router, "/second/", 401).await;
     }
 }
 
@@ -67,66 +75,76 @@
 async fn a_router_that_cannot_read_the_store_gets_changes_from_its_peers() {
     for mode in [StoreMode::Busy, StoreMode::Many, StoreMode::Silent] {
         let (fleet, replica) = fleet_of(2).await;
-        fleet.ports[1].set(mode);
+        fleet.store_ports[1].set_mode(mode);
         fleet.store.publish(7, &[route("/second/")]);
-        fleet.serves(1, "/second/", 200).await;
-        fleet.store.list("i-a", "s", replica.address, "draining");
-        fleet.serves(1, "/second/", 503).await;
+        fleet.wait_until_served(1, "/second/", 200).await;
+        fleet
+            .store
+            .list_replica("i-a", "s", replica.address, "draining");
+        fleet.wait_until_served(1, "/second/", 503).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_restarts_without_the_store_gets_its_state_from_peers() {
     let (mut fleet, _replica) = fleet_of(2).await;
-    fleet.ports[1].set(StoreMode::Silent);
+    fleet.store_ports[1].set_mode(StoreMode::Silent);
     fleet.routers[1].kill();
     fleet.store.publish(9, &[route("/second/")]);
-    fleet.serves(0, "/second/", 200).await;
+    fleet.wait_until_served(0, "/second/", 200).await;
     fleet.routers[1].restart().expect("it starts again");
-    until_async("it is ready again", async || fleet.is_ready(1).await).await;
-    fleet.serves(1, "/second/", 200).await;
+    wait_until_async("it is ready again", async || fleet.is_ready(1).await).await;
+    fleet.wait_until_served(1, "/second/", 200).await;
     assert_eq!(status(&fleet, 1, "/first/").await, 404);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_without_its_history_is_read_again_in_full() {
     let (fleet, replica) = fleet_of(1).await;
-    fleet.ports[0].set(StoreMode::Busy);
-    fleet.store.remove("i-a");
+    fleet.store_ports[0].set_mode(StoreMode::Busy);
+    fleet.store.remove_replica("i-a");
     fleet.store.publish(3, &[route("/second/")]);
-    fleet.store.forget_history();
-    fleet.ports[0].set(StoreMode::Well);
-    fleet.serves(0, "/second/", 503).await;
-    fleet.store.list("i-b", "s", replica.address, "ready");
-    replica.become_another("i-b");
-    fleet.serves(0, "/second/", 200).await;
+    fleet.store.compact();
+    fleet.store_ports[0].set_mode(StoreMode::Well);
+    fleet.wait_until_served(0, "/second/", 503).await;
+    fleet
+        .store
+        .list_replica("i-b", "s", replica.address, "ready");
+    replica.set_id("i-b");
+    fleet.wait_until_served(0, "/second/", 200).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_drains_or_is_gone_gets_nothing_more() {
     let (fleet, first) = fleet_of(2).await;
-    let second = fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await;
+    let second = fleet
+        .start_replica("i-b", "s", ReplicaAnswer::ok("b"))
+        .await;
     let answering_replica = async |router: usize| {
         let request = ClientRequest::get("/first/", "probe");
-        Client::ask(fleet.callers[router], &request).await.text()
+        Client::call_once(fleet.caller_addresses[router], &request)
+            .await
+            .text()
     };
-    fleet.store.list("i-a", "s", first.address, "draining");
+    fleet
+        .store
+        .list_replica("i-a", "s", first.address, "draining");
     for router in 0..2 {
-        until_async("the second serves", async || {
+        wait_until_async("the second serves", async || {
             answering_replica(router).await == "b"
         })
         .await;
     }
-    let before = first.seen().len();
+    let before = first.received().len();
     for router in 0..2 {
         for _ in 0..20 {
             assert_eq!(answering_replica(router).await, "b");
         }
     }
-    assert_eq!(first.seen().len(), before);
-    until("its connections are closed when it is off the list", || {
-        fleet.store.remove("i-a");
-        first.open() == 0
+    assert_eq!(first.received().len(), before);
+    wait_until("its connections are closed when it is off the list", || {
+        fleet.store.remove_replica("i-a");
+        first.open_connections() == 0
     })
     .await;
     drop(second);
@@ -139,12 +157,12 @@
         body: "late".to_owned(),
         after: Duration::from_millis(1500),
     };
-    replica.usually(slow);
+    replica.set_default_answer(slow);
     fleet
         .store
         .publish(2, &[RouteText::new("/slow/", "s", "non_idempotent")]);
-    fleet.serves(0, "/slow/", 200).await;
-    let mut persistent = Client::connect(fleet.callers[0])
+    fleet.wait_until_served(0, "/slow/", 200).await;
+    let mut persistent = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     assert_eq!(
@@ -154,32 +172,40 @@
             .status,
         200
     );
-    let mut busy = Client::connect(fleet.callers[0])
+    let mut busy = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::get("/slow/", "b-1");
     busy.send(&request.bytes()).await.expect("sent");
-    let held = || replica.seen().iter().any(|request| request.id() == "b-1");
-    until("the request is at the replica", held).await;
+    let held = || {
+        replica
+            .received()
+            .iter()
+            .any(|request| request.attempt_id() == "b-1")
+    };
+    wait_until("the request is at the replica", held).await;
     fleet.routers[0].terminate();
-    until_async("it is not ready", async || !fleet.is_ready(0).await).await;
-    replica.next(ReplicaAnswer::ok("a"));
+    wait_until_async("it is not ready", async || !fleet.is_ready(0).await).await;
+    replica.push_answer(ReplicaAnswer::ok("a"));
     // A connection that was open before still serves, and its answer asks to close it.
     let answer = persistent.call(&ClientRequest::get("/slow/", "k-2")).await;
     assert_eq!((answer.status, answer.header("connection")), (200, "close"));
     // A request that is too late to finish is refused at once, as not run.
     let refused = async || {
         let late = ClientRequest::get("/nowhere/", "late");
-        let answer = Client::ask(fleet.callers[0], &late).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &late).await;
         (answer.status, answer.code()) == (503, Some(39))
     };
-    until_async("late requests are refused", refused).await;
+    wait_until_async("late requests are refused", refused).await;
     let answer = busy.answer().await;
-    assert!(answer.status == 200 && answer.whole);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    assert!(answer.status == 200 && answer.is_complete);
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
     assert!(
         fleet.routers[0]
-            .ended()
+            .exit_status()
             .is_some_and(|status| status.success())
     );
 }
@@ -189,8 +215,8 @@
     let (mut fleet, _replica) = fleet_of(1).await;
     let path = fleet.settings[0].clone();
     let mut text = std::fs::read_to_string(&path).expect("settings");
-    fleet.routers[0].hang_up();
-    until("the router reads its settings again", || {
+    fleet.routers[0].signal_reload();
+    wait_until("the router reads its settings again", || {
         fleet.routers[0]
             .log_text()
             .contains("settings in force again")
@@ -198,7 +224,7 @@
     .await;
     writeln!(text, "[shares]\nwindow = 7 s").expect("text");
     std::fs::write(&path, &text).expect("settings are written");
-    until("the router applies the change", || {
+    wait_until("the router applies the change", || {
         fleet.routers[0]
             .log_text()
             .matches("settings in force again")
@@ -208,23 +234,25 @@
     .await;
     writeln!(text, "unknown = 1").expect("text");
     std::fs::write(&path, &text).expect("settings are written");
-    until("the router refuses an invalid file", || {
+    wait_until("the router refuses an invalid file", || {
         fleet.routers[0].log_text().contains("settings refused")
     })
     .await;
-    assert!(fleet.routers[0].ended().is_none());
+    assert!(fleet.routers[0].exit_status().is_none());
     assert_eq!(status(&fleet, 0, "/first/").await, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_at_rest_are_closed_when_there_are_too_many() {
     let fleet = DirectFleet::start(1, "max_connections = 10\n").await;
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let mut clients = Vec::new();
     for _ in 0..30 {
-        let mut client = Client::connect(fleet.callers[0])
+        let mut client = Client::connect(fleet.caller_addresses[0])
             .await
             .expect("a connection");
         let answer = client.call(&ClientRequest::get("/first/", "x")).await;
@@ -245,7 +273,7 @@
 async fn routers_find_each_other_through_one_seed() {
     let (fleet, _replica) = fleet_of(3).await;
     for router in &fleet.routers {
-        until("the router knows both others", || {
+        wait_until("the router knows both others", || {
             router.log_text().matches("router heard of").count() >= 2
         })
         .await;
@@ -255,11 +283,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn two_of_five_routers_read_the_store_and_others_when_these_cannot() {
     let fleet = DirectFleet::start(5, "").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet
         .store
         .publish(1, &[RouteText::new("/one/", "s", "idempotent")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let reads = |router: usize| {
         let log = fleet.routers[router].log_text();
         let mut role_changes = log
@@ -271,18 +301,18 @@
         last != Some(true)
     };
     let readers = || (0..5).filter(|router| reads(*router)).collect::<Vec<_>>();
-    until("two of them read", || readers().len() == 2).await;
+    wait_until("two of them read", || readers().len() == 2).await;
     let first = readers();
     for reader in &first {
-        fleet.ports[*reader].set(StoreMode::Silent);
+        fleet.store_ports[*reader].set_mode(StoreMode::Silent);
     }
     let routes = ["/one/", "/two/"].map(|path| RouteText::new(path, "s", "idempotent"));
     fleet.store.publish(2, &routes);
     for router in 0..5 {
-        fleet.serves(router, "/two/", 200).await;
+        fleet.wait_until_served(router, "/two/", 200).await;
     }
     // Log lines are written with a delay, so the new route may be served before this line.
-    until("another reads the store", || {
+    wait_until("another reads the store", || {
         readers().iter().any(|reader| !first.contains(reader))
     })
     .await;
--- a/testbed/tests/direct_requests.rs
+++ b/testbed/tests/direct_requests.rs
@@ -6,7 +6,7 @@
         direct::{
             Client, ClientAnswer, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText,
         },
-        fleet::{program_path, until},
+        fleet::{program_path, wait_until},
     },
     std::time::Duration,
 };
@@ -50,14 +50,17 @@
     fleet: &DirectFleet,
     request: ClientRequest,
 ) -> ClientAnswer {
-    Client::ask(fleet.callers[0], &request).await
+    Client::call_once(fleet.caller_addresses[0], &request).await
 }
 
 fn runs(
     replicas: &[Replica],
     id: &str,
 ) -> usize {
-    replicas.iter().map(|replica| replica.got(id)).sum()
+    replicas
+        .iter()
+        .map(|replica| replica.received_count(id))
+        .sum()
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -75,7 +78,7 @@
     assert_eq!((answer.status, answer.text().as_str()), (200, "hello"));
     assert_eq!(answer.header("archmast-replica-signature"), "s.1");
     assert_eq!(answer.header("archmast-attempt-id"), "id-1");
-    let seen: Vec<_> = replicas.iter().flat_map(Replica::seen).collect();
+    let seen: Vec<_> = replicas.iter().flat_map(Replica::received).collect();
     let [seen] = seen.as_slice() else {
         panic!("seen {} times", seen.len());
     };
@@ -135,7 +138,7 @@
         format!("{head}X-Folded: a\r\n b\r\nContent-Length: 0\r\n\r\n{inner}"),
     ];
     for (number, case) in cases.iter().enumerate() {
-        let mut client = Client::connect(fleet.callers[0])
+        let mut client = Client::connect(fleet.caller_addresses[0])
             .await
             .expect("a connection");
         client.send(case.as_bytes()).await.expect("sent");
@@ -158,7 +161,7 @@
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
     let failures = [
         ReplicaAnswer::Close,
-        ReplicaAnswer::Cut,
+        ReplicaAnswer::Truncated,
         ReplicaAnswer::WrongId,
         ReplicaAnswer::Unsigned,
         ReplicaAnswer::Garbage,
@@ -166,7 +169,7 @@
     for (number, failure_mode) in failures.into_iter().enumerate() {
         replicas
             .iter()
-            .for_each(|replica| replica.usually(failure_mode.clone()));
+            .for_each(|replica| replica.set_default_answer(failure_mode.clone()));
         let id = format!("charge-{number}");
         let answer = ask(&fleet, ClientRequest::post("/charge/", &id, "10")).await;
         assert_eq!(answer.status, 502, "{failure_mode:?}");
@@ -184,10 +187,10 @@
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
     let failures = [
         ReplicaAnswer::Close,
-        ReplicaAnswer::Cut,
+        ReplicaAnswer::Truncated,
         ReplicaAnswer::Garbage,
         ReplicaAnswer::NotExecuted { status: 503 },
-        ReplicaAnswer::Whole {
+        ReplicaAnswer::Complete {
             status: 500,
             body: "sorry".to_owned(),
         },
@@ -197,12 +200,12 @@
         // The replica that is chosen next fails; the other answers.
         replicas
             .iter()
-            .for_each(|replica| replica.usually(ReplicaAnswer::ok("hello")));
+            .for_each(|replica| replica.set_default_answer(ReplicaAnswer::ok("hello")));
         let chosen = chosen_next(&fleet, &replicas).await;
-        replicas[chosen].next(failure_mode.clone());
+        replicas[chosen].push_answer(failure_mode.clone());
         let answer = ask(&fleet, ClientRequest::get("/read/", &id)).await;
         assert!(
-            answer.status == 200 && answer.whole,
+            answer.status == 200 && answer.is_complete,
             "{failure_mode:?}: {answer:?}"
         );
         assert!((1..=2).contains(&runs(&replicas, &id)), "{failure_mode:?}");
@@ -216,7 +219,12 @@
 ) -> usize {
     let id = format!("probe-{:x}", rand::random::<u64>());
     ask(fleet, ClientRequest::get("/one/", &id)).await;
-    let got = |replica: &Replica| replica.seen().iter().any(|request| request.id() == id);
+    let got = |replica: &Replica| {
+        replica
+            .received()
+            .iter()
+            .any(|request| request.attempt_id() == id)
+    };
     replicas.iter().position(got).unwrap_or(0)
 }
 
@@ -250,13 +258,18 @@
     let answer = ask(&fleet, ClientRequest::post("/hasty/", "id-1", "x")).await;
     assert_eq!((answer.status, answer.code()), (504, Some(58)));
     assert_eq!(runs(&replicas, "id-1"), 1);
-    let open = || replicas.iter().map(Replica::open).sum::<usize>();
-    until("the connection to the replica is closed", || open() == 0).await;
+    let open = || {
+        replicas
+            .iter()
+            .map(Replica::open_connections)
+            .sum::<usize>()
+    };
+    wait_until("the connection to the replica is closed", || open() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_error_answer_of_a_replica_is_relayed_unchanged() {
-    let failure = ReplicaAnswer::Whole {
+    let failure = ReplicaAnswer::Complete {
         status: 500,
         body: "sorry".to_owned(),
     };
@@ -269,11 +282,11 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_surplus_answer_reaches_nobody() {
-    let surplus = ReplicaAnswer::Surplus {
+    let surplus = ReplicaAnswer::ExtraAnswer {
         body: "mine".to_owned(),
     };
     let (fleet, replicas) = two_replicas(surplus).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     for number in 0..20 {
@@ -286,7 +299,13 @@
             assert_eq!(answer.status, 502);
         }
     }
-    assert!(replicas.iter().map(Replica::opened).sum::<usize>() >= 2);
+    assert!(
+        replicas
+            .iter()
+            .map(Replica::total_connections)
+            .sum::<usize>()
+            >= 2
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -296,15 +315,15 @@
         let request = ClientRequest::get("/read/", &format!("id-{number}"));
         assert_eq!(ask(&fleet, request).await.status, 200);
     }
-    let opened: usize = replicas.iter().map(Replica::opened).sum();
+    let opened: usize = replicas.iter().map(Replica::total_connections).sum();
     assert!(opened <= 3, "{opened} connections for 20 requests");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn another_replica_at_the_same_address_is_never_taken_for_the_old_one() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
-    replicas[0].become_another("i-new");
-    replicas[1].become_another("i-other");
+    replicas[0].set_id("i-new");
+    replicas[1].set_id("i-other");
     let answer = ask(&fleet, ClientRequest::post("/charge/", "id-1", "10")).await;
     assert_eq!(answer.status, 503);
     assert_eq!(runs(&replicas, "id-1"), 0);
@@ -313,24 +332,29 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_client_that_leaves_stops_the_work() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::Silent).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/charge/", "id-1", "10");
     client.send(&request.bytes()).await.expect("sent");
-    until("the request is at a replica", || {
+    wait_until("the request is at a replica", || {
         runs(&replicas, "id-1") == 1
     })
     .await;
     drop(client);
-    let open = || replicas.iter().map(Replica::open).sum::<usize>();
-    until("the connection to the replica is closed", || open() == 0).await;
+    let open = || {
+        replicas
+            .iter()
+            .map(Replica::open_connections)
+            .sum::<usize>()
+    };
+    wait_until("the connection to the replica is closed", || open() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_in_chunks_arrive_whole() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::ok("hello")).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::get("/read/", "id-1").header("Transfer-Encoding", "chunked");
@@ -338,7 +362,7 @@
     client.send(b"3\r\nabc\r\n").await.expect("sent");
     client.send(b"4\r\ndefg\r\n0\r\n\r\n").await.expect("sent");
     assert_eq!(client.answer().await.status, 200);
-    let seen = replicas.iter().flat_map(Replica::seen).next();
+    let seen = replicas.iter().flat_map(Replica::received).next();
     assert_eq!(seen.expect("it ran").body, b"abcdefg");
 }
 
@@ -353,7 +377,7 @@
     assert_eq!(answer.status, 502);
     assert_eq!(runs(&replicas, "id-of-the-lost"), 1);
     let log = fleet.settings[0].with_extension("log");
-    until("the refusal is in the log", || {
+    wait_until("the refusal is in the log", || {
         fleet.routers[0].log_text().contains("not answered")
     })
     .await;
--- a/testbed/tests/direct_streams.rs
+++ b/testbed/tests/direct_streams.rs
@@ -4,7 +4,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until,
+        fleet::wait_until,
     },
     std::time::Duration,
 };
@@ -26,7 +26,7 @@
 
 /// The header `Last-Event-Id` of each request that the replicas received.
 fn last_event_ids(replicas: &[Replica]) -> Vec<String> {
-    let seen = replicas.iter().flat_map(Replica::seen);
+    let seen = replicas.iter().flat_map(Replica::received);
     seen.map(|request| request.header("last-event-id").to_owned())
         .collect()
 }
@@ -38,7 +38,7 @@
         pause: Duration::from_millis(100),
     };
     let (fleet, _replicas) = two_replicas(slow).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/chat/", "id-1", "prompt");
@@ -55,8 +55,8 @@
     ] {
         let (fleet, replicas) = two_replicas(failure.clone()).await;
         let first = ClientRequest::post("/chat/", "id-1", "prompt");
-        let answer = Client::ask(fleet.callers[0], &first).await;
-        assert!(answer.status == 200 && answer.whole, "{failure:?}");
+        let answer = Client::call_once(fleet.caller_addresses[0], &first).await;
+        assert!(answer.status == 200 && answer.is_complete, "{failure:?}");
         assert_eq!(answer.text(), events(1..=9), "{failure:?}");
         let mut last_event_ids = last_event_ids(&replicas);
         last_event_ids.sort();
@@ -64,7 +64,7 @@
         // The head is that of the first replica.
         let first_replica = replicas.iter().find(|replica| {
             replica
-                .seen()
+                .received()
                 .iter()
                 .any(|r| r.header("last-event-id").is_empty())
         });
@@ -77,9 +77,9 @@
 async fn a_stream_that_runs_once_is_cut_visibly() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::EventsCut { after: 4, last: 9 }).await;
     let request = ClientRequest::post("/digest/", "id-1", "prompt");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     assert_eq!(answer.status, 200);
-    assert!(!answer.whole);
+    assert!(!answer.is_complete);
     assert_eq!(answer.text(), events(1..=4));
     assert_eq!(last_event_ids(&replicas).len(), 1);
 }
@@ -88,7 +88,7 @@
 async fn a_stream_cut_before_its_first_event_is_an_error_answer() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::EventsCut { after: 0, last: 9 }).await;
     let request = ClientRequest::post("/digest/", "id-1", "prompt");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     assert_eq!((answer.status, answer.code()), (502, Some(51)));
     assert_eq!(last_event_ids(&replicas).len(), 1);
 }
@@ -97,7 +97,7 @@
 async fn a_client_resumes_a_stream_after_its_last_event() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::events(6)).await;
     let request = ClientRequest::post("/chat/", "id-1", "prompt").header("Last-Event-Id", "3");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     assert_eq!(answer.text(), events(4..=6));
     assert_eq!(last_event_ids(&replicas), ["3"]);
 }
@@ -105,13 +105,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_client_left_stops() {
     let (fleet, replicas) = two_replicas(ReplicaAnswer::EventsStall { after: 2, last: 9 }).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/digest/", "id-1", "prompt");
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 2").await);
     drop(client);
-    let open = || replicas.iter().map(Replica::open).sum::<usize>();
-    until("the connection to the replica is closed", || open() == 0).await;
+    let open = || {
+        replicas
+            .iter()
+            .map(Replica::open_connections)
+            .sum::<usize>()
+    };
+    wait_until("the connection to the replica is closed", || open() == 0).await;
 }
--- a/testbed/tests/early_signals.rs
+++ b/testbed/tests/early_signals.rs
@@ -4,7 +4,7 @@
 use {
     archmast_testbed::{
         direct::{DirectFleet, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     tokio::net::TcpStream,
 };
@@ -15,23 +15,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_listens_lives_on_when_told_of_new_settings() {
     let mut fleet = DirectFleet::start(1, "").await;
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("served")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("served"))
+        .await;
     fleet
         .store
         .publish(1, &[RouteText::new("/read/", "s", "idempotent")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for _ in 0..STARTS {
         fleet.routers[0].kill();
         fleet.routers[0].restart().expect("it starts again");
-        let callers = fleet.callers[0];
+        let callers = fleet.caller_addresses[0];
         while TcpStream::connect(callers).await.is_err() {
             tokio::task::yield_now().await;
         }
-        fleet.routers[0].hang_up();
-        until_async("it is ready, or has exited", async || {
+        fleet.routers[0].signal_reload();
+        wait_until_async("it is ready, or has exited", async || {
             fleet.is_ready(0).await
         })
         .await;
-        assert!(fleet.routers[0].ended().is_none());
+        assert!(fleet.routers[0].exit_status().is_none());
     }
 }
--- a/testbed/tests/edges.rs
+++ b/testbed/tests/edges.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async},
         standin::{ChatBody, EngineSettings},
     },
     reqwest::{Client, Method, Response},
@@ -90,7 +90,7 @@
         text.contains("\"code\":32") && text.contains("a-nowhere"),
         "{text}"
     );
-    assert!(fleet.run_counts().is_empty(), "nothing of all this ran");
+    assert!(fleet.runs_by_nonce().is_empty(), "nothing of all this ran");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -122,7 +122,7 @@
         });
     }
     let outcomes = callers.join_all().await;
-    let counts = fleet.run_counts();
+    let counts = fleet.runs_by_nonce();
     let mut refused = 0;
     for (outcome, nonce) in &outcomes {
         match outcome {
@@ -138,11 +138,11 @@
                 assert!(retry_after.is_some(), "{outcome:?}");
                 assert_eq!(counts.get(nonce), None);
             }
-            whole => assert!(whole.is_whole(), "{whole:?}"),
+            whole => assert!(whole.is_complete(), "{whole:?}"),
         }
     }
     assert!(refused >= 60, "only {refused} refused");
-    assert!(outcomes.iter().any(|(outcome, _)| outcome.is_whole()));
+    assert!(outcomes.iter().any(|(outcome, _)| outcome.is_complete()));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -170,7 +170,7 @@
         .caller(0, "lot-b")
         .plain(Method::POST, "/gate/open", &nonce(), None)
         .await;
-    assert!(outcome.is_whole(), "{outcome:?}");
+    assert!(outcome.is_complete(), "{outcome:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -185,7 +185,7 @@
     stranger.hosts = fleet.hosts.clone();
     stranger.platform.publish_hosts(&stranger.hosts);
     let router = stranger.routers[0].operator;
-    until_async("the stranger serves", async || {
+    wait_until_async("the stranger serves", async || {
         stranger.is_ready(router).await
     })
     .await;
@@ -196,7 +196,7 @@
         Some(38),
         "no sidecar of the other fleet accepts it: {outcome:?}"
     );
-    assert!(fleet.run_counts().is_empty());
+    assert!(fleet.runs_by_nonce().is_empty());
     let status = fleet
         .status(fleet.sidecars[0].operator)
         .await
@@ -234,7 +234,7 @@
             caller.chat(&body).await
         });
     }
-    until("all slots are taken", || fleet.open_runs() == 8).await;
+    wait_until("all slots are taken", || fleet.running_count() == 8).await;
     let outcomes = callers.join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole));
+    assert!(outcomes.iter().all(Outcome::is_complete));
 }
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -8,7 +8,7 @@
             Client, ClientAnswer, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText,
             StoreMode,
         },
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -25,7 +25,7 @@
     router: usize,
 ) -> ClientAnswer {
     let request = ClientRequest::get("/first/", "probe");
-    Client::ask(fleet.callers[router], &request).await
+    Client::call_once(fleet.caller_addresses[router], &request).await
 }
 
 /// Two routers in each of three zones, with one replica per zone that answers with its id.
@@ -34,12 +34,14 @@
     let mut replicas = Vec::new();
     for (id, zone) in [("i-a", "z"), ("i-b", "z-1"), ("i-c", "z-2")] {
         let replica = Replica::start(fleet.standins(), id, ReplicaAnswer::ok(id)).await;
-        fleet.store.list_in(zone, id, "s", replica.address, "ready");
+        fleet
+            .store
+            .list_replica_in(zone, id, "s", replica.address, "ready");
         replicas.push(replica);
     }
     let once = RouteText::new("/once/", "s", "non_idempotent");
     fleet.store.publish(1, &[route("/first/"), once]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..6 {
         let own = ["i-a", "i-b", "i-c"][router / 2];
         until_served_by(&fleet, router, own).await;
@@ -54,7 +56,7 @@
     router: usize,
     replica: &str,
 ) {
-    until_async("the replica serves", async || {
+    wait_until_async("the replica serves", async || {
         answer(fleet, router).await.text() == replica
     })
     .await;
@@ -67,17 +69,17 @@
     cordoned_replica: &Replica,
 ) {
     for router in 0..6 {
-        until_async("requests go elsewhere", async || {
+        wait_until_async("requests go elsewhere", async || {
             let answer = answer(fleet, router).await;
             answer.status == 200 && answer.text() != cordoned_replica.id
         })
         .await;
     }
-    let before = cordoned_replica.seen().len();
+    let before = cordoned_replica.received().len();
     for asked in 0..CHECKED_REQUESTS {
         assert_eq!(answer(fleet, asked % 6).await.status, 200);
     }
-    assert_eq!(cordoned_replica.seen().len(), before);
+    assert_eq!(cordoned_replica.received().len(), before);
 }
 
 /// Cordons the second zone and checks that its replica gets nothing; then uncordons it and
@@ -86,9 +88,9 @@
     fleet: &DirectFleet,
     replica: &Replica,
 ) {
-    fleet.store.empty_zone("z-1");
+    fleet.store.cordon_zone("z-1");
     until_unused(fleet, replica).await;
-    fleet.store.take_zone_back("z-1");
+    fleet.store.uncordon_zone("z-1");
     for router in [2, 3] {
         until_served_by(fleet, router, "i-b").await;
     }
@@ -107,17 +109,20 @@
         body: "late".to_owned(),
         after: Duration::from_millis(1500),
     };
-    replicas[1].next(slow);
-    let callers = fleet.callers[2];
+    replicas[1].push_answer(slow);
+    let callers = fleet.caller_addresses[2];
     let running = tokio::spawn(async move {
         let request = ClientRequest::get("/once/", "slow");
-        Client::ask(callers, &request).await
+        Client::call_once(callers, &request).await
     });
-    until_async("the request is at the replica", async || {
-        replicas[1].seen().iter().any(|seen| seen.id() == "slow")
+    wait_until_async("the request is at the replica", async || {
+        replicas[1]
+            .received()
+            .iter()
+            .any(|seen| seen.attempt_id() == "slow")
     })
     .await;
-    fleet.store.empty_zone("z-1");
+    fleet.store.cordon_zone("z-1");
     until_unused(&fleet, &replicas[1]).await;
     let ended = running.await.expect("an answer");
     assert_eq!((ended.status, ended.text().as_str()), (200, "late"));
@@ -127,10 +132,10 @@
 async fn with_every_zone_cordoned_requests_are_refused_at_once_and_not_run() {
     let (fleet, replicas) = fleet().await;
     for zone in ["z", "z-1", "z-2"] {
-        fleet.store.empty_zone(zone);
+        fleet.store.cordon_zone(zone);
     }
     for router in 0..6 {
-        until_async("requests are refused", async || {
+        wait_until_async("requests are refused", async || {
             let answer = answer(&fleet, router).await;
             (answer.status, answer.code()) == (503, Some(46))
         })
@@ -139,7 +144,7 @@
     let seen = || {
         replicas
             .iter()
-            .map(|replica| replica.seen().len())
+            .map(|replica| replica.received().len())
             .sum::<usize>()
     };
     let before = seen();
@@ -155,24 +160,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_starts_without_the_store_knows_the_cordoned_zones() {
     let (mut fleet, replicas) = fleet().await;
-    fleet.store.empty_zone("z-1");
+    fleet.store.cordon_zone("z-1");
     until_unused(&fleet, &replicas[1]).await;
-    fleet.ports[2].set(StoreMode::Silent);
+    fleet.store_ports[2].set_mode(StoreMode::Silent);
     fleet.routers[2].kill();
     fleet.routers[2].restart().expect("it starts again");
-    until_async("it is ready again", async || fleet.is_ready(2).await).await;
-    let before = replicas[1].seen().len();
+    wait_until_async("it is ready again", async || fleet.is_ready(2).await).await;
+    let before = replicas[1].received().len();
     for _ in 0..CHECKED_REQUESTS {
         assert_eq!(answer(&fleet, 2).await.status, 200);
     }
-    assert_eq!(replicas[1].seen().len(), before);
+    assert_eq!(replicas[1].received().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_without_the_store_learns_of_a_cordon_from_another_zone() {
     let (fleet, replicas) = fleet().await;
     for port in [2, 3] {
-        fleet.ports[port].set(StoreMode::Silent);
+        fleet.store_ports[port].set_mode(StoreMode::Silent);
     }
     cordon_and_uncordon(&fleet, &replicas[1]).await;
 }
@@ -180,15 +185,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_store_without_the_history_of_an_uncordon_is_read_again_in_full() {
     let (fleet, replicas) = fleet().await;
-    fleet.store.empty_zone("z-1");
+    fleet.store.cordon_zone("z-1");
     until_unused(&fleet, &replicas[1]).await;
-    for port in &fleet.ports {
-        port.set(StoreMode::Busy);
+    for port in &fleet.store_ports {
+        port.set_mode(StoreMode::Busy);
     }
-    fleet.store.take_zone_back("z-1");
-    fleet.store.forget_history();
-    for port in &fleet.ports {
-        port.set(StoreMode::Well);
+    fleet.store.uncordon_zone("z-1");
+    fleet.store.compact();
+    for port in &fleet.store_ports {
+        port.set_mode(StoreMode::Well);
     }
     for router in [2, 3] {
         until_served_by(&fleet, router, "i-b").await;
@@ -203,7 +208,7 @@
     }
     fleet.store.put_bytes("op/evacuate/z-2", b"\xff\xfe\x00");
     fleet.store.put_bytes("op/evacuate/nowhere", b"{}");
-    fleet.store.empty_zone("z-1");
+    fleet.store.cordon_zone("z-1");
     until_unused(&fleet, &replicas[1]).await;
     until_served_by(&fleet, 0, "i-a").await;
     until_served_by(&fleet, 4, "i-c").await;
--- a/testbed/tests/first_reading.rs
+++ b/testbed/tests/first_reading.rs
@@ -2,7 +2,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, ReplicaAnswer, RouteText, StoreMode},
-    fleet::{until, until_async},
+    fleet::{wait_until, wait_until_async},
 };
 
 const ROUTERS: usize = 3;
@@ -14,13 +14,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn routers_without_a_configuration_serve_as_soon_as_the_store_answers() {
     let mut fleet = DirectFleet::start(ROUTERS, "").await;
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("whole")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("whole"))
+        .await;
     fleet
         .store
         .publish(1, &[RouteText::new("/first/", "s", "idempotent")]);
-    fleet.all_ready().await;
-    for port in &fleet.ports {
-        port.set(StoreMode::Silent);
+    fleet.wait_until_ready().await;
+    for port in &fleet.store_ports {
+        port.set_mode(StoreMode::Silent);
     }
     let lost_calls = |fleet: &DirectFleet, router: usize| {
         fleet.routers[router].log_text().matches(LOST_CALL).count()
@@ -33,7 +35,7 @@
         router.restart().expect("starts again");
     }
     for (router, before) in before.iter().enumerate() {
-        until("its first call is lost", || {
+        wait_until("its first call is lost", || {
             lost_calls(&fleet, router) > *before
         })
         .await;
@@ -41,14 +43,17 @@
     let at_return: Vec<usize> = (0..ROUTERS)
         .map(|router| lost_calls(&fleet, router))
         .collect();
-    for port in &fleet.ports {
-        port.set(StoreMode::Well);
+    for port in &fleet.store_ports {
+        port.set_mode(StoreMode::Well);
     }
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for (router, at_return) in at_return.into_iter().enumerate() {
-        until_async("the route is served", async || {
+        wait_until_async("the route is served", async || {
             let request = ClientRequest::get("/first/", "asked");
-            Client::ask(fleet.callers[router], &request).await.status == 200
+            Client::call_once(fleet.caller_addresses[router], &request)
+                .await
+                .status
+                == 200
         })
         .await;
         // No call that was sent to the silent store was awaited until its time-out.
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -5,7 +5,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-    fleet::until_async,
+    fleet::wait_until_async,
 };
 
 /// Values that another writer may leave, none of which describes a replica.
@@ -55,18 +55,24 @@
     router: usize,
 ) -> String {
     let request = ClientRequest::get("/first/", "probe");
-    Client::ask(fleet.callers[router], &request).await.text()
+    Client::call_once(fleet.caller_addresses[router], &request)
+        .await
+        .text()
 }
 
 /// Three routers with two replicas.
 async fn fleet() -> (DirectFleet, [Replica; 2]) {
     let fleet = DirectFleet::start(3, "").await;
     let replicas = [
-        fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await,
-        fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await,
+        fleet
+            .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+            .await,
+        fleet
+            .start_replica("i-b", "s", ReplicaAnswer::ok("b"))
+            .await,
     ];
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replicas)
 }
 
@@ -79,8 +85,8 @@
     fleet
         .store
         .publish(version, &[route("/first/"), route(prefix)]);
-    for router in 0..fleet.callers.len() {
-        fleet.serves(router, prefix, 200).await;
+    for router in 0..fleet.caller_addresses.len() {
+        fleet.wait_until_served(router, prefix, 200).await;
     }
 }
 
@@ -111,11 +117,13 @@
             .store
             .put_bytes(key, br#"{"service":"s","address":"127.0.0.1:9","zone":"z","slots":4,"state":"ready","sequence":1}"#);
     }
-    let _replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
+    let _replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..2 {
-        fleet.serves(router, "/first/", 200).await;
+        fleet.wait_until_served(router, "/first/", 200).await;
     }
     publish_and_check(&fleet, 2, "/second/").await;
 }
@@ -126,12 +134,12 @@
     fleet.store.put_bytes("servers/i-a", b"\xff\xfe\x00");
     for router in 0..3 {
         // The other replica may serve alone before that, when it is quicker.
-        until_async("the router knows that the replica is gone", async || {
+        wait_until_async("the router knows that the replica is gone", async || {
             let log = fleet.routers[router].log_text();
             log.contains("upstream gone")
         })
         .await;
-        until_async("only the other replica serves", async || {
+        wait_until_async("only the other replica serves", async || {
             let mut answers = Vec::new();
             for _ in 0..8 {
                 answers.push(answering_replica(&fleet, router).await);
@@ -140,14 +148,16 @@
         })
         .await;
     }
-    let before = overwritten.seen().len();
+    let before = overwritten.received().len();
     for _ in 0..20 {
         assert_eq!(answering_replica(&fleet, 0).await, "b");
     }
-    assert_eq!(overwritten.seen().len(), before);
-    fleet.store.list("i-a", "s", overwritten.address, "ready");
-    other.usually(ReplicaAnswer::NotExecuted { status: 503 });
-    until_async("it serves again", async || {
+    assert_eq!(overwritten.received().len(), before);
+    fleet
+        .store
+        .list_replica("i-a", "s", overwritten.address, "ready");
+    other.set_default_answer(ReplicaAnswer::NotExecuted { status: 503 });
+    wait_until_async("it serves again", async || {
         answering_replica(&fleet, 0).await == "a"
     })
     .await;
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::{until, until_async},
+        fleet::{wait_until, wait_until_async},
     },
     std::time::Duration,
 };
@@ -13,13 +13,15 @@
 /// Two routers that forward all connections of their callers, and a replica.
 async fn forwarding_fleet() -> (DirectFleet, Replica) {
     let fleet = DirectFleet::start(2, "hand_on = 0.0\n").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("answer")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("answer"))
+        .await;
     let plain = RouteText::new("/plain/", "s", "non_idempotent");
     let chat = RouteText::new("/chat/", "s", "streaming");
     fleet.store.publish(1, &[plain, chat]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in [0, 1] {
-        until("the router knows its neighbour and the replica", || {
+        wait_until("the router knows its neighbour and the replica", || {
             let log = fleet.routers[router].log_text();
             log.contains("connections are handed on") && log.contains("upstream Ready")
         })
@@ -41,68 +43,89 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_of_a_busy_router_are_forwarded_to_its_neighbour_only_once() {
     let (fleet, replica) = forwarding_fleet().await;
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     for id in ["first-1", "first-2"] {
         let answer = client.call(&ClientRequest::get("/plain/", id)).await;
         assert_eq!((answer.status, answer.text()), (200, "answer".to_owned()));
-        until("the neighbour sent it", || sent_by(&fleet, 1, id)).await;
+        wait_until("the neighbour sent it", || sent_by(&fleet, 1, id)).await;
         assert!(!sent_by(&fleet, 0, id));
         if answer.header("connection") == "close" {
-            client = Client::connect(fleet.callers[0]).await.expect("connected");
+            client = Client::connect(fleet.caller_addresses[0])
+                .await
+                .expect("connected");
         }
     }
-    assert_eq!(replica.seen().len(), 2);
+    assert_eq!(replica.received().len(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_forwarded_request_whose_neighbour_is_killed_gets_an_unknown_outcome() {
     let (mut fleet, replica) = forwarding_fleet().await;
-    replica.usually(ReplicaAnswer::Silent);
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    replica.set_default_answer(ReplicaAnswer::Silent);
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let request = ClientRequest::get("/plain/", "lost-1");
     client.send(&request.bytes()).await.expect("sent");
-    until("the replica has it", || !replica.seen().is_empty()).await;
+    wait_until("the replica has it", || !replica.received().is_empty()).await;
     fleet.routers[1].kill();
     let answer = client.answer().await;
     assert_eq!((answer.status, answer.code()), (502, Some(50)));
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     // Without a neighbour, the router serves requests itself again.
-    replica.usually(ReplicaAnswer::ok("answer"));
+    replica.set_default_answer(ReplicaAnswer::ok("answer"));
     let own = ClientRequest::get("/plain/", "own-1");
-    assert_eq!(Client::ask(fleet.callers[0], &own).await.status, 200);
-    until("the router sent it itself", || sent_by(&fleet, 0, "own-1")).await;
+    assert_eq!(
+        Client::call_once(fleet.caller_addresses[0], &own)
+            .await
+            .status,
+        200
+    );
+    wait_until("the router sent it itself", || sent_by(&fleet, 0, "own-1")).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_no_forwarded_stream() {
     let (mut fleet, replica) = forwarding_fleet().await;
-    replica.usually(ReplicaAnswer::Events {
+    replica.set_default_answer(ReplicaAnswer::Events {
         last: 8,
         pause: Duration::from_millis(200),
     });
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let request = ClientRequest::post("/chat/", "stream-1", "prompt");
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 2").await);
-    until("the neighbour sent it", || sent_by(&fleet, 1, "stream-1")).await;
+    wait_until("the neighbour sent it", || sent_by(&fleet, 1, "stream-1")).await;
     fleet.routers[0].terminate();
     let answer = client.answer().await;
-    assert!(answer.status == 200 && answer.whole);
+    assert!(answer.status == 200 && answer.is_complete);
     assert!(answer.text().contains("piece 8"));
     drop(client);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_forwarded_request_is_cancelled_when_its_caller_disconnects() {
     let (fleet, replica) = forwarding_fleet().await;
-    replica.usually(ReplicaAnswer::Silent);
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    replica.set_default_answer(ReplicaAnswer::Silent);
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let request = ClientRequest::get("/plain/", "left-1");
     client.send(&request.bytes()).await.expect("sent");
-    until("the replica has it", || replica.open() == 1).await;
+    wait_until("the replica has it", || replica.open_connections() == 1).await;
     drop(client);
-    until("its connection to the replica ends", || replica.open() == 0).await;
+    wait_until("its connection to the replica ends", || {
+        replica.open_connections() == 0
+    })
+    .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -111,19 +134,27 @@
     for round in 0..20 {
         let (left, stays) = (format!("left-{round}"), format!("stays-{round}"));
         fleet.routers[0].freeze();
-        let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+        let mut client = Client::connect(fleet.caller_addresses[0])
+            .await
+            .expect("connected");
         let request = ClientRequest::get("/plain/", &left);
         client.send(&request.bytes()).await.expect("sent");
         drop(client);
         fleet.routers[0].thaw();
         // Connections are accepted in order, so this request is served after the abandoned one.
-        until_async("a caller that stays is served", async || {
+        wait_until_async("a caller that stays is served", async || {
             let request = ClientRequest::get("/plain/", &stays);
-            Client::ask(fleet.callers[0], &request).await.status == 200
+            Client::call_once(fleet.caller_addresses[0], &request)
+                .await
+                .status
+                == 200
         })
         .await;
-        let seen = replica.seen();
-        assert!(seen.iter().all(|request| request.id() != left), "{left}");
+        let seen = replica.received();
+        assert!(
+            seen.iter().all(|request| request.attempt_id() != left),
+            "{left}"
+        );
     }
 }
 
@@ -134,19 +165,21 @@
     let settings = std::fs::read_to_string(&fleet.settings[1]).expect("settings");
     let settings = settings.replace("hand_on = 0.0", "hand_on = 1.0");
     std::fs::write(&fleet.settings[1], settings).expect("written");
-    fleet.routers[1].hang_up();
-    until_async("the neighbour keeps connections", async || {
+    fleet.routers[1].signal_reload();
+    wait_until_async("the neighbour keeps connections", async || {
         let request = ClientRequest::get("/plain/", "own-1");
-        let answer = Client::ask(fleet.callers[1], &request).await;
+        let answer = Client::call_once(fleet.caller_addresses[1], &request).await;
         answer.status == 200 && answer.header("connection") != "close"
     })
     .await;
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connected");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     for id in ["kept-1", "kept-2"] {
         let answer = client.call(&ClientRequest::get("/plain/", id)).await;
         assert_eq!((answer.status, answer.header("connection")), (200, ""));
     }
-    replica.usually(ReplicaAnswer::Events {
+    replica.set_default_answer(ReplicaAnswer::Events {
         last: 8,
         pause: Duration::from_millis(200),
     });
@@ -155,7 +188,7 @@
     assert!(client.wait_for("piece 2").await);
     // All routers of the test share an IP address. The first one, which forwards, stops.
     fleet.routers[0].terminate();
-    assert!(client.answer().await.whole);
+    assert!(client.answer().await.is_complete);
     // Another request on this connection might not finish before the router in between is
     // killed, so the router closes it without waiting for one.
     assert!(client.is_closed_by_router().await);
@@ -164,18 +197,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_stops_hands_nothing_on_that_it_would_refuse() {
     let (mut fleet, replica) = forwarding_fleet().await;
-    replica.usually(ReplicaAnswer::Silent);
-    let mut busy = Client::connect(fleet.callers[0]).await.expect("connected");
+    replica.set_default_answer(ReplicaAnswer::Silent);
+    let mut busy = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connected");
     let held = ClientRequest::get("/plain/", "held-1");
     busy.send(&held.bytes()).await.expect("sent");
-    until("the replica has it", || !replica.seen().is_empty()).await;
+    wait_until("the replica has it", || !replica.received().is_empty()).await;
     fleet.routers[0].terminate();
     let mut refused = 0;
-    until_async(
+    wait_until_async(
         "late requests are refused, or not accepted any more",
         async || {
             let late = ClientRequest::get("/plain/", &format!("late-{refused}"));
-            let mut client = match Client::connect(fleet.callers[0]).await {
+            let mut client = match Client::connect(fleet.caller_addresses[0]).await {
                 Ok(client) => client,
                 Err(_) => return refused > 0,
             };
@@ -190,5 +225,8 @@
     .await;
     assert!(refused > 0, "late requests were forwarded, or lost");
     drop(busy);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
 }
--- a/testbed/tests/kept_parts.rs
+++ b/testbed/tests/kept_parts.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::{collections::HashMap, ops::Range},
 };
@@ -34,7 +34,7 @@
     before: &HashMap<usize, usize>,
 ) -> usize {
     let mut found = None;
-    until_async(text, async || {
+    wait_until_async(text, async || {
         found = routers.iter().copied().find(|router| {
             let count = fleet.routers[*router].log_text().matches(text).count();
             count > before.get(router).copied().unwrap_or(0)
@@ -59,9 +59,9 @@
             .count()
     };
     let before = count();
-    until_async("a cached part is known that no router placed", async || {
+    wait_until_async("a cached part is known that no router placed", async || {
         let part = parts.next().expect("parts enough");
-        let answer = Client::ask(fleet.callers[router], &prompt(part)).await;
+        let answer = Client::call_once(fleet.caller_addresses[router], &prompt(part)).await;
         assert_eq!(answer.status, 200);
         count() > before
     })
@@ -74,11 +74,13 @@
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
-    fleet.store.list("i-a", "s", replica.address, "ready");
-    fleet.all_ready().await;
+    fleet
+        .store
+        .list_replica("i-a", "s", replica.address, "ready");
+    fleet.wait_until_ready().await;
     let all = [0, 1, 2];
     let follower = until_one_logs(&fleet, &all, FOLLOWS_LOG, &HashMap::new()).await;
-    (0..1000).for_each(|part| replica.tells("+", &format!("a{part:x}"), 3000));
+    (0..1000).for_each(|part| replica.push_cache_event("+", &format!("a{part:x}"), 3000));
     let others: Vec<usize> = all.into_iter().filter(|it| *it != follower).collect();
     until_known(&fleet, others[0], &mut (0..1000)).await;
 
@@ -89,7 +91,7 @@
     let before: HashMap<usize, usize> = counts.collect();
     fleet.routers[follower].kill();
     let next = until_one_logs(&fleet, &others, FOLLOWS_LOG, &before).await;
-    (1000..2000).for_each(|part| replica.tells("+", &format!("a{part:x}"), 3000));
+    (1000..2000).for_each(|part| replica.push_cache_event("+", &format!("a{part:x}"), 3000));
     let other_router = others.into_iter().find(|router| *router != next);
     until_known(&fleet, other_router.expect("a third"), &mut (1000..2000)).await;
 }
@@ -98,15 +100,17 @@
 async fn a_replica_without_cache_events_gets_requests_all_the_same() {
     let fleet = DirectFleet::start(1, "").await;
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
-    replica.turns_list_away();
+    replica.refuse_cache_requests();
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
-    fleet.store.list("i-a", "s", replica.address, "ready");
-    fleet.all_ready().await;
+    fleet
+        .store
+        .list_replica("i-a", "s", replica.address, "ready");
+    fleet.wait_until_ready().await;
     let refused = "replica does not say what it keeps";
     until_one_logs(&fleet, &[0], refused, &HashMap::new()).await;
     for own in [1, 1] {
-        let answer = Client::ask(fleet.callers[0], &prompt(own)).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &prompt(own)).await;
         assert_eq!(answer.status, 200);
     }
     until_one_logs(&fleet, &[0], "\"reading_tokens\":0,", &HashMap::new()).await;
@@ -116,17 +120,22 @@
 async fn a_part_evicted_by_its_replica_counts_as_prefill_again() {
     let fleet = DirectFleet::start(1, "").await;
     let replica = Replica::start(fleet.standins(), "i-a", ReplicaAnswer::events(3)).await;
-    replica.keeps(&[("a1", 3000)]);
+    replica.set_cached_parts(&[("a1", 3000)]);
     let routes = [RouteText::new("/events/", "s", "streaming")];
     fleet.store.publish_engines(1, &routes);
-    fleet.store.list("i-a", "s", replica.address, "ready");
-    fleet.all_ready().await;
+    fleet
+        .store
+        .list_replica("i-a", "s", replica.address, "ready");
+    fleet.wait_until_ready().await;
     until_one_logs(&fleet, &[0], "replica asked what it keeps", &HashMap::new()).await;
-    replica.tells("-", "a1", 0);
-    let asked = replica.events_asked();
+    replica.push_cache_event("-", "a1", 0);
+    let asked = replica.event_request_count();
     // The router applies an answer before it makes the next call.
-    until_async("asked again", async || replica.events_asked() > asked + 1).await;
-    let answer = Client::ask(fleet.callers[0], &prompt(1)).await;
+    wait_until_async("asked again", async || {
+        replica.event_request_count() > asked + 1
+    })
+    .await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &prompt(1)).await;
     assert_eq!(answer.status, 200);
     let prefills_all = "\"reading_tokens\":3100,";
     until_one_logs(&fleet, &[0], prefills_all, &HashMap::new()).await;
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -3,8 +3,8 @@
 use {
     archmast::fleet::HostState,
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
-        standin::{ChatBody, EngineSettings, PlatformSwitches},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async},
+        standin::{ChatBody, EngineSettings, PlatformFaults},
     },
     std::time::{Duration, Instant},
     tokio::task::JoinSet,
@@ -82,7 +82,7 @@
     sidecar: usize,
 ) {
     let operator = fleet.sidecars[sidecar].operator;
-    until_async("the sidecar leaves", async || {
+    wait_until_async("the sidecar leaves", async || {
         fleet.status(operator).await.is_some_and(|s| s.leaving)
     })
     .await;
@@ -91,7 +91,7 @@
 /// Waits until the upstream of the second sidecar has begun more than 40 further requests.
 async fn until_other_serves(fleet: &Fleet) {
     let before = fleet.sidecars[1].upstream.log().runs().len();
-    until("the other serves", || {
+    wait_until("the other serves", || {
         fleet.sidecars[1].upstream.log().runs().len() > before + 40
     })
     .await;
@@ -108,7 +108,7 @@
     until_other_serves(&fleet).await;
     let outcomes = callers.end().await;
     assert_eq!(starts_after(&fleet, 0, moment), 0);
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
 
 /// A sidecar is told to stop while the platform is down and a router is suspended. When the router
@@ -118,9 +118,9 @@
     let mut fleet = Fleet::start(plan()).await;
     let callers = Callers::start(&fleet, &[1], 10);
     until_other_serves(&fleet).await;
-    fleet.platform.set_switches(PlatformSwitches {
+    fleet.platform.set_faults(PlatformFaults {
         down: true,
-        ..PlatformSwitches::default()
+        ..PlatformFaults::default()
     });
     fleet.routers[0].process.freeze();
     fleet.sidecars[0].process.terminate();
@@ -132,8 +132,8 @@
     let outcomes = callers.end().await;
     let late = late.end().await;
     assert_eq!(starts_after(&fleet, 0, moment), 0);
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
-    assert!(late.iter().all(Outcome::is_whole), "{late:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
+    assert!(late.iter().all(Outcome::is_complete), "{late:?}");
 }
 
 /// Guards against a sidecar that announces leaving while an admitted request is still on its way
@@ -147,7 +147,7 @@
     let slow = Duration::from_millis(200);
     fleet.sidecars[0]
         .upstream_link
-        .set(|faults| faults.delay = slow);
+        .update_faults(|faults| faults.delay = slow);
     until_other_serves(&fleet).await;
     fleet.publish_state("m1", HostState::Leaving);
     until_leaving(&fleet, 0).await;
@@ -155,7 +155,7 @@
     until_other_serves(&fleet).await;
     for callers in callers {
         let outcomes = callers.end().await;
-        assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+        assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
     }
     assert_eq!(starts_after(&fleet, 0, moment), 0);
 }
@@ -174,20 +174,20 @@
             caller.chat(&body).await
         });
     }
-    until("some run at the host", || {
-        fleet.sidecars[0].upstream.log().open() >= 1
+    wait_until("some run at the host", || {
+        fleet.sidecars[0].upstream.log().running_count() >= 1
     })
     .await;
     fleet.publish_state("m1", HostState::Leaving);
     until_leaving(&fleet, 0).await;
     let outcomes = requests.join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
 
 async fn until_leaving_or_exited(fleet: &mut Fleet) {
     let operator = fleet.sidecars[0].operator;
     loop {
-        let gone = fleet.sidecars[0].process.ended().is_some();
+        let gone = fleet.sidecars[0].process.exit_status().is_some();
         if gone || fleet.status(operator).await.is_some_and(|s| s.leaving) {
             return;
         }
@@ -200,11 +200,14 @@
     let callers = Callers::start(&fleet, &[0, 1], 40);
     until_other_serves(&fleet).await;
     fleet.sidecars[0].process.terminate();
-    until("it ends", || fleet.sidecars[0].process.ended().is_some()).await;
+    wait_until("it ends", || {
+        fleet.sidecars[0].process.exit_status().is_some()
+    })
+    .await;
     until_other_serves(&fleet).await;
     let outcomes = callers.end().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
-    let status = fleet.sidecars[0].process.ended().expect("it ended");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
+    let status = fleet.sidecars[0].process.exit_status().expect("it ended");
     assert!(status.success(), "{status}");
 }
 
@@ -222,7 +225,7 @@
         });
     }
     let operator = fleet.routers[0].operator;
-    until_async("all are held", async || {
+    wait_until_async("all are held", async || {
         fleet
             .status(operator)
             .await
@@ -230,17 +233,20 @@
     })
     .await;
     fleet.routers[0].process.terminate();
-    until_async("readiness fails first", async || {
+    wait_until_async("readiness fails first", async || {
         !fleet.is_ready(operator).await
     })
     .await;
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
     let after = fleet.caller(0, "lot-a").chat(&body).await;
-    assert!(after.is_whole() || after.is_not_run(), "{after:?}");
+    assert!(after.is_complete() || after.is_not_run(), "{after:?}");
     let outcomes = requests.join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
-    until("it ends", || fleet.routers[0].process.ended().is_some()).await;
-    let status = fleet.routers[0].process.ended().expect("it ended");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
+    wait_until("it ends", || {
+        fleet.routers[0].process.exit_status().is_some()
+    })
+    .await;
+    let status = fleet.routers[0].process.exit_status().expect("it ended");
     assert!(status.success(), "{status}");
 }
 
@@ -249,16 +255,16 @@
     let mut fleet = Fleet::start(plan()).await;
     let callers = Callers::start(&fleet, &[0, 1], 10);
     for index in 0..fleet.sidecars.len() {
-        let before = fleet.run_counts().len();
-        until("requests run", || fleet.run_counts().len() > before + 30).await;
+        let before = fleet.runs_by_nonce().len();
+        wait_until("requests run", || fleet.runs_by_nonce().len() > before + 30).await;
         fleet.sidecars[index].process.terminate();
-        until("it ends", || {
-            fleet.sidecars[index].process.ended().is_some()
+        wait_until("it ends", || {
+            fleet.sidecars[index].process.exit_status().is_some()
         })
         .await;
         fleet.sidecars[index].process.restart().expect("it starts");
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     }
     let outcomes = callers.end().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
--- a/testbed/tests/leaving_upstreams.rs
+++ b/testbed/tests/leaving_upstreams.rs
@@ -6,7 +6,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, StoreMode},
-    fleet::until_async,
+    fleet::wait_until_async,
 };
 
 fn route(prefix: &'static str) -> RouteText {
@@ -16,17 +16,21 @@
 /// Three routers with two replicas. Each router has used the first, which is to leave.
 async fn fleet() -> (DirectFleet, [Replica; 2]) {
     let fleet = DirectFleet::start(3, "").await;
-    let leaves = fleet.replica("i-a", "s", ReplicaAnswer::ok("a")).await;
-    let stays = fleet.replica("i-b", "s", ReplicaAnswer::ok("b")).await;
+    let leaves = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("a"))
+        .await;
+    let stays = fleet
+        .start_replica("i-b", "s", ReplicaAnswer::ok("b"))
+        .await;
     fleet.store.publish(1, &[route("/first/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..3 {
-        until_async("both replicas are known", async || {
+        wait_until_async("both replicas are known", async || {
             let log = fleet.routers[router].log_text();
             log.matches("upstream Ready").count() >= 2
         })
         .await;
-        until_async("the first replica is used", async || {
+        wait_until_async("the first replica is used", async || {
             answering_replica(&fleet, router).await == "a"
         })
         .await;
@@ -39,16 +43,18 @@
     router: usize,
 ) -> String {
     let request = ClientRequest::get("/first/", "probe");
-    Client::ask(fleet.callers[router], &request).await.text()
+    Client::call_once(fleet.caller_addresses[router], &request)
+        .await
+        .text()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstream_that_left_while_the_others_restarted_gets_nothing() {
     let (mut fleet, [leaves, _stays]) = fleet().await;
-    fleet.ports[0].set(StoreMode::Busy);
+    fleet.store_ports[0].set_mode(StoreMode::Busy);
     fleet.routers[1].kill();
     fleet.routers[2].kill();
-    fleet.store.remove("i-a");
+    fleet.store.remove_replica("i-a");
     for router in [1, 2] {
         fleet.routers[router].restart().expect("it starts again");
     }
@@ -57,15 +63,15 @@
         .store
         .publish(2, &[route("/first/"), route("/second/")]);
     for router in 0..3 {
-        fleet.serves(router, "/second/", 200).await;
+        fleet.wait_until_served(router, "/second/", 200).await;
     }
-    until_async("the other replica serves", async || {
+    wait_until_async("the other replica serves", async || {
         answering_replica(&fleet, 0).await == "b"
     })
     .await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     for _ in 0..40 {
         assert_eq!(answering_replica(&fleet, 0).await, "b");
     }
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
 }
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -4,7 +4,9 @@
 
 use {
     archmast_testbed::{
-        fleet::{Caller, Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
+        fleet::{
+            Caller, Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async,
+        },
         standin::{ChatBody, EngineFault, EngineSettings},
     },
     reqwest::Method,
@@ -60,11 +62,14 @@
             outcomes
         });
     }
-    let before = fleet.run_counts().len();
-    until("calls run", || fleet.run_counts().len() > before + 50).await;
+    let before = fleet.runs_by_nonce().len();
+    wait_until("calls run", || fleet.runs_by_nonce().len() > before + 50).await;
     disturb(fleet).await;
-    let before = fleet.run_counts().len();
-    until("calls run again", || fleet.run_counts().len() > before + 50).await;
+    let before = fleet.runs_by_nonce().len();
+    wait_until("calls run again", || {
+        fleet.runs_by_nonce().len() > before + 50
+    })
+    .await;
     stop.send(true).expect("callers listen");
     callers.join_all().await.into_iter().flatten().collect()
 }
@@ -79,10 +84,10 @@
         if outcome.is_not_run() {
             assert_eq!(runs, 0, "{nonce} was said not to have run: {outcome:?}");
         }
-        if outcome.is_whole() {
+        if outcome.is_complete() {
             assert_eq!(runs, 1, "{nonce}");
         }
-        assert!(!matches!(outcome, Outcome::Wrong(_)), "{outcome:?}");
+        assert!(!matches!(outcome, Outcome::WrongAnswer(_)), "{outcome:?}");
     }
 }
 
@@ -91,16 +96,16 @@
     let mut fleet = Fleet::start(plan()).await;
     let outcomes = charges_during(&mut fleet, async |fleet| {
         fleet.sidecars[0].process.kill();
-        let before = fleet.run_counts().len();
-        until("the others go on", || {
-            fleet.run_counts().len() > before + 50
+        let before = fleet.runs_by_nonce().len();
+        wait_until("the others go on", || {
+            fleet.runs_by_nonce().len() > before + 50
         })
         .await;
         fleet.sidecars[0].process.restart().expect("it starts");
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_guarantees(&fleet.run_counts(), &outcomes);
+    assert_guarantees(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -109,16 +114,16 @@
     let outcomes = charges_during(&mut fleet, async |fleet| {
         fleet.sidecars[0].process.freeze();
         let router = fleet.routers[0].operator;
-        until_async("the router loses its connection", async || {
+        wait_until_async("the router loses its connection", async || {
             let status = fleet.status(router).await;
             status.is_some_and(|s| s.peers.iter().all(|peer| peer.host != "p1"))
         })
         .await;
         fleet.sidecars[0].process.thaw();
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_guarantees(&fleet.run_counts(), &outcomes);
+    assert_guarantees(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -127,22 +132,22 @@
     let outcomes = charges_during(&mut fleet, async |fleet| {
         fleet.routers[0].process.freeze();
         let sidecar = fleet.sidecars[0].operator;
-        until_async("the sidecar loses its connection", async || {
+        wait_until_async("the sidecar loses its connection", async || {
             let status = fleet.status(sidecar).await;
             status.is_some_and(|s| s.peers.iter().all(|peer| peer.host != "r1"))
         })
         .await;
         fleet.routers[0].process.thaw();
         let router = fleet.routers[0].operator;
-        until_async("the router notices its suspension", async || {
+        wait_until_async("the router notices its suspension", async || {
             let trail = fleet.audit(router).await;
             trail.iter().any(|entry| entry.what == "paused")
         })
         .await;
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_guarantees(&fleet.run_counts(), &outcomes);
+    assert_guarantees(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -150,21 +155,21 @@
     let mut fleet = Fleet::start(plan()).await;
     let outcomes = charges_during(&mut fleet, async |fleet| {
         for sidecar in 0..2 {
-            fleet.cut(0, sidecar, true);
+            fleet.set_partition(0, sidecar, true);
         }
         let router = fleet.routers[0].operator;
-        until_async("the router loses its connections", async || {
+        wait_until_async("the router loses its connections", async || {
             let status = fleet.status(router).await;
             status.is_some_and(|s| s.peers.len() == 1)
         })
         .await;
         for sidecar in 0..2 {
-            fleet.cut(0, sidecar, false);
+            fleet.set_partition(0, sidecar, false);
         }
-        fleet.all_ready().await;
+        fleet.wait_until_ready().await;
     })
     .await;
-    assert_guarantees(&fleet.run_counts(), &outcomes);
+    assert_guarantees(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -172,17 +177,17 @@
     let mut fleet = Fleet::start(plan()).await;
     let outcomes = charges_during(&mut fleet, async |fleet| {
         for sidecar in &fleet.sidecars {
-            sidecar.link.set(|faults| {
+            sidecar.link.update_faults(|faults| {
                 faults.drop = 0.05;
                 faults.duplicate = 0.3;
                 faults.reorder = 0.2;
             });
         }
-        let before = fleet.run_counts().len();
-        until("calls go on", || fleet.run_counts().len() > before + 100).await;
+        let before = fleet.runs_by_nonce().len();
+        wait_until("calls go on", || fleet.runs_by_nonce().len() > before + 100).await;
     })
     .await;
-    assert_guarantees(&fleet.run_counts(), &outcomes);
+    assert_guarantees(&fleet.runs_by_nonce(), &outcomes);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -193,16 +198,16 @@
         sidecar.upstream.plain().set_service_time(long);
     }
     let request = tokio::spawn(charge(fleet.caller(0, "lot-a"), None));
-    until("it runs", || fleet.open_runs() == 1).await;
+    wait_until("it runs", || fleet.running_count() == 1).await;
     for sidecar in &fleet.sidecars {
-        sidecar.upstream_link.cut_connections();
+        sidecar.upstream_link.close_connections();
     }
     let (nonce, outcome) = request.await.expect("a caller");
     let Outcome::Refused { ran, .. } = &outcome else {
         panic!("{outcome:?}");
     };
     assert_eq!(ran, "unknown");
-    assert_eq!(fleet.run_counts()[&nonce], 1);
+    assert_eq!(fleet.runs_by_nonce()[&nonce], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -213,9 +218,9 @@
     }
     let (nonce, outcome) = charge(fleet.caller(0, "lot-a"), None).await;
     if outcome.is_not_run() {
-        assert_eq!(fleet.run_counts().get(&nonce), None);
+        assert_eq!(fleet.runs_by_nonce().get(&nonce), None);
     }
-    assert!(!outcome.is_whole());
+    assert!(!outcome.is_complete());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -227,16 +232,16 @@
     }
     let key = Some("charge-17".to_owned());
     let first = tokio::spawn(charge(fleet.caller(0, "lot-a"), key.clone()));
-    until("the first runs", || fleet.open_runs() == 1).await;
+    wait_until("the first runs", || fleet.running_count() == 1).await;
     let (_, during) = charge(fleet.caller(1, "lot-a"), key.clone()).await;
     assert_eq!(during.code(), Some(40), "{during:?}");
     let (_, outcome) = first.await.expect("a caller");
-    assert!(outcome.is_whole(), "{outcome:?}");
+    assert!(outcome.is_complete(), "{outcome:?}");
     let (_, after) = charge(fleet.caller(1, "lot-a"), key.clone()).await;
     assert_eq!(after.code(), Some(41), "{after:?}");
     let (_, other) = charge(fleet.caller(1, "lot-b"), key).await;
-    assert!(other.is_whole(), "another account's key is another key");
-    assert_eq!(fleet.run_counts().values().sum::<usize>(), 2);
+    assert!(other.is_complete(), "another account's key is another key");
+    assert_eq!(fleet.runs_by_nonce().values().sum::<usize>(), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -246,9 +251,9 @@
     let (nonce, outcome) = charge(fleet.caller(0, "lot-a"), Some("k".to_owned())).await;
     assert_eq!(outcome.code(), Some(42), "{outcome:?}");
     assert!(outcome.is_not_run());
-    assert_eq!(fleet.run_counts().get(&nonce), None);
+    assert_eq!(fleet.runs_by_nonce().get(&nonce), None);
     let (_, unkeyed) = charge(fleet.caller(0, "lot-a"), None).await;
-    assert!(unkeyed.is_whole(), "{unkeyed:?}");
+    assert!(unkeyed.is_complete(), "{unkeyed:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -266,19 +271,22 @@
     fleet.sidecars[0]
         .upstream
         .engine()
-        .set_fault(EngineFault::Never);
+        .set_fault(EngineFault::NoAnswer);
     let mut outcomes = Vec::new();
     for _ in 0..6 {
         let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
         outcomes.push(fleet.caller(0, "lot-a").chat(&body).await);
     }
-    let whole = outcomes.iter().filter(|o| o.is_whole()).count();
+    let whole = outcomes.iter().filter(|o| o.is_complete()).count();
     assert!(whole >= 4, "{outcomes:?}");
     fleet.sidecars[1]
         .upstream
         .engine()
-        .set_fault(EngineFault::Never);
+        .set_fault(EngineFault::NoAnswer);
     let body = ChatBody::new("drafter", "prefix", &nonce(), 3, false);
     let outcome = fleet.caller(0, "lot-a").chat(&body).await;
-    assert!(!outcome.is_whole() && !outcome.is_not_run(), "{outcome:?}");
+    assert!(
+        !outcome.is_complete() && !outcome.is_not_run(),
+        "{outcome:?}"
+    );
 }
--- a/testbed/tests/odd_answers.rs
+++ b/testbed/tests/odd_answers.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, ConfigText, DirectFleet, RouteText},
-        fleet::until,
+        fleet::wait_until,
     },
     std::{
         sync::{Arc, Mutex},
@@ -96,13 +96,15 @@
         .await
         .expect("an address");
     let address = listener.local_addr().expect("an address");
-    fleet.store.list_in("z", "i-odd", "s", address, "ready");
+    fleet
+        .store
+        .list_replica_in("z", "i-odd", "s", address, "ready");
     let once = [RouteText::new("/charge/", "s", "non_idempotent")];
     fleet.store.publish_config(&ConfigText {
         max_body: LONG_BODY,
         ..ConfigText::new(1, &once)
     });
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, listener)
 }
 
@@ -121,7 +123,7 @@
         let long = ClientRequest::post("/charge/", &format!("long-{number}"), &body);
         let short = ClientRequest::post("/charge/", &format!("short-{number}"), "bb");
         for request in [long, short] {
-            let answer = Client::ask(fleet.callers[0], &request).await;
+            let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
             assert_eq!(
                 (answer.status, answer.text().as_str()),
                 (200, "ok"),
@@ -129,7 +131,7 @@
             );
         }
     }
-    until("all bodies are read", || {
+    wait_until("all bodies are read", || {
         bodies.lock().expect("lock").read == PAIRS * 2
     })
     .await;
@@ -165,7 +167,7 @@
         }
     });
     let request = ClientRequest::get("/charge/", "id-1");
-    let answer = Client::ask(fleet.callers[0], &request).await;
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
     answering.abort();
     (answer.status, answer.code())
 }
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -2,7 +2,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-    fleet::until,
+    fleet::wait_until,
 };
 
 const REQUESTS: usize = 20;
@@ -14,7 +14,7 @@
 ) -> Replica {
     let replica = Replica::start(fleet.standins(), id, ReplicaAnswer::ok(id)).await;
     let address = replica.address;
-    fleet.store.list_in(zone, id, "s", address, "ready");
+    fleet.store.list_replica_in(zone, id, "s", address, "ready");
     replica
 }
 
@@ -32,28 +32,29 @@
     fleet
         .store
         .publish(1, &[bounded, RouteText::new("/any/", "s", "idempotent")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     let log = || fleet.routers[0].log_text();
-    until("both replicas are known", || {
+    wait_until("both replicas are known", || {
         log().matches("upstream Ready").count() >= 2
     })
     .await;
-    let ask =
-        async |path: &str| Client::ask(fleet.callers[0], &ClientRequest::get(path, "x")).await;
+    let ask = async |path: &str| {
+        Client::call_once(fleet.caller_addresses[0], &ClientRequest::get(path, "x")).await
+    };
     for _ in 0..REQUESTS {
         assert_eq!(ask("/bounded/").await.text(), "i-north");
     }
-    assert!(south.seen().is_empty());
-    north.usually(ReplicaAnswer::Close);
+    assert!(south.received().is_empty());
+    north.set_default_answer(ReplicaAnswer::Close);
     for _ in 0..REQUESTS {
         assert_ne!(ask("/bounded/").await.status, 200);
     }
-    assert!(south.seen().is_empty());
-    fleet.store.remove("i-north");
-    until("it is gone", || log().contains("upstream gone")).await;
+    assert!(south.received().is_empty());
+    fleet.store.remove_replica("i-north");
+    wait_until("it is gone", || log().contains("upstream gone")).await;
     let answer = ask("/bounded/").await;
     assert_eq!((answer.status, answer.code()), (503, Some(29)));
     assert!(answer.retry_after().is_some());
-    assert!(south.seen().is_empty());
+    assert!(south.received().is_empty());
     assert_eq!(ask("/any/").await.text(), "i-south");
 }
--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -5,10 +5,10 @@
     archmast::ops::Uptime,
     archmast_testbed::{
         direct::{
-            Client, ClientAnswer, ClientRequest, DirectFleet, EndManner, Replica, ReplicaAnswer,
+            Client, ClientAnswer, ClientRequest, CrashTiming, DirectFleet, Replica, ReplicaAnswer,
             RouteText, StoreMode,
         },
-        fleet::{until, until_async},
+        fleet::{wait_until, wait_until_async},
     },
     std::time::Duration,
 };
@@ -31,7 +31,11 @@
     fleet: &DirectFleet,
     path: &str,
 ) -> ClientAnswer {
-    Client::ask(fleet.callers[0], &ClientRequest::get(path, "asked")).await
+    Client::call_once(
+        fleet.caller_addresses[0],
+        &ClientRequest::get(path, "asked"),
+    )
+    .await
 }
 
 async fn ask_often(fleet: &DirectFleet) -> Vec<ClientAnswer> {
@@ -48,9 +52,9 @@
     replica: &Replica,
     more_than: usize,
 ) {
-    until_async("the replica is asked", async || {
+    wait_until_async("the replica is asked", async || {
         ask(fleet, "/first/").await;
-        replica.seen().len() > more_than
+        replica.received().len() > more_than
     })
     .await;
 }
@@ -61,22 +65,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_announces_leaving_gets_no_more_requests() {
     let (fleet, [leaves, stays]) = fleet().await;
-    fleet.ports[0].set(StoreMode::Silent);
-    leaves.says(LEAVING_HEADER);
+    fleet.store_ports[0].set_mode(StoreMode::Silent);
+    leaves.set_headers(LEAVING_HEADER);
     until_asked(&fleet, &leaves, 0).await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     let answers = ask_often(&fleet).await;
     assert!(answers.iter().all(|answer| answer.status == 200));
-    assert_eq!(leaves.seen().len(), before);
-    stays.says(LEAVING_HEADER);
-    until_asked(&fleet, &stays, stays.seen().len()).await;
-    let before = stays.seen().len();
+    assert_eq!(leaves.received().len(), before);
+    stays.set_headers(LEAVING_HEADER);
+    until_asked(&fleet, &stays, stays.received().len()).await;
+    let before = stays.received().len();
     // No replica is left: requests are refused at once, and do not run.
     for answer in ask_often(&fleet).await {
         assert_eq!((answer.status, answer.code()), (503, Some(65)));
         assert!(answer.retry_after().is_some());
     }
-    assert_eq!((leaves.seen().len(), stays.seen().len()), (1, before));
+    assert_eq!(
+        (leaves.received().len(), stays.received().len()),
+        (1, before)
+    );
 }
 
 /// Removes the entry of a replica and writes it again unchanged.
@@ -85,11 +92,13 @@
     replica: &Replica,
 ) {
     let log = || fleet.routers[0].log_text();
-    fleet.store.remove(&replica.id);
-    until("the entry is gone", || log().contains("upstream gone")).await;
+    fleet.store.remove_replica(&replica.id);
+    wait_until("the entry is gone", || log().contains("upstream gone")).await;
     let listed = log().matches("upstream Ready").count();
-    fleet.store.list(&replica.id, "s", replica.address, "ready");
-    until("the entry is back", || {
+    fleet
+        .store
+        .list_replica(&replica.id, "s", replica.address, "ready");
+    wait_until("the entry is back", || {
         log().matches("upstream Ready").count() > listed
     })
     .await;
@@ -98,27 +107,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_replica_stays_unused_when_its_entry_lapses_and_returns() {
     let (fleet, [leaves, _stays]) = fleet().await;
-    leaves.says(LEAVING_HEADER);
+    leaves.set_headers(LEAVING_HEADER);
     until_asked(&fleet, &leaves, 0).await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     remove_and_restore_entry(&fleet, &leaves).await;
     ask_often(&fleet).await;
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_restarts_under_its_id_after_leaving_is_used() {
     let (fleet, [leaves, _stays]) = fleet().await;
-    leaves.says(LEAVING_HEADER);
+    leaves.set_headers(LEAVING_HEADER);
     until_asked(&fleet, &leaves, 0).await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     ask_often(&fleet).await;
-    assert_eq!(leaves.seen().len(), before);
-    leaves.says(&[]);
+    assert_eq!(leaves.received().len(), before);
+    leaves.set_headers(&[]);
     let started_ms = Uptime::unix_millis() + 2_000;
     fleet
         .store
-        .list_start("z", "i-a", started_ms, "s", leaves.address);
+        .list_replica_start("z", "i-a", started_ms, "s", leaves.address);
     until_asked(&fleet, &leaves, before).await;
 }
 
@@ -129,10 +138,10 @@
 async fn a_replica_that_asks_for_a_backoff_gets_it_and_is_used_again() {
     const BACKOFF: Duration = Duration::from_secs(3);
     let (fleet, [refusing, _idle]) = fleet().await;
-    refusing.turns_away(Some(3.0));
+    refusing.set_backoff(Some(3.0));
     until_asked(&fleet, &refusing, 0).await;
     until_asked(&fleet, &refusing, 1).await;
-    let arrived: Vec<_> = refusing.seen().iter().map(|seen| seen.arrived).collect();
+    let arrived: Vec<_> = refusing.received().iter().map(|seen| seen.arrived).collect();
     let gap = arrived[1].duration_since(arrived[0]);
     assert!(gap >= BACKOFF, "{gap:?}");
 }
@@ -141,12 +150,12 @@
 async fn when_all_replicas_ask_for_a_backoff_they_get_it_and_callers_get_a_retry_time() {
     let (fleet, replicas) = fleet().await;
     for replica in &replicas {
-        replica.turns_away(Some(30.5));
+        replica.set_backoff(Some(30.5));
     }
     for replica in &replicas {
         until_asked(&fleet, replica, 0).await;
     }
-    let seen = || replicas.each_ref().map(|replica| replica.seen().len());
+    let seen = || replicas.each_ref().map(|replica| replica.received().len());
     let before = seen();
     for answer in ask_often(&fleet).await {
         assert_eq!((answer.status, answer.code()), (503, Some(47)));
@@ -164,16 +173,18 @@
     let ip = fleet.standins();
     let refusing = Replica::start(ip, "i-a", ReplicaAnswer::events(3)).await;
     let idle = Replica::start(ip, "i-b", ReplicaAnswer::events(3)).await;
-    refusing.turns_list_away();
-    refusing.says(&[("Retry-After", "30")]);
+    refusing.refuse_cache_requests();
+    refusing.set_headers(&[("Retry-After", "30")]);
     fleet
         .store
         .publish_engines(1, &[RouteText::new("/events/", "s", "streaming")]);
     for replica in [&refusing, &idle] {
-        fleet.store.list(&replica.id, "s", replica.address, "ready");
+        fleet
+            .store
+            .list_replica(&replica.id, "s", replica.address, "ready");
     }
-    fleet.all_ready().await;
-    until("both were asked for their cached parts", || {
+    fleet.wait_until_ready().await;
+    wait_until("both were asked for their cached parts", || {
         let log = fleet.routers[0].log_text();
         log.contains("replica asked what it keeps") && log.contains("did not say what it keeps")
     })
@@ -182,9 +193,14 @@
         let request = ClientRequest::post("/events/", &format!("asked-{number}"), "{}")
             .header("Archmast-Prefix-Hash", &format!("a{number}:3000"))
             .header("Archmast-Token-Count", "3000,5");
-        assert_eq!(Client::ask(fleet.callers[0], &request).await.status, 200);
+        assert_eq!(
+            Client::call_once(fleet.caller_addresses[0], &request)
+                .await
+                .status,
+            200
+        );
     }
-    assert_eq!(refusing.seen().len(), 0);
+    assert_eq!(refusing.received().len(), 0);
 }
 
 /// The exit of a leaving replica is no evidence against the requests that run there. Guards
@@ -197,16 +213,16 @@
     let mut replicas = Vec::new();
     for number in 0..TRIES {
         let replica = fleet
-            .replica(&format!("i-{number}"), "s", ReplicaAnswer::ok("whole"))
+            .start_replica(&format!("i-{number}"), "s", ReplicaAnswer::ok("whole"))
             .await;
-        replica.says(LEAVING_HEADER);
-        replica.ends_after("unlucky", EndManner::AfterHead);
+        replica.set_headers(LEAVING_HEADER);
+        replica.crash_on_with("unlucky", CrashTiming::AfterHead);
         replicas.push(replica);
     }
     let route = RouteText::new("/once/", "s", "non_idempotent");
     fleet.store.publish(1, &[route]);
-    fleet.all_ready().await;
-    until("all replicas are known", || {
+    fleet.wait_until_ready().await;
+    wait_until("all replicas are known", || {
         fleet.routers[0]
             .log_text()
             .matches("upstream Ready")
@@ -216,9 +232,9 @@
     .await;
     for tries in 1..=TRIES {
         let request = ClientRequest::post("/once/", &format!("try-{tries}"), "unlucky");
-        let answer = Client::ask(fleet.callers[0], &request).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
         assert_eq!(answer.code(), Some(69), "try {tries}");
-        until("the exit of its replica is noticed", || {
+        wait_until("the exit of its replica is noticed", || {
             let log = fleet.routers[0].log_text();
             log.matches("a replica has ended whose runs were left")
                 .count()
@@ -234,35 +250,43 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn fellows_hear_that_a_replica_leaves() {
     let fleet = DirectFleet::start(2, "").await;
-    let leaves = fleet.replica("i-a", "s", ReplicaAnswer::ok("whole")).await;
-    let _stays = fleet.replica("i-b", "s", ReplicaAnswer::ok("whole")).await;
+    let leaves = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("whole"))
+        .await;
+    let _stays = fleet
+        .start_replica("i-b", "s", ReplicaAnswer::ok("whole"))
+        .await;
     let routes = [
         RouteText::new("/first/", "s", "idempotent"),
         RouteText::new("/once/", "s", "non_idempotent"),
     ];
     fleet.store.publish(1, &routes);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in &fleet.routers {
-        until("both replicas are known", || {
+        wait_until("both replicas are known", || {
             router.log_text().matches("upstream Ready").count() >= 2
         })
         .await;
     }
-    leaves.says(LEAVING_HEADER);
-    until_async("the other router gets the announcement", async || {
-        Client::ask(fleet.callers[1], &ClientRequest::get("/first/", "asked")).await;
-        !leaves.seen().is_empty()
+    leaves.set_headers(LEAVING_HEADER);
+    wait_until_async("the other router gets the announcement", async || {
+        Client::call_once(
+            fleet.caller_addresses[1],
+            &ClientRequest::get("/first/", "asked"),
+        )
+        .await;
+        !leaves.received().is_empty()
     })
     .await;
-    until("the first router gets it from its peer", || {
+    wait_until("the first router gets it from its peer", || {
         fleet.routers[0]
             .log_text()
             .contains("a fellow heard that a replica leaves")
     })
     .await;
-    let before = leaves.seen().len();
+    let before = leaves.received().len();
     ask_often(&fleet).await;
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.received().len(), before);
 }
 
 /// Guards against relaying the `Retry-After` of one replica to the caller as if it held for the
@@ -275,9 +299,9 @@
     };
     let (fleet, [refusing, _idle]) =
         DirectFleet::with_two_replicas(ReplicaAnswer::ok("whole"), &[single]).await;
-    refusing.turns_away(Some(3.0));
+    refusing.set_backoff(Some(3.0));
     let mut refused = None;
-    until_async("a request is refused", async || {
+    wait_until_async("a request is refused", async || {
         let answer = ask(&fleet, "/single/").await;
         refused = (answer.status == 503).then_some(answer);
         refused.is_some()
@@ -297,10 +321,10 @@
 async fn a_refusal_whose_retry_after_is_no_time_asks_for_no_rest() {
     for invalid_time in [f64::INFINITY, f64::NAN, -30.0] {
         let (fleet, [refuses, _idle]) = fleet().await;
-        refuses.turns_away(Some(invalid_time));
+        refuses.set_backoff(Some(invalid_time));
         until_asked(&fleet, &refuses, 2).await;
-        refuses.turns_away(None);
-        let refused = refuses.seen().len();
+        refuses.set_backoff(None);
+        let refused = refuses.received().len();
         until_asked(&fleet, &refuses, refused).await;
         assert!(
             !fleet.routers[0]
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -6,10 +6,10 @@
 use {
     archmast_testbed::{
         direct::{
-            Client, ClientAnswer, ClientRequest, DirectFleet, EndManner, Replica, ReplicaAnswer,
+            Client, ClientAnswer, ClientRequest, CrashTiming, DirectFleet, Replica, ReplicaAnswer,
             RouteText,
         },
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -32,8 +32,10 @@
     let mut replicas = Vec::new();
     for number in 0..REPLICAS {
         let id = format!("i-{number}");
-        let replica = fleet.replica(&id, "s", ReplicaAnswer::ok("served")).await;
-        replica.ends_under(FATAL_PROMPT);
+        let replica = fleet
+            .start_replica(&id, "s", ReplicaAnswer::ok("served"))
+            .await;
+        replica.crash_on(FATAL_PROMPT);
         replicas.push(replica);
     }
     let once = RouteText {
@@ -42,9 +44,9 @@
     };
     let read = RouteText::new("/read/", "s", "idempotent");
     fleet.store.publish(1, &[once, read]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in &fleet.routers {
-        until_async("all replicas are known", async || {
+        wait_until_async("all replicas are known", async || {
             router.log_text().matches("upstream Ready").count() >= REPLICAS
         })
         .await;
@@ -59,13 +61,13 @@
 ) -> ClientAnswer {
     let id = format!("{:016x}", rand::random::<u64>());
     let request = ClientRequest::post("/once/", &id, body);
-    Client::ask(fleet.callers[router], &request).await
+    Client::call_once(fleet.caller_addresses[router], &request).await
 }
 
 fn crashed(replicas: &[Replica]) -> usize {
     replicas
         .iter()
-        .filter(|replica| replica.has_ended())
+        .filter(|replica| replica.has_exited())
         .count()
 }
 
@@ -74,7 +76,7 @@
     replicas: &[Replica],
     body: &str,
 ) -> usize {
-    let seen = replicas.iter().flat_map(Replica::seen);
+    let seen = replicas.iter().flat_map(Replica::received);
     seen.filter(|request| request.text() == body).count()
 }
 
@@ -120,12 +122,12 @@
     fleet: &DirectFleet,
     replicas: &[Replica],
 ) {
-    let gone: Vec<&Replica> = replicas.iter().filter(|it| it.has_ended()).collect();
+    let gone: Vec<&Replica> = replicas.iter().filter(|it| it.has_exited()).collect();
     for replica in &gone {
-        fleet.store.remove(&replica.id);
+        fleet.store.remove_replica(&replica.id);
     }
     for router in &fleet.routers {
-        until_async("the entries of crashed replicas are gone", async || {
+        wait_until_async("the entries of crashed replicas are gone", async || {
             router.log_text().matches("upstream gone").count() >= gone.len()
         })
         .await;
@@ -170,8 +172,8 @@
     fleet.routers[2].kill();
     let earlier = fleet.routers[2].log_text().len();
     fleet.routers[2].restart().expect("it starts again");
-    fleet.all_ready().await;
-    until_async("it received the evidence", async || {
+    fleet.wait_until_ready().await;
+    wait_until_async("it received the evidence", async || {
         fleet.routers[2].log_text()[earlier..].contains("request held back")
     })
     .await;
@@ -182,14 +184,14 @@
 async fn a_request_is_not_held_back_when_running_replicas_close_its_connections() {
     let (fleet, replicas) = fleet(&[2]).await;
     for replica in &replicas {
-        replica.usually(ReplicaAnswer::Close);
+        replica.set_default_answer(ReplicaAnswer::Close);
     }
     for round in 0..20 {
         let answer = post(&fleet, round % 2, "the same prompt").await;
         assert_eq!((answer.status, answer.code()), (502, Some(50)));
     }
     for replica in &replicas {
-        replica.usually(ReplicaAnswer::ok("served"));
+        replica.set_default_answer(ReplicaAnswer::ok("served"));
     }
     for router in 0..2 {
         assert_eq!(post(&fleet, router, "the same prompt").await.status, 200);
@@ -202,7 +204,7 @@
     for replica in &replicas {
         let after = Duration::from_millis(30);
         let body = "served".to_owned();
-        replica.usually(ReplicaAnswer::Slow { body, after });
+        replica.set_default_answer(ReplicaAnswer::Slow { body, after });
     }
     // A first answer, before any crash: without one nothing shows that the request is
     // harmless, and it is held back when replicas crash while they run it as well.
@@ -231,10 +233,10 @@
 }
 
 /// Routers of two zones, and replicas that crash at this point of the fatal request.
-async fn crashing_fleet(manner: EndManner) -> (DirectFleet, Vec<Replica>) {
+async fn crashing_fleet(manner: CrashTiming) -> (DirectFleet, Vec<Replica>) {
     let (fleet, replicas) = fleet(&[2, 1]).await;
     for replica in &replicas {
-        replica.ends_after(FATAL_PROMPT, manner);
+        replica.crash_on_with(FATAL_PROMPT, manner);
     }
     (fleet, replicas)
 }
@@ -245,7 +247,7 @@
     replicas: &[Replica],
     tries: usize,
 ) {
-    until_async("the crash of the replica is noticed", async || {
+    wait_until_async("the crash of the replica is noticed", async || {
         let logs = fleet.routers.iter().map(|router| router.log_text());
         let noticed = logs.map(|log| log.matches("whose runs were left").count());
         crashed(replicas) == tries && noticed.sum::<usize>() >= tries
@@ -256,7 +258,7 @@
 /// Guards against ignoring attempts that the router ended itself: 97 requests were sent then.
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_end_after_a_head_without_proof_count_as_others() {
-    let (fleet, replicas) = crashing_fleet(EndManner::AfterHead).await;
+    let (fleet, replicas) = crashing_fleet(CrashTiming::AfterHead).await;
     for tries in 1..=CRASHES_UNTIL_KNOWN {
         let answer = post(&fleet, tries % 3, FATAL_PROMPT).await;
         assert_eq!((answer.status, answer.code()), (502, Some(69)));
@@ -268,15 +270,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn replicas_that_end_when_the_caller_has_left_count_as_others() {
-    let (fleet, replicas) = crashing_fleet(EndManner::Later).await;
+    let (fleet, replicas) = crashing_fleet(CrashTiming::Delayed).await;
     for tries in 1..=CRASHES_UNTIL_KNOWN {
         let id = format!("{:016x}", rand::random::<u64>());
         let request = ClientRequest::post("/once/", &id, FATAL_PROMPT);
-        let mut caller = Client::connect(fleet.callers[tries % 3])
+        let mut caller = Client::connect(fleet.caller_addresses[tries % 3])
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        until_async("it is at a replica", async || {
+        wait_until_async("it is at a replica", async || {
             arrivals(&replicas, FATAL_PROMPT) == tries
         })
         .await;
@@ -290,23 +292,23 @@
 /// A caller that disconnects is no evidence against its request while the replica lives.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_whose_callers_disconnect_are_not_held_back_while_replicas_live() {
-    let (fleet, replicas) = crashing_fleet(EndManner::Later).await;
+    let (fleet, replicas) = crashing_fleet(CrashTiming::Delayed).await;
     for replica in &replicas {
-        replica.next(ReplicaAnswer::Silent);
+        replica.push_answer(ReplicaAnswer::Silent);
     }
     for tries in 1..=REPLICAS {
         let request = ClientRequest::post("/once/", &format!("left-{tries}"), "a prompt");
-        let mut caller = Client::connect(fleet.callers[tries % 3])
+        let mut caller = Client::connect(fleet.caller_addresses[tries % 3])
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        until_async("it is at a replica", async || {
+        wait_until_async("it is at a replica", async || {
             arrivals(&replicas, "a prompt") == tries
         })
         .await;
     }
     for router in 0..3 {
-        until_async("it is served", async || {
+        wait_until_async("it is served", async || {
             post(&fleet, router, "a prompt").await.status == 200
         })
         .await;
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -5,7 +5,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText, event},
-        fleet::until,
+        fleet::wait_until,
         proxy::TcpProxy,
     },
     futures::future::join_all,
@@ -26,15 +26,15 @@
     let proxy = TcpProxy::start(fleet.standins(), replica.address)
         .await
         .expect("a free port");
-    fleet.store.list("i-a", "s", proxy.address, "ready");
+    fleet.store.list_replica("i-a", "s", proxy.address, "ready");
     let hasty = RouteText {
         timeout_ms: 600,
         ..RouteText::new("/hasty/", "s", "non_idempotent")
     };
     let charge = RouteText::new("/charge/", "s", "non_idempotent");
     fleet.store.publish(1, &[hasty, charge]);
-    fleet.all_ready().await;
-    until("the replica is known", || {
+    fleet.wait_until_ready().await;
+    wait_until("the replica is known", || {
         fleet.routers[0].log_text().contains("upstream Ready")
     })
     .await;
@@ -47,7 +47,9 @@
     id: &str,
 ) -> u16 {
     let request = ClientRequest::post(path, id, "{}");
-    Client::ask(fleet.callers[0], &request).await.status
+    Client::call_once(fleet.caller_addresses[0], &request)
+        .await
+        .status
 }
 
 /// Guards against sending a request on a pooled connection after another one to the same
@@ -59,7 +61,7 @@
         (0..IDLE_CONNECTIONS).map(async |n| ask(&fleet, "/charge/", &format!("first-{n}")).await);
     let statuses = join_all(asked).await;
     assert_eq!(statuses, [200; IDLE_CONNECTIONS]);
-    proxy.silence_connections();
+    proxy.stall_connections();
     assert_ne!(ask(&fleet, "/hasty/", "silent").await, 200);
     assert_eq!(ask(&fleet, "/charge/", "after").await, 200);
 }
@@ -73,7 +75,7 @@
         let proxy = TcpProxy::start(fleet.standins(), replica.address)
             .await
             .expect("a free port");
-        fleet.store.list(id, "s", proxy.address, "ready");
+        fleet.store.list_replica(id, "s", proxy.address, "ready");
         (replica, proxy)
     };
     let (first, first_proxy) = behind_proxy("i-a").await;
@@ -81,8 +83,8 @@
     let read = RouteText::new("/read/", "s", "idempotent");
     let events = RouteText::new("/events/", "s", "streaming");
     fleet.store.publish(1, &[read, events]);
-    fleet.all_ready().await;
-    until("both replicas are known", || {
+    fleet.wait_until_ready().await;
+    wait_until("both replicas are known", || {
         let log = fleet.routers[0].log_text();
         log.matches("upstream Ready").count() >= 2
     })
@@ -95,23 +97,23 @@
 async fn a_read_on_a_silent_connection_is_answered_by_another_replica() {
     let (fleet, [first, other], [proxy, _other_proxy]) =
         fleet_of_two(ReplicaAnswer::ok("whole")).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let warm = client
         .call(&ClientRequest::post("/read/", "warm", "{}"))
         .await;
-    assert_eq!((warm.status, first.seen().len()), (200, 1));
-    proxy.silence_connections();
+    assert_eq!((warm.status, first.received().len()), (200, 1));
+    proxy.stall_connections();
     for id in ["on the silent one", "after it"] {
         let answer = client.call(&ClientRequest::post("/read/", id, "{}")).await;
         assert_eq!((answer.status, answer.text().as_str()), (200, "whole"));
     }
     assert!(
         other
-            .seen()
+            .received()
             .iter()
-            .any(|seen| seen.id() == "on the silent one")
+            .any(|seen| seen.attempt_id() == "on the silent one")
     );
 }
 
@@ -123,18 +125,18 @@
         pause: Duration::from_millis(50),
     };
     let (fleet, [_first, other], [proxy, _other_proxy]) = fleet_of_two(slow).await;
-    let mut client = Client::connect(fleet.callers[0])
+    let mut client = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     let request = ClientRequest::post("/events/", "stream", "{}");
     client.send(&request.bytes()).await.expect("sent");
     assert!(client.wait_for("piece 3").await);
-    proxy.silence_connections();
+    proxy.stall_connections();
     let answer = client.answer().await;
-    assert!(answer.status == 200 && answer.whole);
+    assert!(answer.status == 200 && answer.is_complete);
     let whole: String = (1..=LAST).map(event).collect();
     assert_eq!(answer.text(), whole);
-    assert_eq!(other.seen().len(), 1);
+    assert_eq!(other.received().len(), 1);
 }
 
 /// The callers that hold silent connections outnumber the router's worker threads; their
@@ -143,7 +145,7 @@
 async fn callers_whose_connections_fell_silent_are_served_on_new_ones() {
     const CALLERS: usize = 50;
     let (fleet, _replicas, _proxies) = fleet_of_two(ReplicaAnswer::ok("whole")).await;
-    let callers = TcpProxy::start(fleet.standins(), fleet.callers[0])
+    let callers = TcpProxy::start(fleet.standins(), fleet.caller_addresses[0])
         .await
         .expect("a free port");
     let request = |n: usize| ClientRequest::post("/read/", &format!("r-{n}"), "{}");
@@ -155,9 +157,9 @@
         assert_eq!(client.call(&request(n)).await.status, 200);
         held.push(client);
     }
-    callers.silence_connections();
+    callers.stall_connections();
     for n in 0..CALLERS {
-        let answer = Client::ask(callers.address, &request(CALLERS + n)).await;
+        let answer = Client::call_once(callers.address, &request(CALLERS + n)).await;
         assert_eq!(answer.status, 200);
     }
     drop(held);
@@ -174,35 +176,35 @@
     let (fleet, replicas, proxies) = fleet_of_two(slow).await;
     let read = |id: &str| ClientRequest::post("/read/", id, "{}");
     let warm = ["warm-1", "warm-2"].map(async |id| {
-        let answer = Client::ask(fleet.callers[0], &read(id)).await;
+        let answer = Client::call_once(fleet.caller_addresses[0], &read(id)).await;
         answer.status
     });
     assert_eq!(join_all(warm).await, [200, 200]);
     for (replica, proxy) in replicas.iter().zip(&proxies) {
-        assert_eq!(replica.seen().len(), 1);
-        proxy.silence_connections();
+        assert_eq!(replica.received().len(), 1);
+        proxy.stall_connections();
     }
-    let mut leaves = Client::connect(fleet.callers[0])
+    let mut leaves = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     leaves.send(&read("left").bytes()).await.expect("sent");
-    until("the first waits at a replica", || {
+    wait_until("the first waits at a replica", || {
         fleet.routers[0].log_text().contains("\"left\"")
     })
     .await;
-    let mut stays = Client::connect(fleet.callers[0])
+    let mut stays = Client::connect(fleet.caller_addresses[0])
         .await
         .expect("a connection");
     stays.send(&read("stays").bytes()).await.expect("sent");
-    until("the second waits at a replica", || {
+    wait_until("the second waits at a replica", || {
         fleet.routers[0].log_text().contains("\"stays\"")
     })
     .await;
     drop(leaves);
     assert_eq!(stays.answer().await.status, 200);
-    let seen = replicas.iter().flat_map(Replica::seen);
-    assert!(seen.clone().any(|seen| seen.id() == "stays"));
-    assert_eq!(seen.filter(|seen| seen.id() == "left").count(), 0);
+    let seen = replicas.iter().flat_map(Replica::received);
+    assert!(seen.clone().any(|seen| seen.attempt_id() == "stays"));
+    assert_eq!(seen.filter(|seen| seen.attempt_id() == "left").count(), 0);
 }
 
 /// A read waits and a stream runs on silent connections when their router is stopped. Both
@@ -215,7 +217,7 @@
         pause: Duration::from_millis(50),
     };
     let (mut fleet, _replicas, proxies) = fleet_of_two(events).await;
-    let callers = fleet.callers[0];
+    let callers = fleet.caller_addresses[0];
     let begun = async |path: &str, id: &str| {
         let mut client = Client::connect(callers).await.expect("a connection");
         let request = ClientRequest::post(path, id, "{}");
@@ -230,10 +232,10 @@
     let mut stream = begun("/events/", "stream").await;
     assert!(stream.wait_for("piece 3").await);
     for proxy in &proxies {
-        proxy.silence_connections();
+        proxy.stall_connections();
     }
     let mut read = begun("/read/", "read").await;
-    until("the read waits at a replica", || {
+    wait_until("the read waits at a replica", || {
         fleet.routers[0].log_text().contains("\"read\"")
     })
     .await;
@@ -241,8 +243,11 @@
     let whole: String = (1..=LAST).map(event).collect();
     for client in [&mut stream, &mut read] {
         let answer = client.answer().await;
-        assert!(answer.status == 200 && answer.whole, "{answer:?}");
+        assert!(answer.status == 200 && answer.is_complete, "{answer:?}");
         assert_eq!(answer.text(), whole);
     }
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    wait_until("it stops by itself", || {
+        fleet.routers[0].exit_status().is_some()
+    })
+    .await;
 }
--- a/testbed/tests/slow_readers.rs
+++ b/testbed/tests/slow_readers.rs
@@ -3,7 +3,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until,
+        fleet::wait_until,
     },
     std::time::Duration,
 };
@@ -15,7 +15,7 @@
 ) -> (DirectFleet, Replica) {
     let fleet = DirectFleet::start(1, &format!("[memory]\nlimit = {memory}\n")).await;
     let replica = fleet
-        .replica("i-a", "s", ReplicaAnswer::events(events))
+        .start_replica("i-a", "s", ReplicaAnswer::events(events))
         .await;
     let routes = [
         RouteText {
@@ -25,8 +25,8 @@
         RouteText::new("/other/", "other", "idempotent"),
     ];
     fleet.store.publish(1, &routes);
-    fleet.all_ready().await;
-    until("the replica is known", || {
+    fleet.wait_until_ready().await;
+    wait_until("the replica is known", || {
         log(&fleet).contains("upstream Ready")
     })
     .await;
@@ -38,7 +38,9 @@
 }
 
 async fn started_stream(fleet: &DirectFleet) -> Client {
-    let mut client = Client::connect(fleet.callers[0]).await.expect("connects");
+    let mut client = Client::connect(fleet.caller_addresses[0])
+        .await
+        .expect("connects");
     let request = ClientRequest::post("/events/", "slow", "{}");
     client.send(&request.bytes()).await.expect("is sent");
     assert!(client.wait_for("id: 1\n").await);
@@ -51,7 +53,7 @@
 async fn a_stream_is_read_to_its_end_while_its_caller_pauses() {
     let (fleet, _replica) = fleet("128 MB", 24_000).await;
     let mut slow_caller = started_stream(&fleet).await;
-    until("the replica's stream is read to its end", || {
+    wait_until("the replica's stream is read to its end", || {
         log(&fleet).contains("stream ended")
     })
     .await;
@@ -59,7 +61,7 @@
     // Longer than the kernel keeps a connection to a replica that accepts no data.
     tokio::time::sleep(Duration::from_secs(4)).await;
     let answer = slow_caller.answer().await;
-    assert!(answer.whole);
+    assert!(answer.is_complete);
     assert!(answer.text().ends_with("id: 24000\ndata: piece 24000\n\n"));
 }
 
@@ -67,13 +69,13 @@
 async fn a_caller_that_reads_nothing_loses_only_its_own_stream() {
     let (fleet, replica) = fleet("16 MB", 400_000).await;
     let mut stuck = started_stream(&fleet).await;
-    replica.usually(ReplicaAnswer::events(3));
-    until("the stream is cut", || log(&fleet).contains(r#""code":48"#)).await;
-    assert!(!stuck.answer().await.whole);
+    replica.set_default_answer(ReplicaAnswer::events(3));
+    wait_until("the stream is cut", || log(&fleet).contains(r#""code":48"#)).await;
+    assert!(!stuck.answer().await.is_complete);
     for _ in 0..10 {
         let request = ClientRequest::post("/events/", "quick", "{}");
-        let answer = Client::ask(fleet.callers[0], &request).await;
-        assert!((answer.status, answer.whole) == (200, true));
+        let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
+        assert!((answer.status, answer.is_complete) == (200, true));
     }
     assert_eq!(log(&fleet).matches(r#""code":48"#).count(), 1);
 }
@@ -86,16 +88,18 @@
     let sent = "x".repeat(60_000);
     let head = ClientRequest::post("/events/", "slow", "").header("Content-Length", "65000");
     for _ in 0..SLOW {
-        let mut client = Client::connect(fleet.callers[0]).await.expect("connects");
+        let mut client = Client::connect(fleet.caller_addresses[0])
+            .await
+            .expect("connects");
         client.send(&head.bytes()).await.expect("is sent");
         client.send(sent.as_bytes()).await.expect("is sent");
         slow.push(client);
     }
-    until("bodies are held", || log(&fleet).contains(r#""code":49"#)).await;
+    wait_until("bodies are held", || log(&fleet).contains(r#""code":49"#)).await;
     let request = ClientRequest::post("/events/", "quick", "{}");
-    let answer = Client::ask(fleet.callers[0], &request).await;
-    assert!((answer.status, answer.whole) == (200, true));
-    assert_eq!(replica.seen().len(), 1);
+    let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
+    assert!((answer.status, answer.is_complete) == (200, true));
+    assert_eq!(replica.received().len(), 1);
     // Uploads that started first are still read to their ends.
     slow[0].send(&[b'x'; 5_000]).await.expect("is sent");
     assert_eq!(slow[0].answer().await.status, 200);
--- a/testbed/tests/slow_starts.rs
+++ b/testbed/tests/slow_starts.rs
@@ -4,7 +4,7 @@
 use {
     archmast_testbed::{
         direct::{Client, ClientRequest, DirectFleet, Replica, ReplicaAnswer, RouteText},
-        fleet::until_async,
+        fleet::wait_until_async,
     },
     std::time::Duration,
 };
@@ -25,24 +25,26 @@
     let mut replicas = Vec::new();
     for (id, zone) in [("i-a", "z"), ("i-b", "z-1"), ("i-c", "z-2")] {
         let replica = Replica::start(fleet.standins(), id, ReplicaAnswer::ok(id)).await;
-        fleet.store.list_in(zone, id, "s", replica.address, "ready");
+        fleet
+            .store
+            .list_replica_in(zone, id, "s", replica.address, "ready");
         replicas.push(replica);
     }
     fleet
         .store
         .publish_slow_starts(1, &[route()], PER_SECOND as f64);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     (fleet, replicas)
 }
 
 /// Each caller sends its requests one after the other.
 async fn load(fleet: &DirectFleet) {
-    let callers = fleet.callers.iter().map(|callers| {
+    let callers = fleet.caller_addresses.iter().map(|callers| {
         let callers = *callers;
         tokio::spawn(async move {
             for number in 0..REQUESTS_PER_CALLER {
                 let request = ClientRequest::get("/first/", &format!("r-{number}"));
-                Client::ask(callers, &request).await;
+                Client::call_once(callers, &request).await;
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         })
@@ -55,7 +57,7 @@
 
 /// Largest number of requests that a replica received within one second.
 fn max_in_a_second(replica: &Replica) -> usize {
-    let seen = replica.seen();
+    let seen = replica.received();
     let mut arrived: Vec<_> = seen.iter().map(|seen| seen.arrived).collect();
     arrived.sort();
     let counts = arrived.iter().enumerate().map(|(last, end)| {
@@ -73,12 +75,12 @@
         .store
         .list_slow("z-1", "i-a-new", "s", starts.address, 600_000);
     // It becomes the only replica of its zone, which the routers of that zone prefer.
-    fleet.store.remove("i-b");
+    fleet.store.remove_replica("i-b");
     load(&fleet).await;
     assert!(max_in_a_second(&starts) <= PER_SECOND);
-    until_async("it is used all the same", async || {
+    wait_until_async("it is used all the same", async || {
         load(&fleet).await;
-        !starts.seen().is_empty()
+        !starts.received().is_empty()
     })
     .await;
     assert!(max_in_a_second(&starts) <= PER_SECOND);
@@ -90,24 +92,24 @@
     load(&fleet).await;
     let slow = &replicas[1];
     for id in ["i-a", "i-c"] {
-        fleet.store.remove(id);
+        fleet.store.remove_replica(id);
     }
     fleet
         .store
         .list_slow("z-1", "i-b", "s", slow.address, 600_000);
     // No other replica is left, so that requests over its limit are refused.
-    until_async("requests are refused", async || {
+    wait_until_async("requests are refused", async || {
         let mut refused = 0;
-        for callers in &fleet.callers {
-            let answer = Client::ask(*callers, &ClientRequest::get("/first/", "probe")).await;
+        for callers in &fleet.caller_addresses {
+            let answer = Client::call_once(*callers, &ClientRequest::get("/first/", "probe")).await;
             refused += usize::from(answer.code() == Some(66));
         }
-        refused == fleet.callers.len()
+        refused == fleet.caller_addresses.len()
     })
     .await;
-    let before = slow.seen().len();
+    let before = slow.received().len();
     load(&fleet).await;
-    let seen = slow.seen();
+    let seen = slow.received();
     let since = &seen[before..];
     let span = since.last().map_or(Duration::ZERO, |last| {
         last.arrived.duration_since(since[0].arrived)
@@ -115,11 +117,11 @@
     assert!(since.len() as f64 <= PER_SECOND as f64 * (span.as_secs_f64() + 1.0));
     fleet
         .store
-        .list_in("z-1", "i-b", "s", slow.address, "ready");
+        .list_replica_in("z-1", "i-b", "s", slow.address, "ready");
     for router in 0..6 {
-        fleet.serves(router, "/first/", 200).await;
+        fleet.wait_until_served(router, "/first/", 200).await;
     }
-    let before = slow.seen().len();
+    let before = slow.received().len();
     load(&fleet).await;
-    assert_eq!(slow.seen().len() - before, 6 * REQUESTS_PER_CALLER);
+    assert_eq!(slow.received().len() - before, 6 * REQUESTS_PER_CALLER);
 }
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -4,7 +4,7 @@
 
 use archmast_testbed::{
     direct::{Client, ClientRequest, DirectFleet, ReplicaAnswer, RouteText},
-    fleet::until_async,
+    fleet::wait_until_async,
 };
 
 /// Result code while a router has not confirmed its configuration after a suspension.
@@ -20,15 +20,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_that_waited_for_a_suspended_router_are_not_served_by_its_old_configuration() {
     let fleet = DirectFleet::start(2, "").await;
-    let replica = fleet.replica("i-a", "s", ReplicaAnswer::ok("served")).await;
+    let replica = fleet
+        .start_replica("i-a", "s", ReplicaAnswer::ok("served"))
+        .await;
     fleet.store.publish(1, &[route("/old/")]);
-    fleet.all_ready().await;
+    fleet.wait_until_ready().await;
     for router in 0..2 {
-        fleet.serves(router, "/old/", 200).await;
+        fleet.wait_until_served(router, "/old/", 200).await;
     }
     let mut waiting = Vec::new();
     for number in 0..8 {
-        let mut client = Client::connect(fleet.callers[1]).await.expect("it listens");
+        let mut client = Client::connect(fleet.caller_addresses[1])
+            .await
+            .expect("it listens");
         let before = ClientRequest::get("/old/", &format!("before-{number}"));
         assert_eq!(client.call(&before).await.status, 200);
         waiting.push(client);
@@ -36,8 +40,8 @@
     fleet.routers[1].freeze();
     let suspended_at = std::time::Instant::now();
     fleet.store.publish(2, &[route("/new/")]);
-    fleet.serves(0, "/new/", 200).await;
-    until_async("it is suspended for longer than is tolerated", async || {
+    fleet.wait_until_served(0, "/new/", 200).await;
+    wait_until_async("it is suspended for longer than is tolerated", async || {
         suspended_at.elapsed() > std::time::Duration::from_millis(2000)
     })
     .await;
@@ -51,13 +55,13 @@
         let refused = [Some(UNCONFIRMED_CODE), Some(62)];
         assert!(refused.contains(&answer.code()), "{answer:?}");
     }
-    let seen = replica.seen();
+    let seen = replica.received();
     let late = seen
         .iter()
-        .filter(|request| request.id().starts_with("late"));
+        .filter(|request| request.attempt_id().starts_with("late"));
     assert_eq!(late.count(), 0);
-    fleet.serves(1, "/new/", 200).await;
-    until_async("it logs the suspension", async || {
+    fleet.wait_until_served(1, "/new/", 200).await;
+    wait_until_async("it logs the suspension", async || {
         fleet.routers[1].log_text().contains(SUSPENSION_LOGGED)
     })
     .await;
--- a/testbed/tests/unproved_refusals.rs
+++ b/testbed/tests/unproved_refusals.rs
@@ -24,7 +24,10 @@
     replicas: &[Replica],
     id: &str,
 ) -> usize {
-    replicas.iter().map(|replica| replica.got(id)).sum()
+    replicas
+        .iter()
+        .map(|replica| replica.received_count(id))
+        .sum()
 }
 
 /// A request that must run at most once may have run, and its answer must not claim otherwise.
@@ -35,14 +38,14 @@
         for length in [5, LONG_BODY_BYTES] {
             let body = "x".repeat(length);
             for replica in &replicas {
-                replica.usually(ReplicaAnswer::Whole {
+                replica.set_default_answer(ReplicaAnswer::Complete {
                     status,
                     body: body.clone(),
                 });
             }
             let id = format!("id-{status}-{length}");
             let request = ClientRequest::post("/charge/", &id, "10");
-            let answer = Client::ask(fleet.callers[0], &request).await;
+            let answer = Client::call_once(fleet.caller_addresses[0], &request).await;
             let seen = (answer.status, answer.code());
             assert_eq!(seen, (502, Some(50)), "{status}, {length} bytes");
             assert_eq!(answer.retry_after(), None, "{status}, {length} bytes");
@@ -62,22 +65,25 @@
         };
         let (fleet, replicas) = fleet(usual.clone()).await;
         for status in NOT_RUN_STATUSES {
-            let unproved = ReplicaAnswer::Whole {
+            let unproved = ReplicaAnswer::Complete {
                 status,
                 body: "busy".to_owned(),
             };
             for replica in &replicas {
-                replica.usually(usual.clone());
+                replica.set_default_answer(usual.clone());
             }
-            replicas[0].usually(unproved.clone());
+            replicas[0].set_default_answer(unproved.clone());
             for number in 0..4 {
                 let id = format!("one-{status}-{number}");
-                let answer = Client::ask(fleet.callers[0], &ClientRequest::get(path, &id)).await;
+                let answer =
+                    Client::call_once(fleet.caller_addresses[0], &ClientRequest::get(path, &id))
+                        .await;
                 assert_eq!(answer.status, 200, "{path} {status}: {answer:?}");
             }
-            replicas[1].usually(unproved);
+            replicas[1].set_default_answer(unproved);
             let id = format!("both-{status}");
-            let answer = Client::ask(fleet.callers[0], &ClientRequest::get(path, &id)).await;
+            let answer =
+                Client::call_once(fleet.caller_addresses[0], &ClientRequest::get(path, &id)).await;
             assert_eq!(answer.status, 502, "{path} {status}: {answer:?}");
             assert_eq!(answer.code(), Some(50), "{path} {status}");
         }
--- a/testbed/tests/upstream_notices.rs
+++ b/testbed/tests/upstream_notices.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until, until_async},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until, wait_until_async},
         standin::PlainService,
     },
     reqwest::Method,
@@ -52,7 +52,7 @@
     number: usize,
     more_than: usize,
 ) {
-    until_async("the upstream is called", async || {
+    wait_until_async("the upstream is called", async || {
         call(fleet).await;
         arrivals(fleet, number).len() > more_than
     })
@@ -66,20 +66,20 @@
 async fn an_upstream_that_announces_leaving_gets_no_requests_until_it_starts_again() {
     let mut fleet = fleet(2).await;
     until_called(&fleet, 0, 0).await;
-    upstream(&fleet, 0).says(&[("Server-Leaving", "1")]);
+    upstream(&fleet, 0).set_headers(&[("Server-Leaving", "1")]);
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let before = arrivals(&fleet, 0).len();
     for _ in 0..CALLS {
-        assert!(matches!(call(&fleet).await, Outcome::Whole { .. }));
+        assert!(matches!(call(&fleet).await, Outcome::Complete { .. }));
     }
     assert_eq!(arrivals(&fleet, 0).len(), before);
     fleet.sidecars[0].upstream_link.stop().await;
-    until("its exit is noticed", || {
+    wait_until("its exit is noticed", || {
         let log = fleet.sidecars[0].process.log_text();
         log.contains("the upstream that left has ended")
     })
     .await;
-    upstream(&fleet, 0).says(&[]);
+    upstream(&fleet, 0).set_headers(&[]);
     fleet.sidecars[0]
         .upstream_link
         .restart()
@@ -95,8 +95,8 @@
     const BACKOFF: Duration = Duration::from_secs(3);
     let fleet = fleet(1).await;
     until_called(&fleet, 0, 0).await;
-    upstream(&fleet, 0).says(&[("Retry-After", "3")]);
-    upstream(&fleet, 0).turns_away(true);
+    upstream(&fleet, 0).set_headers(&[("Retry-After", "3")]);
+    upstream(&fleet, 0).set_refusing(true);
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let arrived = arrivals(&fleet, 0);
@@ -105,7 +105,7 @@
     };
     let gap = second.duration_since(first);
     assert!(gap >= BACKOFF, "{gap:?}");
-    upstream(&fleet, 0).turns_away(false);
+    upstream(&fleet, 0).set_refusing(false);
     until_called(&fleet, 0, arrived.len()).await;
 }
 
@@ -113,12 +113,12 @@
 async fn the_other_upstream_serves_during_a_backoff() {
     let fleet = fleet(2).await;
     until_called(&fleet, 0, 0).await;
-    upstream(&fleet, 0).says(&[("Retry-After", "300")]);
-    upstream(&fleet, 0).turns_away(true);
+    upstream(&fleet, 0).set_headers(&[("Retry-After", "300")]);
+    upstream(&fleet, 0).set_refusing(true);
     until_called(&fleet, 0, arrivals(&fleet, 0).len()).await;
     let before = arrivals(&fleet, 0).len();
     for _ in 0..CALLS {
-        assert!(matches!(call(&fleet).await, Outcome::Whole { .. }));
+        assert!(matches!(call(&fleet).await, Outcome::Complete { .. }));
     }
     assert_eq!(arrivals(&fleet, 0).len(), before);
 }
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -3,7 +3,7 @@
 
 use {
     archmast_testbed::{
-        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, until},
+        fleet::{Fleet, FleetPlan, FleetText, Outcome, nonce, wait_until},
         standin::{ChatBody, EngineFault, EngineSettings},
     },
     std::{sync::Arc, time::Duration},
@@ -44,7 +44,7 @@
 
 fn assert_none_wrong(outcomes: &[Outcome]) {
     for outcome in outcomes {
-        assert!(!matches!(outcome, Outcome::Wrong(_)), "{outcome:?}");
+        assert!(!matches!(outcome, Outcome::WrongAnswer(_)), "{outcome:?}");
     }
 }
 
@@ -52,7 +52,7 @@
 async fn lost_reordered_and_duplicated_packets_mix_up_no_answers() {
     let fleet = Arc::new(Fleet::start(plan()).await);
     for sidecar in &fleet.sidecars {
-        sidecar.link.set(|faults| {
+        sidecar.link.update_faults(|faults| {
             faults.drop = 0.02;
             faults.duplicate = 0.1;
             faults.reorder = 0.1;
@@ -60,24 +60,30 @@
     }
     let outcomes = send_many(&fleet, 60, 20).join_all().await;
     assert_none_wrong(&outcomes);
-    let whole = outcomes.iter().filter(|outcome| outcome.is_whole()).count();
+    let whole = outcomes
+        .iter()
+        .filter(|outcome| outcome.is_complete())
+        .count();
     assert_eq!(whole, 60, "{outcomes:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_answer_reaches_its_own_caller_only() {
     let fleet = Arc::new(Fleet::start(plan()).await);
-    let late = EngineFault::Late(Duration::from_millis(300));
+    let late = EngineFault::DelayedAnswer(Duration::from_millis(300));
     fleet.sidecars[0].upstream.engine().set_fault(late);
     let outcomes = send_many(&fleet, 40, 5).join_all().await;
-    assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
+    assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_with_the_id_of_another_request_is_refused() {
     let fleet = Arc::new(Fleet::start(plan()).await);
     for sidecar in &fleet.sidecars {
-        sidecar.upstream.engine().set_fault(EngineFault::Crossed);
+        sidecar
+            .upstream
+            .engine()
+            .set_fault(EngineFault::WrongRequestId);
     }
     let outcomes = send_many(&fleet, 10, 5).join_all().await;
     for outcome in &outcomes {
@@ -93,11 +99,11 @@
         sidecar
             .upstream
             .engine()
-            .set_fault(EngineFault::CutAfter(3));
+            .set_fault(EngineFault::CutAfterTokens(3));
     }
     let caller = fleet.caller(0, "lot-a");
     let body = ChatBody::new("drafter", "prefix", &nonce(), 50, true);
-    assert_eq!(caller.chat(&body).await, Outcome::Cut);
+    assert_eq!(caller.chat(&body).await, Outcome::Truncated);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -105,7 +111,7 @@
     let fleet = Fleet::start(plan()).await;
     for sidecar in &fleet.sidecars {
         let engine = sidecar.upstream.engine();
-        engine.set_fault(EngineFault::CutAfter(2));
+        engine.set_fault(EngineFault::CutAfterTokens(2));
     }
     let body = ChatBody::new("drafter", "prefix", &nonce(), 9, true);
     let request = fleet
@@ -129,7 +135,7 @@
         });
     }
     // A stream without any event yet would end in an error answer instead of a visible cut.
-    until("all that runs at either engine streams", || {
+    wait_until("all that runs at either engine streams", || {
         fleet.sidecars.iter().all(|sidecar| {
             let runs = sidecar.upstream.log().runs();
             !runs.is_empty() && runs.iter().all(|run| run.tokens > 5)
@@ -139,8 +145,11 @@
     fleet.sidecars[0].process.kill();
     let outcomes = requests.join_all().await;
     assert_none_wrong(&outcomes);
-    let cut = outcomes.iter().filter(|o| **o == Outcome::Cut).count();
-    let whole = outcomes.iter().filter(|o| o.is_whole()).count();
+    let cut = outcomes
+        .iter()
+        .filter(|o| **o == Outcome::Truncated)
+        .count();
+    let whole = outcomes.iter().filter(|o| o.is_complete()).count();
     assert!(cut > 0, "{outcomes:?}");
     assert_eq!(cut + whole, REQUESTS_FOR_TWO_SIDECARS, "{outcomes:?}");
 }
@@ -156,8 +165,8 @@
             caller.chat(&body).await
         });
     }
-    until("all six run", || fleet.open_runs() == 6).await;
-    until("they stream", || {
+    wait_until("all six run", || fleet.running_count() == 6).await;
+    wait_until("they stream", || {
         fleet.sidecars.iter().any(|sidecar| {
             let runs = sidecar.upstream.log().runs();
             runs.iter().any(|run| run.tokens > 5)
@@ -167,8 +176,8 @@
     fleet.routers[0].process.kill();
     let outcomes = requests.join_all().await;
     assert_none_wrong(&outcomes);
-    assert!(!outcomes.iter().any(Outcome::is_whole), "{outcomes:?}");
-    until("the engines are free again", || fleet.open_runs() == 0).await;
+    assert!(!outcomes.iter().any(Outcome::is_complete), "{outcomes:?}");
+    wait_until("the engines are free again", || fleet.running_count() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -179,7 +188,7 @@
         let body = ChatBody::new("drafter", "prefix", &nonce(), 100_000, true);
         caller.chat(&body).await
     });
-    until("it runs", || fleet.open_runs() == 1).await;
+    wait_until("it runs", || fleet.running_count() == 1).await;
     request.abort();
-    until("its slot is free", || fleet.open_runs() == 0).await;
+    wait_until("its slot is free", || fleet.running_count() == 0).await;
 }
