--- a/testbed/tests/replica_notices.rs
+++ b/testbed/tests/replica_notices.rs
@@ -141,7 +141,11 @@
     refusing.set_backoff(Some(3.0));
     until_asked(&fleet, &refusing, 0).await;
     until_asked(&fleet, &refusing, 1).await;
-    let arrived: Vec<_> = refusing.received().iter().map(|seen| seen.arrived).collect();
+    let arrived: Vec<_> = refusing
+        .received()
+        .iter()
+        .map(|seen| seen.arrived)
+        .collect();
     let gap = arrived[1].duration_since(arrived[0]);
     assert!(gap >= BACKOFF, "{gap:?}");
 }
