--- a/testbed/tests/configuration.rs
+++ b/testbed/tests/configuration.rs
@@ -98,7 +98,7 @@
         .platform
         .publish_fleet("[account broken]\nshare = 1\nclass = none\n");
     for operator in fleet.operators() {
-        until_async("it is refused with its reason", async || {
+        until_async("the configuration is refused with its reason", async || {
             let trail = fleet.audit(operator).await;
             trail.iter().any(|entry| {
                 entry.what == "config_refused"
@@ -132,7 +132,7 @@
     fleet.sidecars[0].process.restart().expect("it starts");
     fleet.routers[0].process.restart().expect("it starts");
     for operator in [fleet.sidecars[0].operator, fleet.routers[0].operator] {
-        until_async("it is ready", async || {
+        until_async("the restarted process is ready", async || {
             let Some(status) = fleet.status(operator).await else {
                 return false;
             };
--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -83,7 +83,7 @@
     fleet.store.publish(9, &[route("/second/")]);
     fleet.serves(0, "/second/", 200).await;
     fleet.routers[1].restart().expect("it starts again");
-    until_async("it is ready again", async || fleet.is_ready(1).await).await;
+    until_async("router 1 is ready", async || fleet.is_ready(1).await).await;
     fleet.serves(1, "/second/", 200).await;
     assert_eq!(status(&fleet, 1, "/first/").await, 404);
 }
@@ -124,7 +124,7 @@
         }
     }
     assert_eq!(first.seen().len(), before);
-    until("its connections are closed when it is off the list", || {
+    until("connections to an unlisted replica are closed", || {
         fleet.store.remove("i-a");
         first.open() == 0
     })
@@ -162,7 +162,7 @@
     let held = || replica.seen().iter().any(|request| request.id() == "b-1");
     until("the request is at the replica", held).await;
     fleet.routers[0].terminate();
-    until_async("it is not ready", async || !fleet.is_ready(0).await).await;
+    until_async("router not ready", async || !fleet.is_ready(0).await).await;
     replica.next(ReplicaAnswer::ok("a"));
     // A connection that was open before still serves, and its answer asks to close it.
     let answer = persistent.call(&ClientRequest::get("/slow/", "k-2")).await;
@@ -176,7 +176,7 @@
     until_async("late requests are refused", refused).await;
     let answer = busy.answer().await;
     assert!(answer.status == 200 && answer.whole);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    until("the router exits", || fleet.routers[0].ended().is_some()).await;
     assert!(
         fleet.routers[0]
             .ended()
--- a/testbed/tests/early_signals.rs
+++ b/testbed/tests/early_signals.rs
@@ -28,7 +28,7 @@
             tokio::task::yield_now().await;
         }
         fleet.routers[0].hang_up();
-        until_async("it is ready, or has exited", async || {
+        until_async("the signalled router is ready", async || {
             fleet.is_ready(0).await
         })
         .await;
--- a/testbed/tests/emptied_zones.rs
+++ b/testbed/tests/emptied_zones.rs
@@ -160,7 +160,7 @@
     fleet.ports[2].set(StoreMode::Silent);
     fleet.routers[2].kill();
     fleet.routers[2].restart().expect("it starts again");
-    until_async("it is ready again", async || fleet.is_ready(2).await).await;
+    until_async("router 2 is ready", async || fleet.is_ready(2).await).await;
     let before = replicas[1].seen().len();
     for _ in 0..CHECKED_REQUESTS {
         assert_eq!(answer(&fleet, 2).await.status, 200);
--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -117,7 +117,7 @@
     tokens: f64,
 ) -> f64 {
     let before = served(sampler, fleet);
-    until("more is served", || {
+    until("the fleet has served so many tokens more", || {
         served(sampler, fleet) > before + tokens
     })
     .await;
@@ -171,7 +171,7 @@
     );
 }
 
-/// Routers sum the service of accounts over the fleet, each account at one of them. Two of the three
+/// Each account has an aggregator, the router that sums its service over the fleet. Two of the three
 /// routers are killed and restarted in turn, then a sidecar.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_keeper_and_a_restarted_sidecar_keep_accounts_level() {
@@ -199,8 +199,8 @@
     );
 }
 
-/// Each packet is lost with probability 0.3, in either direction: so is half of the exchanges of a
-/// message and its reply.
+/// Packets are lost with probability 0.3 in each direction, so that about half of the exchanges of a
+/// message and its reply fail.
 #[tokio::test(flavor = "multi_thread")]
 async fn half_of_the_packets_lost_for_a_while_keeps_accounts_level() {
     let (once, twice) = gaps(bound_plan(), async |fleet| {
@@ -208,7 +208,7 @@
             sidecar.link.set(|faults| faults.drop = 0.3);
         }
         let before = fleet.run_counts().len();
-        until("it goes on", || fleet.run_counts().len() > before + 100).await;
+        until("requests run", || fleet.run_counts().len() > before + 100).await;
         for sidecar in &fleet.sidecars {
             sidecar.link.set(|faults| faults.drop = 0.0);
         }
@@ -254,7 +254,7 @@
         .rule("more", &[("requests", "account = a5"), ("share", "3")]);
     let fleet = Fleet::start(plan).await;
     let load = Load::start(&fleet);
-    until("all run", || fleet.run_counts().len() > 200).await;
+    until("requests run", || fleet.run_counts().len() > 200).await;
     let mut by_share = shares();
     by_share.insert("a5".to_owned(), 3.0);
     let sampler = Sampler::begin(&fleet, &by_share);
--- a/testbed/tests/first_reading.rs
+++ b/testbed/tests/first_reading.rs
@@ -33,7 +33,7 @@
         router.restart().expect("starts again");
     }
     for (router, before) in before.iter().enumerate() {
-        until("its first call is lost", || {
+        until("the router's first call is lost", || {
             lost_calls(&fleet, router) > *before
         })
         .await;
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -147,7 +147,7 @@
     assert_eq!(overwritten.seen().len(), before);
     fleet.store.list("i-a", "s", overwritten.address, "ready");
     other.usually(ReplicaAnswer::NotExecuted { status: 503 });
-    until_async("it serves again", async || {
+    until_async("the replica that is listed again serves", async || {
         answering_replica(&fleet, 0).await == "a"
     })
     .await;
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -90,7 +90,7 @@
     assert!(answer.status == 200 && answer.whole);
     assert!(answer.text().contains("piece 8"));
     drop(client);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    until("the router exits", || fleet.routers[0].ended().is_some()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -102,7 +102,7 @@
     client.send(&request.bytes()).await.expect("sent");
     until("the replica has it", || replica.open() == 1).await;
     drop(client);
-    until("its connection to the replica ends", || replica.open() == 0).await;
+    until("the replica's connection is closed", || replica.open() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -190,5 +190,5 @@
     .await;
     assert!(refused > 0, "late requests were forwarded, or lost");
     drop(busy);
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    until("the router exits", || fleet.routers[0].ended().is_some()).await;
 }
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -174,7 +174,7 @@
             caller.chat(&body).await
         });
     }
-    until("some run at the host", || {
+    until("some requests run at the host", || {
         fleet.sidecars[0].upstream.log().open() >= 1
     })
     .await;
@@ -200,7 +200,7 @@
     let callers = Callers::start(&fleet, &[0, 1], 40);
     until_other_serves(&fleet).await;
     fleet.sidecars[0].process.terminate();
-    until("it ends", || fleet.sidecars[0].process.ended().is_some()).await;
+    until("it exits", || fleet.sidecars[0].process.ended().is_some()).await;
     until_other_serves(&fleet).await;
     let outcomes = callers.end().await;
     assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
@@ -222,7 +222,7 @@
         });
     }
     let operator = fleet.routers[0].operator;
-    until_async("all are held", async || {
+    until_async("the router holds all requests", async || {
         fleet
             .status(operator)
             .await
@@ -239,7 +239,7 @@
     assert!(after.is_whole() || after.is_not_run(), "{after:?}");
     let outcomes = requests.join_all().await;
     assert!(outcomes.iter().all(Outcome::is_whole), "{outcomes:?}");
-    until("it ends", || fleet.routers[0].process.ended().is_some()).await;
+    until("it exits", || fleet.routers[0].process.ended().is_some()).await;
     let status = fleet.routers[0].process.ended().expect("it ended");
     assert!(status.success(), "{status}");
 }
@@ -252,7 +252,7 @@
         let before = fleet.run_counts().len();
         until("requests run", || fleet.run_counts().len() > before + 30).await;
         fleet.sidecars[index].process.terminate();
-        until("it ends", || {
+        until("the stopped sidecar exits", || {
             fleet.sidecars[index].process.ended().is_some()
         })
         .await;
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -193,7 +193,7 @@
         sidecar.upstream.plain().set_service_time(long);
     }
     let request = tokio::spawn(charge(fleet.caller(0, "lot-a"), None));
-    until("it runs", || fleet.open_runs() == 1).await;
+    until("the request runs", || fleet.open_runs() == 1).await;
     for sidecar in &fleet.sidecars {
         sidecar.upstream_link.cut_connections();
     }
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -50,7 +50,7 @@
     }
     assert!(south.seen().is_empty());
     fleet.store.remove("i-north");
-    until("it is gone", || log().contains("upstream gone")).await;
+    until("i-north is gone", || log().contains("upstream gone")).await;
     let answer = ask("/bounded/").await;
     assert_eq!((answer.status, answer.code()), (503, Some(29)));
     assert!(answer.retry_after().is_some());
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -171,7 +171,7 @@
     let earlier = fleet.routers[2].log_text().len();
     fleet.routers[2].restart().expect("it starts again");
     fleet.all_ready().await;
-    until_async("it received the evidence", async || {
+    until_async("the restarted router received the evidence", async || {
         fleet.routers[2].log_text()[earlier..].contains("request held back")
     })
     .await;
@@ -276,7 +276,7 @@
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        until_async("it is at a replica", async || {
+        until_async("the request is at a replica", async || {
             arrivals(&replicas, FATAL_PROMPT) == tries
         })
         .await;
@@ -300,13 +300,13 @@
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        until_async("it is at a replica", async || {
+        until_async("the request is at a replica", async || {
             arrivals(&replicas, "a prompt") == tries
         })
         .await;
     }
     for router in 0..3 {
-        until_async("it is served", async || {
+        until_async("the request is served", async || {
             post(&fleet, router, "a prompt").await.status == 200
         })
         .await;
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -244,5 +244,5 @@
         assert!(answer.status == 200 && answer.whole, "{answer:?}");
         assert_eq!(answer.text(), whole);
     }
-    until("it stops by itself", || fleet.routers[0].ended().is_some()).await;
+    until("the router exits", || fleet.routers[0].ended().is_some()).await;
 }
--- a/testbed/tests/slow_starts.rs
+++ b/testbed/tests/slow_starts.rs
@@ -76,7 +76,7 @@
     fleet.store.remove("i-b");
     load(&fleet).await;
     assert!(max_in_a_second(&starts) <= PER_SECOND);
-    until_async("it is used all the same", async || {
+    until_async("the replica in slow start is used", async || {
         load(&fleet).await;
         !starts.seen().is_empty()
     })
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -37,7 +37,7 @@
     let suspended_at = std::time::Instant::now();
     fleet.store.publish(2, &[route("/new/")]);
     fleet.serves(0, "/new/", 200).await;
-    until_async("it is suspended for longer than is tolerated", async || {
+    until_async("the suspension is longer than tolerated", async || {
         suspended_at.elapsed() > std::time::Duration::from_millis(2000)
     })
     .await;
@@ -57,7 +57,7 @@
         .filter(|request| request.id().starts_with("late"));
     assert_eq!(late.count(), 0);
     fleet.serves(1, "/new/", 200).await;
-    until_async("it logs the suspension", async || {
+    until_async("the router logs the suspension", async || {
         fleet.routers[1].log_text().contains(SUSPENSION_LOGGED)
     })
     .await;
--- a/testbed/tests/upstream_notices.rs
+++ b/testbed/tests/upstream_notices.rs
@@ -74,7 +74,7 @@
     }
     assert_eq!(arrivals(&fleet, 0).len(), before);
     fleet.sidecars[0].upstream_link.stop().await;
-    until("its exit is noticed", || {
+    until("the exit of the upstream is noticed", || {
         let log = fleet.sidecars[0].process.log_text();
         log.contains("the upstream that left has ended")
     })
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -156,8 +156,8 @@
             caller.chat(&body).await
         });
     }
-    until("all six run", || fleet.open_runs() == 6).await;
-    until("they stream", || {
+    until("all six requests run", || fleet.open_runs() == 6).await;
+    until("requests stream", || {
         fleet.sidecars.iter().any(|sidecar| {
             let runs = sidecar.upstream.log().runs();
             runs.iter().any(|run| run.tokens > 5)
@@ -179,7 +179,7 @@
         let body = ChatBody::new("drafter", "prefix", &nonce(), 100_000, true);
         caller.chat(&body).await
     });
-    until("it runs", || fleet.open_runs() == 1).await;
+    until("the request runs", || fleet.open_runs() == 1).await;
     request.abort();
     until("its slot is free", || fleet.open_runs() == 0).await;
 }
