--- a/testbed/tests/direct_fleet.rs
+++ b/testbed/tests/direct_fleet.rs
@@ -93,7 +93,7 @@
     fleet.store.publish(9, &[route("/second/")]);
     fleet.wait_until_served(0, "/second/", 200).await;
     fleet.routers[1].restart().expect("it starts again");
-    wait_until_async("it is ready again", async || fleet.is_ready(1).await).await;
+    wait_until_async("router 1 is ready", async || fleet.is_ready(1).await).await;
     fleet.wait_until_served(1, "/second/", 200).await;
     assert_eq!(status(&fleet, 1, "/first/").await, 404);
 }
@@ -142,7 +142,7 @@
         }
     }
     assert_eq!(first.received().len(), before);
-    wait_until("its connections are closed when it is off the list", || {
+    wait_until("connections to an unlisted replica are closed", || {
         fleet.store.remove_replica("i-a");
         first.open_connections() == 0
     })
@@ -185,7 +185,7 @@
     };
     wait_until("the request is at the replica", held).await;
     fleet.routers[0].terminate();
-    wait_until_async("it is not ready", async || !fleet.is_ready(0).await).await;
+    wait_until_async("router not ready", async || !fleet.is_ready(0).await).await;
     replica.push_answer(ReplicaAnswer::ok("a"));
     // A connection that was open before still serves, and its answer asks to close it.
     let answer = persistent.call(&ClientRequest::get("/slow/", "k-2")).await;
@@ -199,7 +199,7 @@
     wait_until_async("late requests are refused", refused).await;
     let answer = busy.answer().await;
     assert!(answer.status == 200 && answer.is_complete);
-    wait_until("it stops by itself", || {
+    wait_until("the router exits", || {
         fleet.routers[0].exit_status().is_some()
     })
     .await;
--- a/testbed/tests/foreign_entries.rs
+++ b/testbed/tests/foreign_entries.rs
@@ -157,7 +157,7 @@
         .store
         .list_replica("i-a", "s", overwritten.address, "ready");
     other.set_default_answer(ReplicaAnswer::NotExecuted { status: 503 });
-    wait_until_async("it serves again", async || {
+    wait_until_async("the replica that is listed again serves", async || {
         answering_replica(&fleet, 0).await == "a"
     })
     .await;
--- a/testbed/tests/handing_on.rs
+++ b/testbed/tests/handing_on.rs
@@ -105,7 +105,7 @@
     assert!(answer.status == 200 && answer.is_complete);
     assert!(answer.text().contains("piece 8"));
     drop(client);
-    wait_until("it stops by itself", || {
+    wait_until("the router exits", || {
         fleet.routers[0].exit_status().is_some()
     })
     .await;
@@ -122,7 +122,7 @@
     client.send(&request.bytes()).await.expect("sent");
     wait_until("the replica has it", || replica.open_connections() == 1).await;
     drop(client);
-    wait_until("its connection to the replica ends", || {
+    wait_until("the replica's connection is closed", || {
         replica.open_connections() == 0
     })
     .await;
@@ -225,7 +225,7 @@
     .await;
     assert!(refused > 0, "late requests were forwarded, or lost");
     drop(busy);
-    wait_until("it stops by itself", || {
+    wait_until("the router exits", || {
         fleet.routers[0].exit_status().is_some()
     })
     .await;
--- a/testbed/tests/leaving.rs
+++ b/testbed/tests/leaving.rs
@@ -174,7 +174,7 @@
             caller.chat(&body).await
         });
     }
-    wait_until("some run at the host", || {
+    wait_until("some requests run at the host", || {
         fleet.sidecars[0].upstream.log().running_count() >= 1
     })
     .await;
@@ -200,7 +200,7 @@
     let callers = Callers::start(&fleet, &[0, 1], 40);
     until_other_serves(&fleet).await;
     fleet.sidecars[0].process.terminate();
-    wait_until("it ends", || {
+    wait_until("it exits", || {
         fleet.sidecars[0].process.exit_status().is_some()
     })
     .await;
@@ -225,7 +225,7 @@
         });
     }
     let operator = fleet.routers[0].operator;
-    wait_until_async("all are held", async || {
+    wait_until_async("the router holds all requests", async || {
         fleet
             .status(operator)
             .await
@@ -242,7 +242,7 @@
     assert!(after.is_complete() || after.is_not_run(), "{after:?}");
     let outcomes = requests.join_all().await;
     assert!(outcomes.iter().all(Outcome::is_complete), "{outcomes:?}");
-    wait_until("it ends", || {
+    wait_until("it exits", || {
         fleet.routers[0].process.exit_status().is_some()
     })
     .await;
@@ -258,7 +258,7 @@
         let before = fleet.runs_by_nonce().len();
         wait_until("requests run", || fleet.runs_by_nonce().len() > before + 30).await;
         fleet.sidecars[index].process.terminate();
-        wait_until("it ends", || {
+        wait_until("the stopped sidecar exits", || {
             fleet.sidecars[index].process.exit_status().is_some()
         })
         .await;
--- a/testbed/tests/not_run.rs
+++ b/testbed/tests/not_run.rs
@@ -198,7 +198,7 @@
         sidecar.upstream.plain().set_service_time(long);
     }
     let request = tokio::spawn(charge(fleet.caller(0, "lot-a"), None));
-    wait_until("it runs", || fleet.running_count() == 1).await;
+    wait_until("the request runs", || fleet.running_count() == 1).await;
     for sidecar in &fleet.sidecars {
         sidecar.upstream_link.close_connections();
     }
--- a/testbed/tests/regions.rs
+++ b/testbed/tests/regions.rs
@@ -51,7 +51,7 @@
     }
     assert!(south.received().is_empty());
     fleet.store.remove_replica("i-north");
-    wait_until("it is gone", || log().contains("upstream gone")).await;
+    wait_until("i-north is gone", || log().contains("upstream gone")).await;
     let answer = ask("/bounded/").await;
     assert_eq!((answer.status, answer.code()), (503, Some(29)));
     assert!(answer.retry_after().is_some());
--- a/testbed/tests/requests_that_end_replicas.rs
+++ b/testbed/tests/requests_that_end_replicas.rs
@@ -173,7 +173,7 @@
     let earlier = fleet.routers[2].log_text().len();
     fleet.routers[2].restart().expect("it starts again");
     fleet.wait_until_ready().await;
-    wait_until_async("it received the evidence", async || {
+    wait_until_async("the restarted router received the evidence", async || {
         fleet.routers[2].log_text()[earlier..].contains("request held back")
     })
     .await;
@@ -278,7 +278,7 @@
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        wait_until_async("it is at a replica", async || {
+        wait_until_async("the request is at a replica", async || {
             arrivals(&replicas, FATAL_PROMPT) == tries
         })
         .await;
@@ -302,13 +302,13 @@
             .await
             .expect("a connection");
         caller.send(&request.bytes()).await.expect("sent");
-        wait_until_async("it is at a replica", async || {
+        wait_until_async("the request is at a replica", async || {
             arrivals(&replicas, "a prompt") == tries
         })
         .await;
     }
     for router in 0..3 {
-        wait_until_async("it is served", async || {
+        wait_until_async("the request is served", async || {
             post(&fleet, router, "a prompt").await.status == 200
         })
         .await;
--- a/testbed/tests/silent_connections.rs
+++ b/testbed/tests/silent_connections.rs
@@ -246,7 +246,7 @@
         assert!(answer.status == 200 && answer.is_complete, "{answer:?}");
         assert_eq!(answer.text(), whole);
     }
-    wait_until("it stops by itself", || {
+    wait_until("the router exits", || {
         fleet.routers[0].exit_status().is_some()
     })
     .await;
--- a/testbed/tests/stood_still.rs
+++ b/testbed/tests/stood_still.rs
@@ -41,7 +41,7 @@
     let suspended_at = std::time::Instant::now();
     fleet.store.publish(2, &[route("/new/")]);
     fleet.wait_until_served(0, "/new/", 200).await;
-    wait_until_async("it is suspended for longer than is tolerated", async || {
+    wait_until_async("the suspension is longer than tolerated", async || {
         suspended_at.elapsed() > std::time::Duration::from_millis(2000)
     })
     .await;
@@ -61,7 +61,7 @@
         .filter(|request| request.attempt_id().starts_with("late"));
     assert_eq!(late.count(), 0);
     fleet.wait_until_served(1, "/new/", 200).await;
-    wait_until_async("it logs the suspension", async || {
+    wait_until_async("the router logs the suspension", async || {
         fleet.routers[1].log_text().contains(SUSPENSION_LOGGED)
     })
     .await;
--- a/testbed/tests/whole_answers.rs
+++ b/testbed/tests/whole_answers.rs
@@ -165,8 +165,8 @@
             caller.chat(&body).await
         });
     }
-    wait_until("all six run", || fleet.running_count() == 6).await;
-    wait_until("they stream", || {
+    wait_until("all six requests run", || fleet.running_count() == 6).await;
+    wait_until("requests stream", || {
         fleet.sidecars.iter().any(|sidecar| {
             let runs = sidecar.upstream.log().runs();
             runs.iter().any(|run| run.tokens > 5)
@@ -188,7 +188,7 @@
         let body = ChatBody::new("drafter", "prefix", &nonce(), 100_000, true);
         caller.chat(&body).await
     });
-    wait_until("it runs", || fleet.running_count() == 1).await;
+    wait_until("the request runs", || fleet.running_count() == 1).await;
     request.abort();
     wait_until("its slot is free", || fleet.running_count() == 0).await;
 }
