--- a/testbed/tests/fairness.rs
+++ b/testbed/tests/fairness.rs
@@ -208,7 +208,10 @@
             sidecar.link.update_faults(|faults| faults.drop = 0.3);
         }
         let before = fleet.runs_by_nonce().len();
-        wait_until("requests run", || fleet.runs_by_nonce().len() > before + 100).await;
+        wait_until("requests run", || {
+            fleet.runs_by_nonce().len() > before + 100
+        })
+        .await;
         for sidecar in &fleet.sidecars {
             sidecar.link.update_faults(|faults| faults.drop = 0.0);
         }
