--- a/src/fleet/fleet_parser.rs
+++ b/src/fleet/fleet_parser.rs
@@ -13,8 +13,11 @@
     },
 };
 
+/// Allowed shares of accounts, which are relative to each other.
 const SHARE_RANGE: RangeInclusive<f64> = 0.000_001..=1_000_000.0;
+/// Allowed weights of service: service units per token, or per second that a slot is in use.
 const WEIGHT_RANGE: RangeInclusive<f64> = 0.0..=1_000_000.0;
+/// Allowed patience of classes.
 const PATIENCE_RANGE: RangeInclusive<Duration> =
     Duration::from_millis(1)..=Duration::from_secs(86_400);
 
